--- /dev/null
+++ b/tests/compatibility/test_commands_corpus.py
@@ -0,0 +1,36 @@
+"""The commands have the names, options and exit codes of the corpus."""
+
+import click
+import pytest
+from commands_tree import command_tree, exit_codes, parameter
+from http_corpus import read_json
+
+
+def test_commands_and_options_are_the_same() -> None:
+    now = command_tree()
+    before = read_json("commands_tree.json")
+    assert now.keys() == before.keys()
+    for command, parameters in before.items():
+        assert now[command] == parameters
+
+
+def test_exit_codes_are_the_same() -> None:
+    assert exit_codes() == read_json("commands_exit_codes.json")
+
+
+@pytest.mark.parametrize(
+    "changed",
+    [
+        click.Option(["--kinds"], type=click.Choice(["a", "b"])),
+        click.Option(["--kind"], type=click.Choice(["a", "c"])),
+        click.Option(["--kind"], type=click.Choice(["a", "b"]), required=True),
+        click.Option(["--kind"], type=click.Choice(["a", "b"]), multiple=True),
+        click.Option(["--kind"], type=click.Choice(["a", "b"]), default="a"),
+        click.Option(["--kind"], is_flag=True),
+    ],
+)
+def test_a_changed_option_is_noticed(changed: click.Option) -> None:
+    before = click.Option(["--kind", "kind_name"], type=click.Choice(["a", "b"]))
+    renamed = click.Option(["--kind", "other_name"], type=click.Choice(["a", "b"]))
+    assert parameter(renamed) == parameter(before)
+    assert parameter(changed) != parameter(before)
--- /dev/null
+++ b/tests/compatibility/write_http_corpus.py
@@ -0,0 +1,56 @@
+"""Writes the corpus of messages, documents, settings, metrics and commands; run by hand.
+
+``python tests/compatibility/write_http_corpus.py [--overwrite]`` from the root of the repository
+writes what the code of that moment says. It was run on the code before any name changed; written
+anew, the corpus shows nothing about what came before.
+"""
+
+import argparse
+import asyncio
+import sys
+from pathlib import Path
+
+ROOT = Path(__file__).parents[2]
+sys.path.insert(0, str(ROOT / "platform"))
+
+from commands_tree import command_tree, exit_codes  # noqa: E402 - needs the adapter's folder
+from documents_read import documents  # noqa: E402
+from http_answers import operator_answers  # noqa: E402
+from http_corpus import FOLDER, cases_of, json_file, values_of  # noqa: E402
+from http_labels import ENUMERATIONS, MESSAGES  # noqa: E402
+from http_names import http_names  # noqa: E402
+from metrics_list import metrics  # noqa: E402
+from settings_read import settings_read  # noqa: E402
+
+
+def corpus() -> dict[str, bytes]:
+    """Return the content of every file by its name."""
+    contents = {
+        "http_messages.json": {label: cases_of(one) for label, one in MESSAGES.items()},
+        "http_enumerations.json": {label: values_of(one) for label, one in ENUMERATIONS.items()},
+        "http_answers.json": asyncio.run(operator_answers()),
+        "http_names.json": http_names(),
+        "documents_read.json": documents(),
+        "settings_read.json": settings_read(),
+        "metrics_list.json": metrics(),
+        "commands_tree.json": command_tree(),
+        "commands_exit_codes.json": exit_codes(),
+    }
+    return {name: json_file(content) for name, content in contents.items()}
+
+
+def main() -> None:
+    """Write the files, unless one of them is there already."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--overwrite", action="store_true", help="replace what is there")
+    overwrite = parser.parse_args().overwrite
+    contents = corpus()
+    there = [name for name in contents if (FOLDER / name).exists()]
+    if there and not overwrite:
+        sys.exit(f"left as they are, see --overwrite: {', '.join(there)}")
+    for name, content in contents.items():
+        (FOLDER / name).write_bytes(content)
+
+
+if __name__ == "__main__":
+    main()
