--- a/bench/control_cluster.py
+++ b/bench/control_cluster.py
@@ -13,12 +13,12 @@
 
 from orchidpath.common.settings import ControlSettings
 from orchidpath.consensus.types import Role
-from orchidpath.control.operator_bodies import StatusBody, SubmitReplyBody
-from orchidpath.control.operator_client import (
+from orchidpath.control.api.operator_bodies import StatusBody, SubmitReplyBody
+from orchidpath.control.api.operator_client import (
     NoControlAnswersError,
     OperatorClient,
-    OrderNotTakenError,
     OrderOutcomeUnknownError,
+    UpdateRejectedError,
 )
 from orchidpath.fleet.ports import LOOPBACK_HOST, choose_ports
 from orchidpath.fleet.processes import ChildProcess, stop_all
@@ -130,7 +130,7 @@
                 reply = await (client or self.client).submit(
                     f"order-{self._order}", base_version, configuration(self._order)
                 )
-            except (OrderNotTakenError, OrderOutcomeUnknownError):
+            except (UpdateRejectedError, OrderOutcomeUnknownError):
                 await asyncio.sleep(0.01)
                 continue
             self._version = reply.version
--- a/bench/decision_path.py
+++ b/bench/decision_path.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from orchidpath.circuit.table import CircuitTable, Decided
+from orchidpath.circuit.circuit_table import CircuitTable, Decided
 from orchidpath.tools.hollow import HollowSize, worker_record
 from orchidpath.tools.measuring import LinearFit, Point, fit_line
 from orchidpath.wire.configuration import CircuitPolicy
@@ -23,7 +23,7 @@
     AttemptReports,
     DecisionReply,
     DecisionRequest,
-    Leg,
+    StageCandidates,
 )
 from orchidpath.wire.records import Stage
 
@@ -65,16 +65,16 @@
     """Return a request whose candidates differ from one to the next."""
     size = HollowSize(routers=1, workers=workers)
     records = [worker_record((number * 7 + each) % workers, size) for each in range(8 * CANDIDATES)]
-    legs = []
+    per_stage = []
     for stage in (Stage.PREFILL, Stage.DECODE):
         names = [record.worker_id for record in records if record.stage is stage]
-        legs.append(Leg(stage=stage, candidates=tuple(names[:CANDIDATES])))
+        per_stage.append(StageCandidates(stage=stage, candidates=tuple(names[:CANDIDATES])))
     return DecisionRequest(
         correlation=number,
         request_id=f"request-{number}",
         attempt_id=f"request-{number}-1",
         service="hollow",
-        legs=tuple(legs),
+        per_stage=tuple(per_stage),
     )
 
 
@@ -115,9 +115,9 @@
         encode_frame(answer.reply)
         encoded_at = time.perf_counter()
         reports = _reports(request, answer.reply)
-        begun_at = time.perf_counter()
+        started_at = time.perf_counter()
         table.report(reports.reports, number * 1e-3)
-        times.report += time.perf_counter() - begun_at
+        times.report += time.perf_counter() - started_at
         times.decide += decided_at - decoded_at
         times.message += (decoded_at - started_at) + (encoded_at - decided_at)
         last = (reports, answer.reply)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from orchidpath.circuit.table import CircuitTable, Decided
+from orchidpath.circuit.circuit_table import CircuitTable, Decided
 from orchidpath.wire.configuration import CircuitPolicy
-from orchidpath.wire.messages import AttemptEffect, AttemptReport, DecisionRequest, Leg
+from orchidpath.wire.messages import AttemptEffect, AttemptReport, DecisionRequest, StageCandidates
 from orchidpath.wire.records import Stage, WorkerRecord
 
 CANDIDATE_COUNTS = (2, 4, 8, 16, 64)
@@ -60,13 +60,15 @@
 def decide(table: CircuitTable, candidates: tuple[str, ...], number: int) -> str:
     """Decide one attempt and return the worker that was chosen."""
     start = number % len(candidates)
-    leg = Leg(stage=Stage.PLAIN, candidates=candidates[start:] + candidates[:start])
+    stage_candidates = StageCandidates(
+        stage=Stage.PLAIN, candidates=candidates[start:] + candidates[:start]
+    )
     request = DecisionRequest(
         correlation=number,
         request_id=f"request-{number}",
         attempt_id=f"attempt-{number}",
         service="service",
-        legs=(leg,),
+        per_stage=(stage_candidates,),
     )
     answer = table.decide(request, number * ROUND_SECONDS)
     if not isinstance(answer, Decided) or not answer.reply.choices:
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -29,14 +29,14 @@
 from orchidpath.consensus.files import RealFiles
 from orchidpath.consensus.storage import FileLogStorage
 from orchidpath.consensus.types import EntryKind, LogEntry, Role
-from orchidpath.control.operator_client import OperatorClient
+from orchidpath.control.api.operator_client import OperatorClient
 from orchidpath.fleet.file import FleetFile, load_fleet
 from orchidpath.fleet.layout import FleetLayout, ProcessKind, make_layout, ports_needed
 from orchidpath.fleet.ports import LOOPBACK_HOST, choose_ports
 from orchidpath.fleet.processes import ChildProcess, stop_all
 from orchidpath.fleet.startup import bring_into_service
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest, encode_command
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.tools.hollow import HollowFleet, HollowSize
 from orchidpath.tools.measuring import Quantiles, summarize
 
--- a/bench/ring_cache_hits.py
+++ b/bench/ring_cache_hits.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from orchidpath.routing.handover import PairAvoidance
+from orchidpath.routing.kv_transfer_evidence import PairAvoidance
 from orchidpath.routing.pairing import ModelQuery, PairSelector
 from orchidpath.routing.ring import HashRing, prefix_key
 from orchidpath.wire.configuration import Configuration
@@ -121,7 +121,9 @@
         return lambda arrival, _loads: ring.preference(key_of(arrival), 1)[0]
     selector = PairSelector(PairAvoidance())
     selector.update_view(view_of(worker_ids))
-    return lambda arrival, loads: selector.prefill_leg(query_of(arrival), loads).candidates[0]
+    return lambda arrival, loads: selector.prefill_candidates(query_of(arrival), loads).candidates[
+        0
+    ]
 
 
 def key_of(arrival: Arrival) -> int:
--- a/bench/role_change.py
+++ b/bench/role_change.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.control.operator_client import OperatorClient
+from orchidpath.control.api.operator_client import OperatorClient
 from orchidpath.state.plans import PlanStatus
 from orchidpath.wire.messages import PlanAction
 
@@ -104,7 +104,7 @@
         preview = (await client.plan()).preview
         assert len(preview.steps) == MOVED, preview
         started_at = time.monotonic()
-        await client.order_plan(PlanAction.CONFIRM, preview.plan.plan_id, "role-change")
+        await client.request_plan_action(PlanAction.CONFIRM, preview.plan.plan_id, "role-change")
         while True:
             newest = (await client.plan()).newest
             if newest is not None and not newest.active:
--- a/src/orchidpath/circuit/ledger.py
+++ b/src/orchidpath/circuit/attempt_table.py
@@ -27,7 +27,7 @@
     worker_id: str
 
 
-class AttemptLedger:
+class AttemptTable:
     """Counts every attempt once.
 
     Parameters
--- a/src/orchidpath/circuit/table.py
+++ b/src/orchidpath/circuit/circuit_table.py
@@ -15,12 +15,12 @@
 
 from orchidpath.circuit.breaker import BreakerEvent
 from orchidpath.circuit.counters import CircuitCounters
-from orchidpath.circuit.decisions import Decided, NeedsTransition, WorkerCircuitView
+from orchidpath.circuit.decision_outcomes import Decided, NeedsTransition, WorkerCircuitView
 from orchidpath.circuit.selection import (
     DEFAULT_LOAD_BOUND_FACTOR,
     MINIMUM_LOAD_ABOVE_AVERAGE,
-    LegCandidates,
     Selection,
+    StageCircuits,
     select,
 )
 from orchidpath.circuit.transitions import CapacityTransition, CircuitTransition
@@ -92,13 +92,16 @@
         Decided | NeedsTransition
             The reply, or the transition to commit before asking again.
         """
-        self._counters.ledger.advance(now)
+        self._counters.attempt_table.advance(now)
         repeated = self._counters.repeated(request, self._term)
         if repeated is not None:
             return Decided(repeated)
-        legs = [self._counters.read_leg(leg, request.attempt_id, now) for leg in request.legs]
-        selection = select(legs, self._load_bound_factor, self._load_bound_minimum)
-        transition = self._needed_transition(request.attempt_id, legs, selection)
+        per_stage = [
+            self._counters.read_stage_candidates(stage_candidates, request.attempt_id, now)
+            for stage_candidates in request.per_stage
+        ]
+        selection = select(per_stage, self._load_bound_factor, self._load_bound_minimum)
+        transition = self._needed_transition(request.attempt_id, per_stage, selection)
         if transition is not None:
             return NeedsTransition(transition)
         choices = self._counters.register(request, selection, now)
@@ -106,15 +109,15 @@
             correlation=request.correlation,
             term=self._term,
             choices=choices,
-            denial=selection.denial,
+            rejection=selection.rejection,
             retry_after_seconds=selection.retry_after_seconds,
-            states=self._counters.states(legs, now),
+            states=self._counters.states(per_stage, now),
         )
         return Decided(reply)
 
     def in_flight(self, worker_id: str) -> int:
         """Return the attempts in flight on a worker."""
-        return self._counters.ledger.in_flight.count(worker_id)
+        return self._counters.attempt_table.in_flight.count(worker_id)
 
     def report(self, reports: Sequence[AttemptReport], now: float) -> list[CircuitTransition]:
         """Count how attempts ended; a repeated report changes nothing.
@@ -131,7 +134,7 @@
         list[CircuitTransition]
             Transitions to commit through the log.
         """
-        self._counters.ledger.advance(now)
+        self._counters.attempt_table.advance(now)
         transitions: list[CircuitTransition] = []
         for report in reports:
             event = self._counters.count(report, now, probe_generation=report.probe_generation)
@@ -219,7 +222,7 @@
             Every worker of the fleet.
         """
         for worker_id in self._counters.roster.set_workers(workers):
-            self._counters.ledger.retire_worker(worker_id)
+            self._counters.attempt_table.retire_worker(worker_id)
 
     def forget_circuit(self, worker_id: str) -> None:
         """Follow the log when it drops the agreed circuit of a worker.
@@ -246,13 +249,13 @@
         now
             Monotonic time in seconds.
         """
-        self._counters.ledger.advance(now)
+        self._counters.attempt_table.advance(now)
         if counters.term < self._term or router_id in self._rebuilt_from:
             return
         self._rebuilt_from.add(router_id)
         for mark in counters.in_flight:
             if self._counters.roster.get(mark.worker_id) is not None:
-                self._counters.ledger.restore(mark)
+                self._counters.attempt_table.restore(mark)
         for tally in counters.tallies:
             self._merge_tally(tally, now)
 
@@ -269,7 +272,7 @@
         tuple[WorkerCircuitView, ...]
             Sorted by worker.
         """
-        self._counters.ledger.advance(now)
+        self._counters.attempt_table.advance(now)
         views = [self._counters.view(worker, now) for worker in self._counters.roster]
         return tuple(sorted(views, key=lambda view: view.worker_id))
 
@@ -305,12 +308,12 @@
         )
 
     def _needed_transition(
-        self, attempt_id: str, legs: Sequence[LegCandidates], selection: Selection
+        self, attempt_id: str, per_stage: Sequence[StageCircuits], selection: Selection
     ) -> CircuitTransition | None:
         """Return the transition that must be agreed before this selection may be replied."""
         chosen = {choice.candidate.worker_id for choice in selection.choices}
-        for leg in legs:
-            for candidate in leg.candidates:
+        for stage_candidates in per_stage:
+            for candidate in stage_candidates.candidates:
                 is_unused = candidate.worker_id not in chosen
                 if candidate.admission is Admission.PROBE_OWNED and is_unused:
                     # Given back, or nobody could probe the worker until the grant runs out.
--- a/src/orchidpath/circuit/classification.py
+++ b/src/orchidpath/circuit/classification.py
@@ -42,11 +42,11 @@
     """An error status without an error body; ``http_status`` decides."""
     REFUSED = "refused"
     """An error body; ``error_code`` decides."""
-    HAND_OVER_CHARGED = "hand_over_charged"
+    KV_TRANSFER_CHARGED = "hand_over_charged"
     """The KV cache hand-over failed and the evidence points at this worker."""
-    HAND_OVER_UNDECIDED = "hand_over_undecided"
+    KV_TRANSFER_UNDECIDED = "hand_over_undecided"
     """The KV cache hand-over failed and the evidence points at the link, or not at this worker."""
-    HANDLE_LAPSED = "handle_lapsed"
+    HANDLE_EXPIRED = "handle_lapsed"
     DEADLINE_BEFORE_SEND = "deadline_before_send"
     """The request's deadline was used up before anything was sent to the worker."""
     CLIENT_CANCELLED = "client_cancelled"
@@ -74,10 +74,10 @@
         Observed.MISSING_TERMINAL: AttemptEffect.TRANSIENT,
         Observed.SEQUENCE_GAP: AttemptEffect.TRANSIENT,
         # A failed hand-over charges a side only on evidence; otherwise it is neutral for both.
-        Observed.HAND_OVER_CHARGED: AttemptEffect.TRANSIENT,
-        Observed.HAND_OVER_UNDECIDED: AttemptEffect.GATEWAY,
+        Observed.KV_TRANSFER_CHARGED: AttemptEffect.TRANSIENT,
+        Observed.KV_TRANSFER_UNDECIDED: AttemptEffect.GATEWAY,
         # Neutral: the worker did nothing wrong (paper, "Gateway/request-scoped failures").
-        Observed.HANDLE_LAPSED: AttemptEffect.GATEWAY,
+        Observed.HANDLE_EXPIRED: AttemptEffect.GATEWAY,
         Observed.DEADLINE_BEFORE_SEND: AttemptEffect.GATEWAY,
         Observed.CLIENT_CANCELLED: AttemptEffect.GATEWAY,
         Observed.GATEWAY_FAULT: AttemptEffect.GATEWAY,
@@ -101,7 +101,7 @@
         ErrorCode.UPSTREAM_REFUSED: AttemptEffect.GATEWAY,
         # The fleet asked something that the worker was right to refuse.
         ErrorCode.DRAINING: AttemptEffect.GATEWAY,
-        ErrorCode.HANDLE_LAPSED: AttemptEffect.GATEWAY,
+        ErrorCode.HANDLE_EXPIRED: AttemptEffect.GATEWAY,
         ErrorCode.HANDLE_MISMATCH: AttemptEffect.GATEWAY,
         ErrorCode.ATTEMPT_REFUSED: AttemptEffect.GATEWAY,
         ErrorCode.STALE_ORDER: AttemptEffect.GATEWAY,
--- a/src/orchidpath/circuit/counters.py
+++ b/src/orchidpath/circuit/counters.py
@@ -7,13 +7,13 @@
 import math
 from collections.abc import Sequence
 
+from orchidpath.circuit.attempt_table import AttemptTable
 from orchidpath.circuit.breaker import BreakerEvent
 from orchidpath.circuit.capacity import CapacityCircuits
-from orchidpath.circuit.decisions import WorkerCircuitView
+from orchidpath.circuit.decision_outcomes import WorkerCircuitView
 from orchidpath.circuit.in_flight import Registration
-from orchidpath.circuit.ledger import AttemptLedger
-from orchidpath.circuit.roster import CircuitRoster, TrackedWorker
-from orchidpath.circuit.selection import Candidate, LegCandidates, Selection
+from orchidpath.circuit.registry import CircuitRegistry, TrackedWorker
+from orchidpath.circuit.selection import Candidate, Selection, StageCircuits
 from orchidpath.circuit.worker_circuit import Admission, AttemptOutcome
 from orchidpath.wire.configuration import CircuitPolicy
 from orchidpath.wire.messages import (
@@ -22,8 +22,8 @@
     Choice,
     DecisionReply,
     DecisionRequest,
-    Denial,
-    Leg,
+    Rejection,
+    StageCandidates,
 )
 from orchidpath.wire.records import CircuitStatus
 
@@ -41,8 +41,8 @@
 
     def __init__(self, policy: CircuitPolicy) -> None:
         self.policy = policy
-        self.roster = CircuitRoster(policy.health_window_seconds)
-        self.ledger = AttemptLedger(policy)
+        self.roster = CircuitRegistry(policy.health_window_seconds)
+        self.attempt_table = AttemptTable(policy)
         self.capacities = CapacityCircuits()
 
     def set_policy(self, policy: CircuitPolicy) -> None:
@@ -54,7 +54,7 @@
             Figures of the circuits.
         """
         self.policy = policy
-        self.ledger.in_flight.ttl_seconds = policy.in_flight_ttl_seconds
+        self.attempt_table.in_flight.ttl_seconds = policy.in_flight_ttl_seconds
         self.roster.set_health_window(policy.health_window_seconds)
 
     def repeated(self, request: DecisionRequest, term: int) -> DecisionReply | None:
@@ -73,18 +73,20 @@
             The same choices while the attempt is in flight, none once it has ended, and None
             when the attempt is new.
         """
-        choices = self.ledger.in_flight.choices(request.attempt_id)
-        is_over = not choices and self.ledger.has_ended(request.attempt_id)
+        choices = self.attempt_table.in_flight.choices(request.attempt_id)
+        is_over = not choices and self.attempt_table.has_ended(request.attempt_id)
         if not choices and not is_over:
             return None
         return DecisionReply(
             correlation=request.correlation,
             term=term,
             choices=choices,
-            denial=Denial.EXHAUSTED if is_over else Denial.NONE,
+            rejection=Rejection.EXHAUSTED if is_over else Rejection.NONE,
         )
 
-    def read_leg(self, leg: Leg, attempt_id: str, now: float) -> LegCandidates:
+    def read_stage_candidates(
+        self, stage_candidates: StageCandidates, attempt_id: str, now: float
+    ) -> StageCircuits:
         """Read the candidates of one leg that are in the roster and take new requests.
 
         Parameters
@@ -98,12 +100,12 @@
 
         Returns
         -------
-        LegCandidates
+        StageCircuits
             The candidates as they are now.
         """
-        tried = frozenset(leg.tried)
+        tried = frozenset(stage_candidates.tried)
         candidates: list[Candidate] = []
-        for worker_id in leg.candidates:
+        for worker_id in stage_candidates.candidates:
             worker = self.roster.get(worker_id)
             if worker is None or not worker.eligible:
                 continue
@@ -111,12 +113,12 @@
                 worker_id=worker_id,
                 admission=worker.circuit.admission(attempt_id, now),
                 tried=worker_id in tried,
-                in_flight=self.ledger.in_flight.count(worker_id),
+                in_flight=self.attempt_table.in_flight.count(worker_id),
                 circuit_wait_seconds=worker.circuit.wait_seconds(now),
                 capacity_wait_seconds=self.capacities.wait_seconds(worker.domain, now),
             )
             candidates.append(candidate)
-        return LegCandidates(leg.stage, tuple(candidates))
+        return StageCircuits(stage_candidates.stage, tuple(candidates))
 
     def register(
         self, request: DecisionRequest, selection: Selection, now: float
@@ -151,7 +153,7 @@
             choices.append(choice)
             registrations.append(Registration(worker_id=worker_id, generation=generation))
         if choices:
-            self.ledger.in_flight.register(
+            self.attempt_table.in_flight.register(
                 request.request_id,
                 request.attempt_id,
                 registrations,
@@ -195,31 +197,31 @@
         BreakerEvent | None
             What it does to the worker's circuit.
         """
-        if not self.ledger.end(report):
+        if not self.attempt_table.end(report):
             return None
-        registration = self.ledger.release(report)
+        registration = self.attempt_table.release(report)
         worker = self.roster.get(report.worker_id)
         if worker is None:
             return None
         worker.health.record(report.effect, now)
-        begun_generation = registration.generation if registration is not None else None
-        if begun_generation is None:
+        started_generation = registration.generation if registration is not None else None
+        if started_generation is None:
             # Begun under an earlier leader: the fencing number, if any, still dates it.
-            begun_generation = report.probe_generation
+            started_generation = report.probe_generation
         outcome = AttemptOutcome(
             attempt_id=report.attempt_id,
             effect=report.effect,
             probe_generation=probe_generation,
-            begun_generation=begun_generation,
-            charged_before=self.ledger.is_charged(report),
+            started_generation=started_generation,
+            charged_before=self.attempt_table.is_charged(report),
         )
         failures_before = worker.circuit.transient_failures
         event = worker.circuit.judge(outcome, self.policy.allowed_fails, now)
         if worker.circuit.transient_failures > failures_before:
-            self.ledger.charge(report)
+            self.attempt_table.charge(report)
         return event
 
-    def states(self, legs: Sequence[LegCandidates], now: float) -> tuple[CandidateState, ...]:
+    def states(self, per_stage: Sequence[StageCircuits], now: float) -> tuple[CandidateState, ...]:
         """Return the candidates as they were read, for the reply.
 
         Parameters
@@ -235,8 +237,8 @@
             In the order of legs and candidates.
         """
         states: list[CandidateState] = []
-        for leg in legs:
-            for candidate in leg.candidates:
+        for stage_candidates in per_stage:
+            for candidate in stage_candidates.candidates:
                 worker = self.roster.get(candidate.worker_id)
                 if worker is not None:
                     states.append(self._state(worker, candidate, now))
@@ -265,7 +267,7 @@
             status=_status(worker, capacity_wait_seconds, now),
             retry_after_ms=math.ceil(wait_seconds * MILLISECONDS_PER_SECOND),
             health=worker.health.score(now),
-            in_flight=self.ledger.in_flight.count(record.worker_id),
+            in_flight=self.attempt_table.in_flight.count(record.worker_id),
             transient_failures=worker.circuit.transient_failures,
             generation=record.generation,
             probe_owner=record.probe_owner,
--- a/src/orchidpath/circuit/fallback.py
+++ b/src/orchidpath/circuit/fallback.py
@@ -28,19 +28,19 @@
 
 from orchidpath.circuit.breaker import BreakerEvent
 from orchidpath.circuit.counters import CircuitCounters
-from orchidpath.circuit.health import HEALTH_LOWERING_EFFECTS
 from orchidpath.circuit.in_flight import Registration
-from orchidpath.circuit.roster import TrackedWorker
+from orchidpath.circuit.registry import TrackedWorker
 from orchidpath.circuit.selection import (
     DEFAULT_LOAD_BOUND_FACTOR,
     MINIMUM_LOAD_ABOVE_AVERAGE,
     Candidate,
-    LegCandidates,
     Selection,
+    StageCircuits,
     select,
 )
 from orchidpath.circuit.transitions import apply_circuit_transition
 from orchidpath.circuit.worker_circuit import Admission
+from orchidpath.circuit.worker_health import HEALTH_LOWERING_EFFECTS
 from orchidpath.wire.configuration import CircuitPolicy
 from orchidpath.wire.messages import (
     AttemptEffect,
@@ -124,7 +124,7 @@
             Every worker of the fleet.
         """
         for worker_id in self._counters.roster.set_workers(workers):
-            self._counters.ledger.retire_worker(worker_id)
+            self._counters.attempt_table.retire_worker(worker_id)
 
     def take_view(self, view: CircuitsView, now: float) -> bool:
         """Take the agreed circuits as the leader pushed them.
@@ -165,22 +165,22 @@
         DecisionReply
             Choices or a denial; no choice carries a probe generation.
         """
-        self._counters.ledger.advance(now)
+        self._counters.attempt_table.advance(now)
         term = max(self._newest_view[0], 0)
         repeated = self._counters.repeated(request, term)
         if repeated is not None:
             return _without_probes(repeated)
-        legs, selection = self._select(request, now)
+        per_stage, selection = self._select(request, now)
         if self._grant_probes(request.attempt_id, selection, now):
-            legs, selection = self._select(request, now)
+            per_stage, selection = self._select(request, now)
         choices = self._counters.register(request, selection, now)
         reply = DecisionReply(
             correlation=request.correlation,
             term=term,
             choices=choices,
-            denial=selection.denial,
+            rejection=selection.rejection,
             retry_after_seconds=selection.retry_after_seconds,
-            states=self._counters.states(legs, now),
+            states=self._counters.states(per_stage, now),
         )
         return _without_probes(reply)
 
@@ -200,7 +200,7 @@
         now
             Monotonic time in seconds.
         """
-        self._counters.ledger.advance(now)
+        self._counters.attempt_table.advance(now)
         registrations = [
             Registration(
                 worker_id=choice.worker_id,
@@ -208,7 +208,7 @@
             )
             for choice in choices
         ]
-        self._counters.ledger.in_flight.register(
+        self._counters.attempt_table.in_flight.register(
             request_id, attempt_id, registrations, now, choices=tuple(choices)
         )
         for choice in choices:
@@ -226,7 +226,7 @@
         now
             Monotonic time in seconds.
         """
-        self._counters.ledger.advance(now)
+        self._counters.attempt_table.advance(now)
         for report in reports:
             generation = self._end_probe(report)
             event = self._counters.count(report, now, probe_generation=generation)
@@ -266,33 +266,37 @@
         CounterReport
             Attempts in flight and a tally for each worker.
         """
-        self._counters.ledger.advance(now)
+        self._counters.attempt_table.advance(now)
         pending = Counter((report.worker_id, report.effect) for report in unacknowledged)
         return CounterReport(
             term=term,
-            in_flight=self._counters.ledger.in_flight.marks(now),
+            in_flight=self._counters.attempt_table.in_flight.marks(now),
             tallies=tuple(self._tally(w, pending, now) for w in self._counters.roster),
         )
 
     def _select(
         self, request: DecisionRequest, now: float
-    ) -> tuple[list[LegCandidates], Selection]:
-        legs = [
-            self._bound_probes(self._counters.read_leg(leg, request.attempt_id, now))
-            for leg in request.legs
+    ) -> tuple[list[StageCircuits], Selection]:
+        per_stage = [
+            self._bound_probes(
+                self._counters.read_stage_candidates(stage_candidates, request.attempt_id, now)
+            )
+            for stage_candidates in request.per_stage
         ]
-        return legs, select(legs, self._load_bound_factor, self._load_bound_minimum)
+        return per_stage, select(per_stage, self._load_bound_factor, self._load_bound_minimum)
 
-    def _bound_probes(self, leg: LegCandidates) -> LegCandidates:
-        candidates = tuple(self._bound_probe(candidate) for candidate in leg.candidates)
-        return LegCandidates(leg.stage, candidates)
+    def _bound_probes(self, stage_candidates: StageCircuits) -> StageCircuits:
+        candidates = tuple(
+            self._bound_probe(candidate) for candidate in stage_candidates.candidates
+        )
+        return StageCircuits(stage_candidates.stage, candidates)
 
     def _bound_probe(self, candidate: Candidate) -> Candidate:
         """Block a worker whose last probe of this router is still in flight."""
         probe = self._own_probes.get(candidate.worker_id)
         if probe is None or candidate.admission is not Admission.PROBE_READY:
             return candidate
-        in_flight = self._counters.ledger.in_flight
+        in_flight = self._counters.attempt_table.in_flight
         if not in_flight.occupies(probe.attempt_id, candidate.worker_id):
             return candidate
         return msgspec.structs.replace(
--- a/src/orchidpath/circuit/in_flight.py
+++ b/src/orchidpath/circuit/in_flight.py
@@ -26,11 +26,11 @@
 class _Attempt:
     """One attempt and the workers that it still occupies."""
 
-    __slots__ = ("begun_at", "choices", "deadline", "registrations", "request_id")
+    __slots__ = ("choices", "deadline", "registrations", "request_id", "started_at")
 
-    def __init__(self, request_id: str, begun_at: float, deadline: float) -> None:
+    def __init__(self, request_id: str, started_at: float, deadline: float) -> None:
         self.request_id = request_id
-        self.begun_at = begun_at
+        self.started_at = started_at
         self.deadline = deadline
         self.choices: tuple[Choice, ...] = ()
         self.registrations: dict[str, Registration] = {}
@@ -78,13 +78,13 @@
         age_seconds
             How long ago the attempt began; it shortens what is left of the time to live.
         """
-        begun_at = now - age_seconds
-        deadline = begun_at + self.ttl_seconds
+        started_at = now - age_seconds
+        deadline = started_at + self.ttl_seconds
         if deadline <= now:
             return
         attempt = self._attempts.get(attempt_id)
         if attempt is None:
-            attempt = _Attempt(request_id, begun_at, deadline)
+            attempt = _Attempt(request_id, started_at, deadline)
             self._attempts[attempt_id] = attempt
             heapq.heappush(self._expiry_queue, (deadline, attempt_id))
         if choices:
@@ -214,7 +214,7 @@
                 request_id=attempt.request_id,
                 attempt_id=attempt_id,
                 worker_id=worker_id,
-                age_seconds=now - attempt.begun_at,
+                age_seconds=now - attempt.started_at,
             )
             for attempt_id, attempt in self._attempts.items()
             for worker_id in attempt.registrations
--- a/src/orchidpath/circuit/roster.py
+++ b/src/orchidpath/circuit/registry.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Iterator
 
 from orchidpath.circuit.capacity import failure_domain_of, undeclared_domain
-from orchidpath.circuit.health import HealthWindow
 from orchidpath.circuit.worker_circuit import WorkerCircuit
+from orchidpath.circuit.worker_health import HealthWindow
 from orchidpath.wire.records import CircuitRecord, WorkerRecord, WorkerStatus
 
 
@@ -28,7 +28,7 @@
         self.eligible = True
 
 
-class CircuitRoster:
+class CircuitRegistry:
     """Workers by id; before the roster is known, any worker that is asked for.
 
     The agreed circuit is kept also for a worker that has gone: its generation is compared with
@@ -161,5 +161,5 @@
         if is_replaced:
             worker.health = HealthWindow(self._health_window_seconds)
         worker.domain = failure_domain_of(record)
-        worker.eligible = record.status is WorkerStatus.READY and not record.held
+        worker.eligible = record.status is WorkerStatus.READY and not record.cordoned
         return is_replaced
--- a/src/orchidpath/circuit/selection.py
+++ b/src/orchidpath/circuit/selection.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from orchidpath.circuit.worker_circuit import Admission
-from orchidpath.wire.messages import Denial
+from orchidpath.wire.messages import Rejection
 from orchidpath.wire.records import Stage
 
 DEFAULT_LOAD_BOUND_FACTOR = 1.25
@@ -53,7 +53,7 @@
         return self.admission is Admission.PROBE_OWNED and self.capacity_wait_seconds <= 0
 
 
-class LegCandidates(msgspec.Struct, frozen=True):
+class StageCircuits(msgspec.Struct, frozen=True):
     """The candidates of one leg in preference order, best first."""
 
     stage: Stage
@@ -71,7 +71,7 @@
     """A choice for every leg, or a denial and the time after which to ask again."""
 
     choices: tuple[LegChoice, ...] = ()
-    denial: Denial = Denial.NONE
+    rejection: Rejection = Rejection.NONE
     retry_after_seconds: float = 0.0
 
 
@@ -95,7 +95,7 @@
 
 
 def select(
-    legs: Sequence[LegCandidates],
+    per_stage: Sequence[StageCircuits],
     load_bound_factor: float,
     load_bound_minimum: float = MINIMUM_LOAD_ABOVE_AVERAGE,
 ) -> Selection:
@@ -116,19 +116,23 @@
         Choices for all legs, or a denial when any leg has none.
     """
     load_bound = LoadBound(load_bound_factor, load_bound_minimum)
-    may_probe = not any(candidate.owns_probe for leg in legs for candidate in leg.candidates)
+    may_probe = not any(
+        candidate.owns_probe
+        for stage_candidates in per_stage
+        for candidate in stage_candidates.candidates
+    )
     choices: list[LegChoice] = []
     blocked: list[Selection] = []
-    for leg in legs:
-        candidate = _choose(leg.candidates, load_bound, may_probe=may_probe)
+    for stage_candidates in per_stage:
+        candidate = _choose(stage_candidates.candidates, load_bound, may_probe=may_probe)
         if candidate is None:
-            blocked.append(_deny(leg.candidates))
+            blocked.append(_deny(stage_candidates.candidates))
             continue
         may_probe = may_probe and candidate.is_closed
-        choices.append(LegChoice(leg.stage, candidate))
+        choices.append(LegChoice(stage_candidates.stage, candidate))
     if blocked:
         # The request can go on only when every blocked leg can: the longest wait counts.
-        return max(blocked, key=lambda denial: denial.retry_after_seconds)
+        return max(blocked, key=lambda rejection: rejection.retry_after_seconds)
     return Selection(choices=tuple(choices))
 
 
@@ -181,7 +185,7 @@
 
 def _deny(candidates: Sequence[Candidate]) -> Selection:
     if not candidates:
-        return Selection(denial=Denial.EXHAUSTED)
+        return Selection(rejection=Rejection.EXHAUSTED)
     wait_seconds = min(
         max(candidate.circuit_wait_seconds, candidate.capacity_wait_seconds)
         for candidate in candidates
@@ -189,5 +193,5 @@
     blocked_by_capacity = any(
         candidate.admission is not Admission.BLOCKED for candidate in candidates
     )
-    denial = Denial.SHARED_CAPACITY if blocked_by_capacity else Denial.CIRCUITS_OPEN
-    return Selection(denial=denial, retry_after_seconds=wait_seconds)
+    rejection = Rejection.SHARED_CAPACITY if blocked_by_capacity else Rejection.CIRCUITS_OPEN
+    return Selection(rejection=rejection, retry_after_seconds=wait_seconds)
--- a/src/orchidpath/circuit/throttle.py
+++ b/src/orchidpath/circuit/throttle.py
@@ -31,8 +31,8 @@
 
 import msgspec
 
+from orchidpath.circuit.attempt_table import RequestWorker
 from orchidpath.circuit.capacity import failure_domain_of
-from orchidpath.circuit.ledger import RequestWorker
 from orchidpath.wire.configuration import CircuitPolicy
 from orchidpath.wire.messages import CapacityObserved
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
@@ -226,7 +226,7 @@
         for domain in [name for name in self._domains if name not in self._domain_sizes]:
             del self._domains[domain]
 
-    def note_open(self, failure_domain: str, remaining_seconds: float, now: float) -> None:
+    def record_open(self, failure_domain: str, remaining_seconds: float, now: float) -> None:
         """Learn that a domain's capacity circuit is open, so what it shows meanwhile is dropped.
 
         Parameters
--- a/src/orchidpath/circuit/worker_circuit.py
+++ b/src/orchidpath/circuit/worker_circuit.py
@@ -31,7 +31,7 @@
 class AttemptOutcome(msgspec.Struct, frozen=True, kw_only=True):
     """How an attempt ended, with what is known of its beginning.
 
-    ``begun_generation`` is the circuit's generation when the attempt was registered, None when
+    ``started_generation`` is the circuit's generation when the attempt was registered, None when
     that isn't known. ``charged_before`` says that the same request has already been charged with
     a transient failure on this worker.
     """
@@ -39,7 +39,7 @@
     attempt_id: str
     effect: AttemptEffect
     probe_generation: int | None = None
-    begun_generation: int | None = None
+    started_generation: int | None = None
     charged_before: bool = False
 
 
@@ -270,7 +270,7 @@
             return None
         # A failure of an attempt begun on an earlier generation is late: it belongs to a failure
         # that has already been dealt with.
-        if outcome.begun_generation not in {None, self.record.generation}:
+        if outcome.started_generation not in {None, self.record.generation}:
             return None
         if outcome.effect is AttemptEffect.CONFIGURATION:
             return BreakerEvent.MISCONFIGURED
--- a/src/orchidpath/cli/config.py
+++ b/src/orchidpath/cli/config.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from orchidpath.cli.configuration_file import load_configuration
-from orchidpath.cli.operator_client import control_option, echo_json, run_with_client
+from orchidpath.cli.operator_exchange import control_option, echo_json, run_with_client
 from orchidpath.common.daemon import ExitCode
-from orchidpath.control.operator_bodies import OperatorErrorBody, SubmitReplyBody
-from orchidpath.control.operator_client import (
+from orchidpath.control.api.operator_bodies import OperatorErrorBody, SubmitReplyBody
+from orchidpath.control.api.operator_client import (
     OperatorClient,
-    OrderNotTakenError,
     OrderOutcomeUnknownError,
     OrderRefusedError,
+    UpdateRejectedError,
 )
 
 
@@ -67,7 +67,7 @@
         )
     except OrderRefusedError as error:
         _fail_refused(ctx, error.body)
-    except OrderNotTakenError as error:
+    except UpdateRejectedError as error:
         click.echo(f"not taken, nothing changed: {error}", err=True)
         ctx.exit(ExitCode.FAILED)
     except OrderOutcomeUnknownError as error:
--- a/src/orchidpath/cli/standin.py
+++ b/src/orchidpath/cli/emulator.py
@@ -15,15 +15,15 @@
 import msgspec
 
 from orchidpath.cli.http_addresses import read_addresses
-from orchidpath.standins.backend_shell import BackendSettings, BackendShell
-from orchidpath.standins.caller import CallerSettings
-from orchidpath.standins.caller_report import CallerProgress, CallerSummary
-from orchidpath.standins.process import run_backend, run_callers
-from orchidpath.standins.return_policy import ReturnPolicy
-from orchidpath.standins.service import PlainService, ServiceTiming
-from orchidpath.standins.traffic_mix import TrafficMix, TrafficMixError, decode_traffic_mix
-from orchidpath.standins.worker import ModelWorker
-from orchidpath.standins.worker_model import WorkerTiming
+from orchidpath.emulators.backend.backend_shell import BackendSettings, BackendShell
+from orchidpath.emulators.client.caller import CallerSettings
+from orchidpath.emulators.client.caller_report import CallerProgress, CallerSummary
+from orchidpath.emulators.client.return_policy import ReturnPolicy
+from orchidpath.emulators.client.traffic_mix import TrafficMix, TrafficMixError, decode_traffic_mix
+from orchidpath.emulators.plain_service import PlainService, ServiceTiming
+from orchidpath.emulators.process import run_backend, run_callers
+from orchidpath.emulators.worker.engine_model import WorkerTiming
+from orchidpath.emulators.worker.model_worker import ModelWorker
 from orchidpath.wire.records import Stage, WorkerRecord
 
 T = TypeVar("T")
--- a/src/orchidpath/cli/http_addresses.py
+++ b/src/orchidpath/cli/http_addresses.py
@@ -4,7 +4,7 @@
 
 import click
 
-from orchidpath.standins.http_exchange import base_url
+from orchidpath.emulators.backend.http_exchange import base_url
 
 
 def read_addresses(
--- a/src/orchidpath/cli/main.py
+++ b/src/orchidpath/cli/main.py
@@ -21,7 +21,7 @@
     "report": "orchidpath.cli.report",
     "router": "orchidpath.cli.router",
     "simulate": "orchidpath.cli.simulate",
-    "standin": "orchidpath.cli.standin",
+    "standin": "orchidpath.cli.emulator",
     "status": "orchidpath.cli.status",
 }
 """Module of each command; the command has the same name inside it."""
--- a/src/orchidpath/cli/operator_client.py
+++ b/src/orchidpath/cli/operator_exchange.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from orchidpath.cli.http_addresses import read_addresses
-from orchidpath.control.operator_client import OperatorClient
+from orchidpath.control.api.operator_client import OperatorClient
 
 ResultT = TypeVar("ResultT")
 FunctionT = TypeVar("FunctionT", bound=Callable[..., Any])
--- a/src/orchidpath/cli/plan.py
+++ b/src/orchidpath/cli/plan.py
@@ -7,15 +7,15 @@
 import click
 import msgspec
 
-from orchidpath.cli.operator_client import control_option, echo_json, run_with_client
+from orchidpath.cli.operator_exchange import control_option, echo_json, run_with_client
 from orchidpath.common.daemon import ExitCode
-from orchidpath.control.operator_client import (
+from orchidpath.control.api.operator_client import (
     OperatorClient,
-    OrderNotTakenError,
     OrderOutcomeUnknownError,
     PlanRefusedError,
+    UpdateRejectedError,
 )
-from orchidpath.control.plan_bodies import PlanErrorBody, PlanOrderReplyBody
+from orchidpath.control.api.plan_bodies import PlanErrorBody, PlanOrderReplyBody
 from orchidpath.placement.planner import PlanPreview, ServicePreview
 from orchidpath.state.plans import PlanRecord
 from orchidpath.wire.messages import PlanAction
@@ -92,11 +92,11 @@
     repeat = _repeat_command(action, plan_id, order_id, control_addresses)
     try:
         reply = run_with_client(
-            control_addresses, lambda client: client.order_plan(action, plan_id, order_id)
+            control_addresses, lambda client: client.request_plan_action(action, plan_id, order_id)
         )
     except PlanRefusedError as error:
         _fail_refused(ctx, error.body, as_json)
-    except OrderNotTakenError as error:
+    except UpdateRejectedError as error:
         click.echo(f"not taken, nothing changed: {error}", err=True)
         ctx.exit(ExitCode.FAILED)
     except OrderOutcomeUnknownError as error:
@@ -167,8 +167,9 @@
         f"{service.moved_ring_share:.2%} of the prefill ring's keys move"
     )
     click.echo(
-        f"    {service.held_at_once} held back at once, each {service.held_seconds_at_most:.0f} s "
-        f"at most; {service.plan_seconds_at_most:.0f} s in all at most"
+        f"    {service.cordoned_at_once} cordoned at once, "
+        f"each {service.max_cordoned_seconds:.0f} s at most; "
+        f"{service.plan_seconds_at_most:.0f} s in all at most"
     )
 
 
--- a/src/orchidpath/cli/replay.py
+++ b/src/orchidpath/cli/replay.py
@@ -10,7 +10,7 @@
 from orchidpath.cli.configuration_file import load_configuration
 from orchidpath.common.daemon import ExitCode
 from orchidpath.routing.decision_log import MAX_LINE_BYTES
-from orchidpath.tools.replay import DifferenceKind, ReplayPolicy, ReplayResult, replay_log
+from orchidpath.tools.decision_replay import DifferenceKind, ReplayPolicy, ReplayResult, replay_log
 
 MAX_SHOWN = 200
 """Differences and damaged lines that are printed; JSON holds all of them."""
--- a/src/orchidpath/cli/simulate.py
+++ b/src/orchidpath/cli/simulate.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from orchidpath.consensus.types import Guard
-from orchidpath.control.confirmation import ConfirmationGuard
+from orchidpath.control.leadership.confirmation import ConfirmationGuard
 from orchidpath.routing.freshness import FreshnessGuard
-from orchidpath.routing.request_guards import Guard as RequestGuard
+from orchidpath.routing.request.guards import Guard as RequestGuard
 from orchidpath.simulation.fleet_simulation import DisabledGuards
-from orchidpath.simulation.path_guards import PathGuard
+from orchidpath.simulation.requests.path_guards import PathGuard
 from orchidpath.simulation.scenario import Scenario
 from orchidpath.simulation.scenarios import ScenarioResult, run_scenario
 
@@ -32,7 +32,7 @@
     scenario: Scenario
     seeds: int
     violations: tuple[ScenarioResult, ...]
-    confirmed_orders: int
+    confirmed_updates: int
     fresh_checks: int
     virtual_seconds: float
     requests: int = 0
@@ -111,7 +111,7 @@
         scenario=scenario,
         seeds=len(results),
         violations=tuple(result for result in results if result.violation),
-        confirmed_orders=sum(result.confirmed_orders for result in results),
+        confirmed_updates=sum(result.confirmed_updates for result in results),
         fresh_checks=sum(result.fresh_checks for result in results),
         virtual_seconds=sum(result.virtual_seconds for result in results),
         requests=sum(one.requests.submitted for one in results if one.requests),
@@ -144,6 +144,6 @@
         requests = f", {summary.requests_completed} of {summary.requests} requests completed"
     click.echo(
         f"{summary.scenario.value}: {summary.seeds} seeds, {len(summary.violations)} violated, "
-        f"{summary.confirmed_orders} orders confirmed, {summary.fresh_checks} router checks, "
+        f"{summary.confirmed_updates} orders confirmed, {summary.fresh_checks} router checks, "
         f"{summary.virtual_seconds:.0f} virtual seconds{requests}"
     )
--- a/src/orchidpath/cli/status.py
+++ b/src/orchidpath/cli/status.py
@@ -2,10 +2,10 @@
 
 import click
 
-from orchidpath.cli.operator_client import control_option, echo_json, run_with_client
+from orchidpath.cli.operator_exchange import control_option, echo_json, run_with_client
 from orchidpath.common.daemon import ExitCode
-from orchidpath.control.operator_bodies import StatusBody
-from orchidpath.control.operator_client import OperatorClient
+from orchidpath.control.api.operator_bodies import StatusBody
+from orchidpath.control.api.operator_client import OperatorClient
 
 
 @click.command()
--- a/src/orchidpath/common/daemon.py
+++ b/src/orchidpath/common/daemon.py
@@ -70,7 +70,7 @@
         return await asyncio.shield(self._failed)
 
 
-SETTINGS_LOOK_SECONDS = 1.0
+SETTINGS_POLL_SECONDS = 1.0
 """Time between two looks whether the settings have changed without a signal."""
 
 
@@ -224,7 +224,7 @@
             return
         known = self._settings_stamp()
         while True:
-            await asyncio.sleep(SETTINGS_LOOK_SECONDS)
+            await asyncio.sleep(SETTINGS_POLL_SECONDS)
             stamp = self._settings_stamp()
             if stamp != known:
                 known = stamp
--- a/src/orchidpath/common/settings.py
+++ b/src/orchidpath/common/settings.py
@@ -43,10 +43,11 @@
         File to which every decision and its outcome is appended as a JSON line, for
         ``orchidpath replay``; empty for none, since a router needs no disk. Its folder must exist.
         At 64 MiB it becomes ``FILE.1``; four such older files are kept. While the disk is slow or
-        full, lines are dropped and the log says how many; no request waits for it. Taken at start.
+        full, lines are dropped and the log says how many; no request waits for it. Accepted at
+        start.
     fault_file
-        For tests only: JSON file of injected link faults (:mod:`orchidpath.wire.faults`), read
-        again each 100 ms; empty for none.
+        For tests only: JSON file of injected link faults (:mod:`orchidpath.wire.link_faults`),
+        read again each 100 ms; empty for none.
     """
 
     node_id: str
@@ -102,8 +103,8 @@
     sync_delay_warning_seconds
         A disk sync slower than this is logged.
     fault_file
-        For tests only: JSON file of injected link faults (:mod:`orchidpath.wire.faults`), read
-        again each 100 ms; empty for none.
+        For tests only: JSON file of injected link faults (:mod:`orchidpath.wire.link_faults`),
+        read again each 100 ms; empty for none.
     """
 
     node_id: str
--- a/src/orchidpath/consensus/effects.py
+++ b/src/orchidpath/consensus/effects.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from orchidpath.consensus.messages import RaftMessage
+from orchidpath.consensus.raft_messages import RaftMessage
 from orchidpath.consensus.types import HardState, LogEntry, Role, Snapshot
 
 
--- a/src/orchidpath/consensus/election.py
+++ b/src/orchidpath/consensus/election.py
@@ -1,6 +1,6 @@
 """Pre-vote, votes, and the start of a leadership (Raft, sections 5.2, 5.4.1; thesis 9.6)."""
 
-from orchidpath.consensus.messages import RequestVote, RequestVoteReply
+from orchidpath.consensus.raft_messages import RequestVote, RequestVoteReply
 from orchidpath.consensus.replica import Progress, Replica
 from orchidpath.consensus.replication import advance_commit, broadcast_append
 from orchidpath.consensus.restart_votes import (
--- a/src/orchidpath/consensus/files.py
+++ b/src/orchidpath/consensus/files.py
@@ -82,9 +82,9 @@
         os.fdatasync(self._descriptor)
         # A removed file still takes writes and syncs. Its records would be gone at the next
         # start, so the name must still lead to this very file.
-        held = os.fstat(self._descriptor)
+        open_file = os.fstat(self._descriptor)
         named = os.stat(self._path)
-        if (held.st_dev, held.st_ino) != (named.st_dev, named.st_ino):
+        if (open_file.st_dev, open_file.st_ino) != (named.st_dev, named.st_ino):
             raise OSError(errno.ENOENT, "the file was replaced or removed", self._path)
 
     def close(self) -> None:
--- a/src/orchidpath/consensus/follower.py
+++ b/src/orchidpath/consensus/follower.py
@@ -2,7 +2,7 @@
 
 from orchidpath.consensus.effects import ApplySnapshot, PersistSnapshot
 from orchidpath.consensus.errors import ProtocolViolationError
-from orchidpath.consensus.messages import (
+from orchidpath.consensus.raft_messages import (
     AppendEntries,
     AppendEntriesReply,
     InstallSnapshot,
@@ -23,10 +23,10 @@
     if prev_index > replica.log.last_index:
         _refuse_append(replica, message, replica.log.last_index + 1, 0)
         return
-    held_term = replica.log.term_at(prev_index)
-    if prev_index == message.prev_index and held_term != message.prev_term:
+    current_term = replica.log.term_at(prev_index)
+    if prev_index == message.prev_index and current_term != message.prev_term:
         first = replica.log.first_index_of_term(prev_index)
-        _refuse_append(replica, message, first, held_term or 0)
+        _refuse_append(replica, message, first, current_term or 0)
         return
     _store(replica, entries)
     match_index = message.prev_index + len(message.entries)
@@ -65,11 +65,11 @@
     An append that arrives late or twice must not cut off entries that a newer one brought.
     """
     for position, entry in enumerate(entries):
-        held_term = replica.log.term_at(entry.index)
-        if held_term == entry.term:
+        current_term = replica.log.term_at(entry.index)
+        if current_term == entry.term:
             continue
         truncate_from = None
-        if held_term is not None:
+        if current_term is not None:
             if entry.index <= replica.commit_index:
                 raise ProtocolViolationError(f"leader contradicts committed entry {entry.index}")
             truncate_from = entry.index
--- a/src/orchidpath/consensus/core.py
+++ b/src/orchidpath/consensus/raft_core.py
@@ -18,7 +18,7 @@
 from orchidpath.consensus.follower import on_append, on_install_snapshot
 from orchidpath.consensus.log import encode_membership
 from orchidpath.consensus.membership import append_membership
-from orchidpath.consensus.messages import (
+from orchidpath.consensus.raft_messages import (
     AppendEntries,
     AppendEntriesReply,
     InstallSnapshot,
--- a/src/orchidpath/consensus/replica.py
+++ b/src/orchidpath/consensus/replica.py
@@ -16,7 +16,7 @@
     Send,
 )
 from orchidpath.consensus.log import ReplicaLog
-from orchidpath.consensus.messages import RaftMessage
+from orchidpath.consensus.raft_messages import RaftMessage
 from orchidpath.consensus.types import (
     Guard,
     HardState,
--- a/src/orchidpath/consensus/replication.py
+++ b/src/orchidpath/consensus/replication.py
@@ -7,7 +7,7 @@
 
 import math
 
-from orchidpath.consensus.messages import (
+from orchidpath.consensus.raft_messages import (
     AppendEntries,
     AppendEntriesReply,
     InstallSnapshot,
@@ -138,7 +138,7 @@
     if progress is None:
         return
     # A refusal counts for the lease too: the follower has accepted this leader and its term.
-    _note_contact(replica, progress, message.sent_at, now)
+    _record_contact(replica, progress, message.sent_at, now)
     if message.success:
         _on_append_success(replica, message, progress, now)
     else:
@@ -155,7 +155,7 @@
     return replica.progress.get(sender)
 
 
-def _note_contact(replica: Replica, progress: Progress, sent_at: float, now: float) -> None:
+def _record_contact(replica: Replica, progress: Progress, sent_at: float, now: float) -> None:
     if not replica.guarded(Guard.LEASE_FROM_SEND_TIME):
         sent_at = now
     progress.acked_sent_at = max(progress.acked_sent_at, sent_at)
@@ -205,7 +205,7 @@
     progress = _progress_for_reply(replica, message.sender, message.term)
     if progress is None:
         return
-    _note_contact(replica, progress, message.sent_at, now)
+    _record_contact(replica, progress, message.sent_at, now)
     snapshot = progress.snapshot
     if snapshot is None or snapshot.last_index != message.last_index:
         return
--- a/src/orchidpath/consensus/restart_votes.py
+++ b/src/orchidpath/consensus/restart_votes.py
@@ -10,7 +10,7 @@
 candidate lacks that entry, so a voter of that majority refuses it.
 """
 
-from orchidpath.consensus.messages import RequestVote
+from orchidpath.consensus.raft_messages import RequestVote
 from orchidpath.consensus.replica import Replica
 from orchidpath.consensus.types import EntryKind, Guard, Role
 
--- a/src/orchidpath/consensus/storage.py
+++ b/src/orchidpath/consensus/storage.py
@@ -20,7 +20,7 @@
 )
 from orchidpath.consensus.files import AppendFile, FileLayer
 from orchidpath.consensus.log import ReplicaLog
-from orchidpath.consensus.records import (
+from orchidpath.consensus.log_records import (
     FORMAT_VERSION,
     EntriesRecord,
     FoundRecord,
--- a/src/orchidpath/control/labelled_orders.py
+++ b/src/orchidpath/control/api/conditional_updates.py
@@ -15,15 +15,15 @@
 
 import msgspec
 
-from orchidpath.control.operator_api import UnavailableError
-from orchidpath.control.operator_bodies import SubmitResult, SubmitStatus
+from orchidpath.control.api.operator_api import UnavailableError
+from orchidpath.control.api.operator_bodies import SubmitResult, SubmitStatus
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
-from orchidpath.state.machine import FleetState
-from orchidpath.state.outcomes import OrderAccepted, OrderRecord
+from orchidpath.state.fleet_state import FleetState
+from orchidpath.state.outcomes import UpdateAccepted, UpdateRecord
 from orchidpath.wire.configuration import Configuration
 
 
-class LabelledOutcome(StrEnum):
+class ConditionalUpdateOutcome(StrEnum):
     """What became of an order."""
 
     TAKEN = "taken"
@@ -36,7 +36,7 @@
     """It may or may not take effect: the same order is to be sent again."""
 
 
-class LabelledOrder(msgspec.Struct, frozen=True, kw_only=True):
+class ConditionalReplacement(msgspec.Struct, frozen=True, kw_only=True):
     """A valid configuration that replaces the one labelled ``base_label``.
 
     ``order_id`` is the same exactly for the same content.
@@ -55,7 +55,7 @@
     document: bytes
 
 
-class LabelledChange(msgspec.Struct, frozen=True, kw_only=True):
+class ConditionalChange(msgspec.Struct, frozen=True, kw_only=True):
     """A change of the configuration labelled ``base_label``.
 
     ``order_id`` is the same exactly for the same content. ``resolve`` returns what the change makes
@@ -79,8 +79,8 @@
 
 
 async def submit_labelled(
-    access: SubmitAccess, order: LabelledOrder | LabelledChange
-) -> LabelledOutcome:
+    access: SubmitAccess, order: ConditionalReplacement | ConditionalChange
+) -> ConditionalUpdateOutcome:
     """Submit an order and say what became of it.
 
     Parameters
@@ -93,15 +93,15 @@
     try:
         state = await access.read_state()
     except UnavailableError:
-        return LabelledOutcome.UNKNOWN
-    taken = state.find_order(order.order_id)
-    if taken is not None and isinstance(taken.outcome, OrderAccepted):
+        return ConditionalUpdateOutcome.UNKNOWN
+    taken = state.find_update(order.order_id)
+    if taken is not None and isinstance(taken.outcome, UpdateAccepted):
         return await _submit(access, order, _repetition(state, taken, taken.outcome))
     if order.base_label != state.configuration.label:
-        return LabelledOutcome.CONFLICT
+        return ConditionalUpdateOutcome.CONFLICT
     resolved = _resolve(state, order)
     if resolved.configuration.label <= state.configuration.label:
-        return LabelledOutcome.INVALID
+        return ConditionalUpdateOutcome.INVALID
     base_version = state.configuration_version
     command = SubmitConfiguration(
         order_id=order.order_id,
@@ -113,14 +113,16 @@
     return await _submit(access, order, command)
 
 
-def _resolve(state: FleetState, order: LabelledOrder | LabelledChange) -> ResolvedConfiguration:
-    if isinstance(order, LabelledChange):
+def _resolve(
+    state: FleetState, order: ConditionalReplacement | ConditionalChange
+) -> ResolvedConfiguration:
+    if isinstance(order, ConditionalChange):
         return order.resolve(state.document)
     return ResolvedConfiguration(configuration=order.configuration, document=order.document)
 
 
 def _repetition(
-    state: FleetState, taken: OrderRecord, outcome: OrderAccepted
+    state: FleetState, taken: UpdateRecord, outcome: UpdateAccepted
 ) -> SubmitConfiguration:
     """Return an order that was taken once more: it changes nothing and is confirmed again.
 
@@ -137,27 +139,29 @@
 
 
 async def _submit(
-    access: SubmitAccess, order: LabelledOrder | LabelledChange, command: SubmitConfiguration
-) -> LabelledOutcome:
+    access: SubmitAccess,
+    order: ConditionalReplacement | ConditionalChange,
+    command: SubmitConfiguration,
+) -> ConditionalUpdateOutcome:
     result = await access.submit(command)
     match result.status:
         case SubmitStatus.CONFIRMED:
-            return LabelledOutcome.TAKEN
+            return ConditionalUpdateOutcome.TAKEN
         case SubmitStatus.CONFLICT | SubmitStatus.ORDER_ID_REUSED:
             return await _outcome_of_conflict(access, order)
         case _:
-            return LabelledOutcome.UNKNOWN
+            return ConditionalUpdateOutcome.UNKNOWN
 
 
 async def _outcome_of_conflict(
-    access: SubmitAccess, order: LabelledOrder | LabelledChange
-) -> LabelledOutcome:
+    access: SubmitAccess, order: ConditionalReplacement | ConditionalChange
+) -> ConditionalUpdateOutcome:
     """Tell another order's victory from an earlier copy of this one that was taken meanwhile."""
     try:
         state = await access.read_state()
     except UnavailableError:
-        return LabelledOutcome.UNKNOWN
-    taken = state.find_order(order.order_id)
-    if taken is not None and isinstance(taken.outcome, OrderAccepted):
-        return LabelledOutcome.UNKNOWN
-    return LabelledOutcome.CONFLICT
+        return ConditionalUpdateOutcome.UNKNOWN
+    taken = state.find_update(order.order_id)
+    if taken is not None and isinstance(taken.outcome, UpdateAccepted):
+        return ConditionalUpdateOutcome.UNKNOWN
+    return ConditionalUpdateOutcome.CONFLICT
--- a/src/orchidpath/control/access.py
+++ b/src/orchidpath/control/api/local_access.py
@@ -10,31 +10,36 @@
 
 import msgspec
 
-from orchidpath.circuit.table import WorkerCircuitView
+from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.common.clock import Clock
-from orchidpath.control.core import ControlCore
-from orchidpath.control.effects import OrderAnswered, PlanAnswered, ReadFailed, ReadReady
-from orchidpath.control.operator_api import ControlAccess, UnavailableError
-from orchidpath.control.operator_bodies import StatusBody, SubmitResult, SubmitStatus, Taken
-from orchidpath.control.orders import CONFIRM_WAIT_SECONDS
-from orchidpath.control.plan_api import PlanAccess
-from orchidpath.control.plan_bodies import PlanOrderResult
-from orchidpath.control.runner import CoreRunner
+from orchidpath.control.api.operator_api import ControlAccess, UnavailableError
+from orchidpath.control.api.operator_bodies import Accepted, StatusBody, SubmitResult, SubmitStatus
+from orchidpath.control.api.plan_api import PlanAccess
+from orchidpath.control.api.plan_bodies import PlanActionResult
+from orchidpath.control.replica.control_effects import (
+    PlanActionAnswered,
+    ReadFailed,
+    ReadReady,
+    UpdateAnswered,
+)
+from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.pending_updates import CONFIRM_WAIT_SECONDS
+from orchidpath.control.replica.replica_loop import CoreRunner
 from orchidpath.state.commands import SubmitConfiguration
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.backend import Announcement, AnnouncementReply
 from orchidpath.wire.messages import (
+    ConfigurationUpdateReply,
+    ConfigurationUpdateRequest,
     ForwardedAnnouncements,
     Message,
-    OrderAnswer,
-    OrderReply,
-    OrderRequest,
     PlanAction,
-    PlanOrderAnswer,
-    PlanOrderReply,
-    PlanOrderRequest,
+    PlanActionReply,
+    PlanActionRequest,
+    PlanActionStatus,
     ReadIndexReply,
     ReadIndexRequest,
+    UpdateStatus,
     WorkerCircuitsReply,
     WorkerCircuitsRequest,
 )
@@ -53,12 +58,12 @@
 """Bound on a linearizable read."""
 
 _STATUS_BY_ANSWER = {
-    OrderAnswer.CONFIRMED: SubmitStatus.CONFIRMED,
-    OrderAnswer.TAKEN_NOT_CONFIRMED: SubmitStatus.TAKEN_NOT_CONFIRMED,
-    OrderAnswer.CONFLICT: SubmitStatus.CONFLICT,
-    OrderAnswer.ORDER_ID_REUSED: SubmitStatus.ORDER_ID_REUSED,
-    OrderAnswer.NOT_TAKEN: SubmitStatus.UNAVAILABLE,
-    OrderAnswer.UNKNOWN: SubmitStatus.UNAVAILABLE,
+    UpdateStatus.CONFIRMED: SubmitStatus.CONFIRMED,
+    UpdateStatus.ACCEPTED_NOT_CONFIRMED: SubmitStatus.ACCEPTED_NOT_CONFIRMED,
+    UpdateStatus.CONFLICT: SubmitStatus.CONFLICT,
+    UpdateStatus.ORDER_ID_REUSED: SubmitStatus.ORDER_ID_REUSED,
+    UpdateStatus.REJECTED: SubmitStatus.UNAVAILABLE,
+    UpdateStatus.UNKNOWN: SubmitStatus.UNAVAILABLE,
 }
 
 Answer = TypeVar("Answer")
@@ -97,29 +102,33 @@
         if self._core.is_leader:
             self._runner.post(lambda now: self._core.submit(key, order, now))
         elif not self._send_to_leader(_order_request(key, order)):
-            return SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Taken.NO)
+            return SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.NO)
         try:
-            answer = await self._wait(key, OrderAnswered, ORDER_TIMEOUT_SECONDS)
+            answer = await self._wait(key, UpdateAnswered, ORDER_TIMEOUT_SECONDS)
         except TimeoutError:
-            return SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Taken.UNKNOWN)
+            return SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.UNKNOWN)
         return _submit_result(answer)
 
-    async def order_plan(self, order_id: str, action: PlanAction, plan_id: str) -> PlanOrderResult:
+    async def request_plan_action(
+        self, order_id: str, action: PlanAction, plan_id: str
+    ) -> PlanActionResult:
         """Take an order about a plan here, or forward it to the leader, and wait for it."""
         key = self._new_key()
-        order = PlanOrderRequest(correlation=key, order_id=order_id, action=action, plan_id=plan_id)
+        order = PlanActionRequest(
+            correlation=key, order_id=order_id, action=action, plan_id=plan_id
+        )
         if self._core.is_leader:
-            self._runner.post(lambda now: self._core.order_plan(key, order, now))
+            self._runner.post(lambda now: self._core.request_plan_action(key, order, now))
         elif not self._send_to_leader(order):
             self._waiting.pop(key)
             reason = "no leader is known"
-            return PlanOrderResult(answer=PlanOrderAnswer.NOT_TAKEN, reason=reason)
+            return PlanActionResult(answer=PlanActionStatus.REJECTED, reason=reason)
         try:
-            answer = await self._wait(key, PlanAnswered, ORDER_TIMEOUT_SECONDS)
+            answer = await self._wait(key, PlanActionAnswered, ORDER_TIMEOUT_SECONDS)
         except TimeoutError:
             reason = "no outcome in time"
-            return PlanOrderResult(answer=PlanOrderAnswer.UNKNOWN, reason=reason)
-        return PlanOrderResult(answer=answer.answer, reason=answer.reason)
+            return PlanActionResult(answer=PlanActionStatus.UNKNOWN, reason=reason)
+        return PlanActionResult(answer=answer.answer, reason=answer.reason)
 
     async def read_state(self) -> FleetState:
         """Return this process's state once it holds everything confirmed before the call."""
@@ -214,13 +223,13 @@
     def take_message(self, message: Message) -> bool:
         """Take a leader's reply; False if the message is none."""
         match message:
-            case OrderReply():
-                answer = OrderAnswered(
+            case ConfigurationUpdateReply():
+                answer = UpdateAnswered(
                     message.correlation, message.answer, message.version, message.reason
                 )
                 self.answered(message.correlation, answer)
-            case PlanOrderReply():
-                outcome = PlanAnswered(message.correlation, message.answer, message.reason)
+            case PlanActionReply():
+                outcome = PlanActionAnswered(message.correlation, message.answer, message.reason)
                 self.answered(message.correlation, outcome)
             case ReadIndexReply() | WorkerCircuitsReply():
                 self.answered(message.correlation, message)
@@ -265,8 +274,8 @@
         return answer
 
 
-def _order_request(key: int, order: SubmitConfiguration) -> OrderRequest:
-    return OrderRequest(
+def _order_request(key: int, order: SubmitConfiguration) -> ConfigurationUpdateRequest:
+    return ConfigurationUpdateRequest(
         correlation=key,
         order_id=order.order_id,
         base_version=order.base_version,
@@ -276,9 +285,9 @@
     )
 
 
-def _submit_result(answer: OrderAnswered) -> SubmitResult:
+def _submit_result(answer: UpdateAnswered) -> SubmitResult:
     status = _STATUS_BY_ANSWER[answer.answer]
-    taken = Taken.NO if answer.answer is OrderAnswer.NOT_TAKEN else Taken.UNKNOWN
+    taken = Accepted.NO if answer.answer is UpdateStatus.REJECTED else Accepted.UNKNOWN
     refused = status in {SubmitStatus.CONFLICT, SubmitStatus.ORDER_ID_REUSED}
     return SubmitResult(
         status=status,
--- a/src/orchidpath/control/operator_api.py
+++ b/src/orchidpath/control/api/operator_api.py
@@ -14,7 +14,7 @@
 
 Reads of the fleet are linearizable: they see every order confirmed before they began, at any
 control process. Every error has the shape of
-:class:`~orchidpath.control.operator_bodies.OperatorErrorBody`.
+:class:`~orchidpath.control.api.operator_bodies.OperatorErrorBody`.
 """
 
 import abc
@@ -27,9 +27,10 @@
 import structlog
 from aiohttp import web
 
-from orchidpath.circuit.table import WorkerCircuitView
+from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.control.operator_bodies import (
+from orchidpath.control.api.operator_bodies import (
+    Accepted,
     ConfigurationBody,
     HealthBody,
     HistoryBody,
@@ -44,7 +45,6 @@
     SubmitReplyBody,
     SubmitResult,
     SubmitStatus,
-    Taken,
     WorkersBody,
     decode_announcement,
     decode_submit,
@@ -52,7 +52,7 @@
     worker_body,
 )
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.validation import InvalidConfigurationError, parse_configuration
 from orchidpath.wire.backend import Announcement, AnnouncementReply
 
@@ -201,7 +201,7 @@
         except Exception as error:
             # The order may already be in the log, so nothing may be promised about it.
             _log.exception("submit_failed", order_id=body.order_id, error=str(error))
-            result = SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Taken.UNKNOWN)
+            result = SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.UNKNOWN)
         return _submit_response(body.order_id, result)
 
     async def get_history(self, request: web.Request) -> web.Response:
@@ -217,10 +217,10 @@
         """
         order_id = request.match_info["order_id"]
         state = await self._access.read_state()
-        record = state.find_order(order_id)
+        record = state.find_update(order_id)
         if record is None:
             message = "no order of this id is remembered"
-            return _error(404, OperatorErrorCode.UNKNOWN_ORDER, message, order_id=order_id)
+            return _error(404, OperatorErrorCode.UNKNOWN_COMMAND, message, order_id=order_id)
         return _json(order_body(record))
 
     async def get_status(self, request: web.Request) -> web.Response:
@@ -325,7 +325,7 @@
 def _submit_response(order_id: str, result: SubmitResult) -> web.Response:
     """Return the answer to an order."""
     match result.status:
-        case SubmitStatus.CONFIRMED | SubmitStatus.TAKEN_NOT_CONFIRMED:
+        case SubmitStatus.CONFIRMED | SubmitStatus.ACCEPTED_NOT_CONFIRMED:
             confirmed = result.status is SubmitStatus.CONFIRMED
             body = SubmitReplyBody(order_id=order_id, version=result.version, confirmed=confirmed)
             return _json(body, status=200 if confirmed else 202)
@@ -373,7 +373,7 @@
     code: OperatorErrorCode,
     message: str,
     *,
-    taken: Taken | msgspec.UnsetType = msgspec.UNSET,
+    taken: Accepted | msgspec.UnsetType = msgspec.UNSET,
     order_id: str | msgspec.UnsetType = msgspec.UNSET,
     current_version: int | msgspec.UnsetType = msgspec.UNSET,
     retry_after_seconds: float | None = None,
--- a/src/orchidpath/control/operator_bodies.py
+++ b/src/orchidpath/control/api/operator_bodies.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from orchidpath.circuit.table import WorkerCircuitView
+from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.consensus.types import Role
-from orchidpath.state.outcomes import OrderAccepted, OrderRecord
+from orchidpath.state.outcomes import UpdateAccepted, UpdateRecord
 from orchidpath.state.problems import Problem
 from orchidpath.state.snapshot import ConfigurationEntry
 from orchidpath.wire import announcements
@@ -31,7 +31,7 @@
     """A request's body has not the documented form."""
 
 
-class Taken(StrEnum):
+class Accepted(StrEnum):
     """Whether an order that got no outcome was taken."""
 
     NO = "no"
@@ -42,8 +42,8 @@
     """How the submission of an order ended."""
 
     CONFIRMED = "confirmed"
-    """Taken and certain to outlast the failures that the fleet is built for."""
-    TAKEN_NOT_CONFIRMED = "taken_not_confirmed"
+    """Accepted and certain to outlast the failures that the fleet is built for."""
+    ACCEPTED_NOT_CONFIRMED = "taken_not_confirmed"
     """Committed, but the wait for the confirmation ran out; send the same order again to ask."""
     CONFLICT = "conflict"
     """Not built on the current version; nothing changed."""
@@ -63,7 +63,7 @@
     status: SubmitStatus
     version: int = 0
     current_version: int = 0
-    taken: Taken = Taken.UNKNOWN
+    taken: Accepted = Accepted.UNKNOWN
     retry_after_seconds: float = 1.0
 
 
@@ -76,7 +76,7 @@
     ORDER_ID_REUSED = "order_id_reused"
     NO_LEADER = "no_leader"
     NOT_READY = "not_ready"
-    UNKNOWN_ORDER = "unknown_order"
+    UNKNOWN_COMMAND = "unknown_order"
     PLAN_STALE = "plan_stale"
     PLAN_REFUSED = "plan_refused"
     NOT_FOUND = "not_found"
@@ -92,7 +92,7 @@
 
     code: OperatorErrorCode
     message: str
-    taken: Taken | msgspec.UnsetType = msgspec.UNSET
+    taken: Accepted | msgspec.UnsetType = msgspec.UNSET
 
 
 class OperatorErrorBody(msgspec.Struct, frozen=True, kw_only=True):
@@ -140,7 +140,7 @@
     CONFLICT = "conflict"
 
 
-class OrderBody(msgspec.Struct, frozen=True, kw_only=True):
+class UpdateBody(msgspec.Struct, frozen=True, kw_only=True):
     """The first outcome of an order: the version it became, or the one it met."""
 
     order_id: str
@@ -252,15 +252,15 @@
         raise MalformedRequestError(f"{name} must be {announcements.IDENTIFIER_FORM}")
 
 
-def order_body(record: OrderRecord) -> OrderBody:
+def order_body(record: UpdateRecord) -> UpdateBody:
     """Return the first outcome of an order as it is shown."""
-    if isinstance(record.outcome, OrderAccepted):
-        return OrderBody(
+    if isinstance(record.outcome, UpdateAccepted):
+        return UpdateBody(
             order_id=record.order_id,
             outcome=OrderOutcomeName.ACCEPTED,
             version=record.outcome.version,
         )
-    return OrderBody(
+    return UpdateBody(
         order_id=record.order_id,
         outcome=OrderOutcomeName.CONFLICT,
         current_version=record.outcome.current_version,
--- a/src/orchidpath/control/operator_client.py
+++ b/src/orchidpath/control/api/operator_client.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.control.operator_bodies import (
+from orchidpath.control.api.operator_bodies import (
+    Accepted,
     ConfigurationBody,
     HistoryBody,
     MembersBody,
@@ -17,13 +18,12 @@
     RoutersBody,
     StatusBody,
     SubmitReplyBody,
-    Taken,
     WorkersBody,
 )
-from orchidpath.control.plan_bodies import (
+from orchidpath.control.api.plan_bodies import (
+    PlanActionBody,
     PlanBody,
     PlanErrorBody,
-    PlanOrderBody,
     PlanOrderReplyBody,
 )
 from orchidpath.wire.messages import PlanAction
@@ -61,7 +61,7 @@
         self.body = body
 
 
-class OrderNotTakenError(OrchidpathError):
+class UpdateRejectedError(OrchidpathError):
     """An order reached no control process that could take it; nothing changed."""
 
 
@@ -152,7 +152,7 @@
         ------
         OrderRefusedError
             The order is not valid or not built on the newest version; nothing changed.
-        OrderNotTakenError
+        UpdateRejectedError
             No process could take it; nothing changed.
         OrderOutcomeUnknownError
             At least one process may have taken it.
@@ -177,17 +177,17 @@
                 continue
             if answer.status < 500:
                 raise OrderRefusedError(refusal)
-            may_be_taken = may_be_taken or refusal.error.taken is not Taken.NO
+            may_be_taken = may_be_taken or refusal.error.taken is not Accepted.NO
             failures.append(f"{address}: {answer.status} {refusal.error.message}")
         if may_be_taken:
             raise OrderOutcomeUnknownError("; ".join(failures))
-        raise OrderNotTakenError("; ".join(failures))
+        raise UpdateRejectedError("; ".join(failures))
 
     async def plan(self) -> PlanBody:
         """Return what would move now, and the newest plan that was started."""
         return await self._get("/v1/plan", PlanBody)
 
-    async def order_plan(
+    async def request_plan_action(
         self, action: PlanAction, plan_id: str, order_id: str
     ) -> PlanOrderReplyBody:
         """Confirm, halt, resume or cancel a plan; the order id makes it safe to repeat.
@@ -196,12 +196,12 @@
         ------
         PlanRefusedError
             The order was refused; nothing changed.
-        OrderNotTakenError
+        UpdateRejectedError
             No process could take it; nothing changed.
         OrderOutcomeUnknownError
             At least one process may have taken it.
         """
-        content = msgspec.json.encode(PlanOrderBody(plan_id=plan_id, order_id=order_id))
+        content = msgspec.json.encode(PlanActionBody(plan_id=plan_id, order_id=order_id))
         may_be_taken = False
         failures: list[str] = []
         for address in self._addresses:
@@ -216,11 +216,11 @@
                 continue
             if answer.status < 500:
                 raise PlanRefusedError(refusal)
-            may_be_taken = may_be_taken or refusal.error.taken is not Taken.NO
+            may_be_taken = may_be_taken or refusal.error.taken is not Accepted.NO
             failures.append(f"{address}: {answer.status} {refusal.error.message}")
         if may_be_taken:
             raise OrderOutcomeUnknownError("; ".join(failures))
-        raise OrderNotTakenError("; ".join(failures))
+        raise UpdateRejectedError("; ".join(failures))
 
     async def _status_of(self, address: str) -> StatusBody | None:
         try:
--- a/src/orchidpath/control/plan_api.py
+++ b/src/orchidpath/control/api/plan_api.py
@@ -13,19 +13,19 @@
 import structlog
 from aiohttp import web
 
-from orchidpath.control.operator_api import BODY_TIMEOUT_SECONDS, UnavailableError
-from orchidpath.control.operator_bodies import OperatorError, OperatorErrorCode, Taken
-from orchidpath.control.plan_bodies import (
+from orchidpath.control.api.operator_api import BODY_TIMEOUT_SECONDS, UnavailableError
+from orchidpath.control.api.operator_bodies import Accepted, OperatorError, OperatorErrorCode
+from orchidpath.control.api.plan_bodies import (
+    PlanActionBody,
+    PlanActionResult,
     PlanBody,
     PlanErrorBody,
-    PlanOrderBody,
     PlanOrderReplyBody,
-    PlanOrderResult,
-    decode_plan_order,
+    decode_plan_action,
 )
 from orchidpath.placement.planner import PlanPreview, make_preview
-from orchidpath.state.machine import FleetState
-from orchidpath.wire.messages import PlanAction, PlanOrderAnswer
+from orchidpath.state.fleet_state import FleetState
+from orchidpath.wire.messages import PlanAction, PlanActionStatus
 
 RETRY_AFTER_SECONDS = 1
 """When to come back after no leader answered."""
@@ -37,10 +37,12 @@
     """What the API for plans needs of its control process."""
 
     @abc.abstractmethod
-    async def order_plan(self, order_id: str, action: PlanAction, plan_id: str) -> PlanOrderResult:
+    async def request_plan_action(
+        self, order_id: str, action: PlanAction, plan_id: str
+    ) -> PlanActionResult:
         """Take an order about a plan and wait, for a bounded time, for its outcome.
 
-        NOT_TAKEN only if the order can never take effect any more.
+        REJECTED only if the order can never take effect any more.
         """
 
     @abc.abstractmethod
@@ -100,37 +102,37 @@
         - 422 ``plan_refused`` with the reason.
         - 503 ``no_leader``; ``taken`` is ``no`` or ``unknown``.
         """
-        body = decode_plan_order(await _read_body(request))
+        body = decode_plan_action(await _read_body(request))
         try:
-            result = await self._access.order_plan(body.order_id, action, body.plan_id)
+            result = await self._access.request_plan_action(body.order_id, action, body.plan_id)
         except Exception as error:
             # The order may already be in the log, so nothing may be promised about it.
             _log.exception("plan_order_failed", order_id=body.order_id, error=str(error))
             reason = "the order failed inside the server"
-            result = PlanOrderResult(answer=PlanOrderAnswer.UNKNOWN, reason=reason)
+            result = PlanActionResult(answer=PlanActionStatus.UNKNOWN, reason=reason)
         return await self._response(body, action, result)
 
     async def _response(
-        self, body: PlanOrderBody, action: PlanAction, result: PlanOrderResult
+        self, body: PlanActionBody, action: PlanAction, result: PlanActionResult
     ) -> web.Response:
         match result.answer:
-            case PlanOrderAnswer.ACCEPTED:
+            case PlanActionStatus.ACCEPTED:
                 reply = PlanOrderReplyBody(
                     plan_id=body.plan_id, order_id=body.order_id, action=action
                 )
                 return _json(reply)
-            case PlanOrderAnswer.STALE:
+            case PlanActionStatus.STALE:
                 message = "this is not what would be done now; nothing changed"
                 preview = await self._preview()
                 return _error(409, OperatorErrorCode.PLAN_STALE, message, body, preview=preview)
-            case PlanOrderAnswer.ORDER_ID_REUSED:
+            case PlanActionStatus.ORDER_ID_REUSED:
                 message = "the order id was taken by another order; nothing changed"
                 return _error(409, OperatorErrorCode.ORDER_ID_REUSED, message, body)
-            case PlanOrderAnswer.REFUSED:
+            case PlanActionStatus.REFUSED:
                 return _error(422, OperatorErrorCode.PLAN_REFUSED, result.reason, body)
-            case PlanOrderAnswer.NOT_TAKEN | PlanOrderAnswer.UNKNOWN:
-                lost = result.answer is PlanOrderAnswer.UNKNOWN
-                taken = Taken.UNKNOWN if lost else Taken.NO
+            case PlanActionStatus.REJECTED | PlanActionStatus.UNKNOWN:
+                lost = result.answer is PlanActionStatus.UNKNOWN
+                taken = Accepted.UNKNOWN if lost else Accepted.NO
                 code = OperatorErrorCode.NO_LEADER
                 response = _error(503, code, result.reason, body, taken=taken)
                 response.headers["Retry-After"] = str(RETRY_AFTER_SECONDS)
@@ -163,9 +165,9 @@
     status: int,
     code: OperatorErrorCode,
     message: str,
-    order: PlanOrderBody,
+    order: PlanActionBody,
     *,
-    taken: Taken | msgspec.UnsetType = msgspec.UNSET,
+    taken: Accepted | msgspec.UnsetType = msgspec.UNSET,
     preview: PlanPreview | msgspec.UnsetType = msgspec.UNSET,
 ) -> web.Response:
     body = PlanErrorBody(
--- a/src/orchidpath/control/plan_bodies.py
+++ b/src/orchidpath/control/api/plan_bodies.py
@@ -2,14 +2,14 @@
 
 import msgspec
 
-from orchidpath.control.operator_bodies import (
+from orchidpath.control.api.operator_bodies import (
     MalformedRequestError,
     OperatorError,
 )
 from orchidpath.placement.planner import PlanPreview
 from orchidpath.state.plans import PlanRecord
 from orchidpath.wire.announcements import IDENTIFIER_FORM, is_identifier
-from orchidpath.wire.messages import PlanAction, PlanOrderAnswer
+from orchidpath.wire.messages import PlanAction, PlanActionStatus
 
 
 class PlanBody(msgspec.Struct, frozen=True, kw_only=True):
@@ -19,7 +19,7 @@
     newest: PlanRecord | None = None
 
 
-class PlanOrderBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class PlanActionBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Body of ``POST /v1/plan/{action}``."""
 
     plan_id: str
@@ -34,10 +34,10 @@
     action: PlanAction
 
 
-class PlanOrderResult(msgspec.Struct, frozen=True, kw_only=True):
+class PlanActionResult(msgspec.Struct, frozen=True, kw_only=True):
     """What became of an order about a plan, and why."""
 
-    answer: PlanOrderAnswer
+    answer: PlanActionStatus
     reason: str = ""
 
 
@@ -49,10 +49,10 @@
     preview: PlanPreview | msgspec.UnsetType = msgspec.UNSET
 
 
-_order_decoder = msgspec.json.Decoder(PlanOrderBody)
+_order_decoder = msgspec.json.Decoder(PlanActionBody)
 
 
-def decode_plan_order(raw: bytes) -> PlanOrderBody:
+def decode_plan_action(raw: bytes) -> PlanActionBody:
     """Return the body of an order about a plan.
 
     Raises
--- a/src/orchidpath/control/confirmation.py
+++ b/src/orchidpath/control/leadership/confirmation.py
@@ -11,7 +11,7 @@
 
 from orchidpath.wire.messages import LEASE_DRIFT_SECONDS, ROUTER_LEASE_SECONDS
 
-LAPSE_SECONDS = ROUTER_LEASE_SECONDS + LEASE_DRIFT_SECONDS
+LEASE_EXPIRY_SECONDS = ROUTER_LEASE_SECONDS + LEASE_DRIFT_SECONDS
 """After this long no lease that was given on an older revision can hold any more."""
 
 
@@ -19,10 +19,10 @@
     """Guards that a test may turn off to see the checker catch what they hold."""
 
     WITNESS_MAJORITY = "confirm_witness_majority"
-    WAIT_FOR_LAPSE = "confirm_wait_for_lapse"
+    WAIT_FOR_LEASE_EXPIRY = "confirm_wait_for_lapse"
 
 
-class Roster(msgspec.Struct, frozen=True):
+class RouterMembership(msgspec.Struct, frozen=True):
     """Registered routers and the witnesses among them, in force from ``revision`` on."""
 
     revision: int
@@ -59,17 +59,17 @@
     def __init__(
         self,
         confirmed_revision: int,
-        rosters: list[Roster],
+        router_memberships: list[RouterMembership],
         now: float,
         disabled_guards: frozenset[ConfirmationGuard] = frozenset(),
     ) -> None:
         self.confirmed_revision = confirmed_revision
-        self._rosters = list(rosters)
+        self._router_memberships = list(router_memberships)
         self._adopted: dict[str, int] = {}
         self._pending: list[int] = []
         self._majorities: list[_Majority] = []
         # Routers removed under an earlier leader may still hold a lease that it gave them.
-        self._inherited_until = now + LAPSE_SECONDS
+        self._inherited_until = now + LEASE_EXPIRY_SECONDS
         self._disabled = disabled_guards
         self._awaited: set[str] = set()
         self._lagging: set[str] = set()
@@ -80,12 +80,12 @@
         """Whether some awaited router has not reported the newest committed revision."""
         return bool(self._lagging)
 
-    def revision_committed(self, revision: int, roster: Roster) -> None:
-        """Start to follow a revision; ``roster`` is the one in force after it."""
-        newest = self._rosters[-1] if self._rosters else None
-        if newest is None or not _is_same(newest, roster):
-            self._rosters.append(roster)
-            self._awaited |= roster.routers
+    def revision_committed(self, revision: int, router_membership: RouterMembership) -> None:
+        """Start to follow a revision; ``router_membership`` is the one in force after it."""
+        newest = self._router_memberships[-1] if self._router_memberships else None
+        if newest is None or not _is_same(newest, router_membership):
+            self._router_memberships.append(router_membership)
+            self._awaited |= router_membership.routers
         self._pending.append(revision)
         self._lagging = {one for one in self._awaited if self._adopted.get(one, 0) < revision}
 
@@ -107,7 +107,7 @@
         """Return the newest confirmed revision as of ``now``."""
         if not self._pending:
             return self.confirmed_revision
-        self._note_majority(now)
+        self._record_majority(now)
         confirmed = self._newest_confirmed(now)
         if confirmed > self.confirmed_revision:
             self._confirm(confirmed)
@@ -117,15 +117,15 @@
         newest = self._majorities[-1] if self._majorities else None
         if newest is None:
             return self.confirmed_revision
-        if ConfirmationGuard.WAIT_FOR_LAPSE in self._disabled:
+        if ConfirmationGuard.WAIT_FOR_LEASE_EXPIRY in self._disabled:
             return newest.revision
         all_adopted = newest.revision == self._pending[-1] and not self._lagging
         if all_adopted and now >= self._inherited_until:
             return newest.revision
-        lapsed = [one.revision for one in self._majorities if now >= one.at + LAPSE_SECONDS]
-        return max(lapsed, default=self.confirmed_revision)
+        expired = [one.revision for one in self._majorities if now >= one.at + LEASE_EXPIRY_SECONDS]
+        return max(expired, default=self.confirmed_revision)
 
-    def _note_majority(self, now: float) -> None:
+    def _record_majority(self, now: float) -> None:
         """Find the newest pending revision that has its majorities, by halving."""
         known = self._majorities[-1].revision if self._majorities else self.confirmed_revision
         waiting = self._pending[bisect_right(self._pending, known) :]
@@ -147,7 +147,9 @@
         """
         if ConfirmationGuard.WITNESS_MAJORITY in self._disabled:
             return True
-        witness_sets = {one.witnesses for one in self._rosters if one.revision <= revision}
+        witness_sets = {
+            one.witnesses for one in self._router_memberships if one.revision <= revision
+        }
         return all(self._has_majority(witnesses, revision) for witnesses in witness_sets)
 
     def _has_majority(self, witnesses: frozenset[str], revision: int) -> bool:
@@ -158,18 +160,30 @@
         self.confirmed_revision = revision
         self._pending = self._pending[bisect_right(self._pending, revision) :]
         self._majorities = [one for one in self._majorities if one.revision > revision]
-        in_force = [roster for roster in self._rosters if roster.revision <= revision]
-        later = [roster for roster in self._rosters if roster.revision > revision]
+        in_force = [
+            router_membership
+            for router_membership in self._router_memberships
+            if router_membership.revision <= revision
+        ]
+        later = [
+            router_membership
+            for router_membership in self._router_memberships
+            if router_membership.revision > revision
+        ]
         # Of the older rosters only the one in force at the confirmed revision can still be obeyed.
-        self._rosters = in_force[-1:] + later
+        self._router_memberships = in_force[-1:] + later
         self._await_rosters()
 
     def _await_rosters(self) -> None:
         """Await every router of every roster that some router may still obey."""
-        self._awaited = {one for roster in self._rosters for one in roster.routers}
+        self._awaited = {
+            one
+            for router_membership in self._router_memberships
+            for one in router_membership.routers
+        }
         newest = self._pending[-1] if self._pending else 0
         self._lagging = {one for one in self._awaited if self._adopted.get(one, 0) < newest}
 
 
-def _is_same(first: Roster, second: Roster) -> bool:
+def _is_same(first: RouterMembership, second: RouterMembership) -> bool:
     return first.routers == second.routers and first.witnesses == second.witnesses
--- a/src/orchidpath/control/leader.py
+++ b/src/orchidpath/control/leadership/leader_duties.py
@@ -9,13 +9,17 @@
 
 import msgspec
 
-from orchidpath.circuit.table import CircuitTable, Decided, NeedsTransition
-from orchidpath.control.confirmation import ConfirmationGuard, ConfirmationTracker, Roster
-from orchidpath.control.effects import ControlEffect, SendToNode
-from orchidpath.control.liveness import ROUTER_REMOVAL_SECONDS, LivenessTracker
-from orchidpath.control.plan_driver import PlanDriver
-from orchidpath.control.stage_balancer import StageBalancer
-from orchidpath.placement.prompts import PromptPlacement
+from orchidpath.circuit.circuit_table import CircuitTable, Decided, NeedsTransition
+from orchidpath.control.leadership.confirmation import (
+    ConfirmationGuard,
+    ConfirmationTracker,
+    RouterMembership,
+)
+from orchidpath.control.leadership.liveness import ROUTER_REMOVAL_SECONDS, LivenessTracker
+from orchidpath.control.leadership.plan_driver import PlanDriver
+from orchidpath.control.leadership.stage_balancer import StageBalancer
+from orchidpath.control.replica.control_effects import ControlEffect, SendToNode
+from orchidpath.placement.prefill_placement import PrefillPlacement
 from orchidpath.state.commands import (
     CapacityChanged,
     CircuitChanged,
@@ -24,9 +28,9 @@
     RemoveRouter,
     RevisionConfirmed,
     WorkerChanged,
-    WorkerGone,
+    WorkerRemoved,
 )
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.outcomes import CapacityResult, CircuitResult, Outcome
 from orchidpath.wire.announcements import MAX_SEQUENCE
 from orchidpath.wire.backend import WORKER_LEASE_SECONDS, Announcement
@@ -37,9 +41,9 @@
     CounterReport,
     DecisionReply,
     DecisionRequest,
-    Denial,
     FleetUpdate,
     FleetUpdateRequest,
+    Rejection,
     RouterHeartbeat,
     RouterHeartbeatReply,
 )
@@ -60,7 +64,7 @@
 PENDING_DECISION_SECONDS = 1.0
 """A decision that waits for a transition this long is dropped; the router has gone on by then."""
 
-MAX_KEPT_UPDATES = 16
+MAX_CACHED_UPDATES = 16
 """Updates that are kept, each for the routers that have adopted one revision."""
 
 
@@ -106,14 +110,14 @@
         self.outbox: list[ControlEffect] = []
         self.proposals: list[Command] = []
         self.confirmation = ConfirmationTracker(
-            state.confirmed_revision, _rosters_of(state), now, disabled_guards
+            state.confirmed_revision, _router_memberships_of(state), now, disabled_guards
         )
         if state.revision > state.confirmed_revision:
-            self.confirmation.revision_committed(state.revision, current_roster(state))
+            self.confirmation.revision_committed(state.revision, current_router_membership(state))
         self._liveness = LivenessTracker(router_removal_seconds, worker_lease_seconds)
-        self.prompts = PromptPlacement()
+        self.prompts = PrefillPlacement()
         self.circuits = CircuitTable(state.configuration.circuit, random, term=term)
-        self._take_policy()
+        self._apply_policy()
         self.circuits.set_workers(state.workers())
         for circuit in state.circuits():
             self.circuits.apply_circuit(circuit, now)
@@ -146,7 +150,7 @@
         self._refresh_workers()
         workers = {worker.worker_id: worker.incarnation for worker in self._state.workers()}
         for worker_id, incarnation, sequence in self._liveness.silent_workers(workers, now):
-            gone = WorkerGone(worker_id=worker_id, incarnation=incarnation, sequence=sequence)
+            gone = WorkerRemoved(worker_id=worker_id, incarnation=incarnation, sequence=sequence)
             self.proposals.append(gone)
         self._liveness.forget_workers_except(workers)
         router_ids = [router.router_id for router in self._state.routers()]
@@ -154,10 +158,10 @@
             self.proposals.append(RemoveRouter(router_id=router_id))
         self._advance_confirmation(now)
         self.plan_driver.tick(self.confirmation.confirmed_revision, now)
-        self.outbox.extend(self.plan_driver.take_orders())
+        self.outbox.extend(self.plan_driver.take_commands())
         self.proposals.extend(self.plan_driver.take_proposals())
         self.stage_balancer.tick(self.confirmation.confirmed_revision, now)
-        self.outbox.extend(self.stage_balancer.take_orders())
+        self.outbox.extend(self.stage_balancer.take_commands())
         self.proposals.extend(self.stage_balancer.take_proposals())
         self._push_circuits(now)
         self._pending_decisions = [
@@ -223,7 +227,7 @@
             postponed = DecisionReply(
                 correlation=request.correlation,
                 term=self._term,
-                denial=Denial.POSTPONED,
+                rejection=Rejection.POSTPONED,
                 retry_after_seconds=postponed_seconds,
             )
             self.outbox.append(SendToNode(router_id, postponed))
@@ -303,7 +307,7 @@
         update = self._updates.get(adopted_revision)
         if update is None or update.revision != self._state.revision:
             update = self._state.update_since(adopted_revision)
-            if len(self._updates) >= MAX_KEPT_UPDATES:
+            if len(self._updates) >= MAX_CACHED_UPDATES:
                 self._updates.clear()
             self._updates[adopted_revision] = update
         return update
@@ -321,11 +325,13 @@
         return {view.worker_id: view.in_flight for view in self.circuits.view(now)}
 
     def _revision_changed(self, now: float) -> None:
-        self.confirmation.revision_committed(self._state.revision, current_roster(self._state))
-        self._take_policy()
+        self.confirmation.revision_committed(
+            self._state.revision, current_router_membership(self._state)
+        )
+        self._apply_policy()
         self._workers_changed = True
 
-    def _take_policy(self) -> None:
+    def _apply_policy(self) -> None:
         configuration = self._state.configuration
         admission = configuration.admission
         self.circuits.set_policy(
@@ -353,7 +359,7 @@
         if entry is None or entry.record.incarnation != record.incarnation:
             return
         # With the highest sequence no announcement still on its way brings the worker back.
-        gone = WorkerGone(
+        gone = WorkerRemoved(
             worker_id=record.worker_id, incarnation=record.incarnation, sequence=MAX_SEQUENCE
         )
         self._propose_once(gone)
@@ -364,7 +370,7 @@
             return True
         normalized = msgspec.structs.replace(
             record,
-            held=entry.record.held,
+            cordoned=entry.record.cordoned,
             failure_domain=record.failure_domain or record.worker_id,
         )
         return normalized != entry.record
@@ -396,22 +402,22 @@
 
 def not_leader_reply(request: DecisionRequest, term: int) -> DecisionReply:
     """Answer a decision request that this process may not decide."""
-    return DecisionReply(correlation=request.correlation, term=term, denial=Denial.NOT_LEADER)
+    return DecisionReply(correlation=request.correlation, term=term, rejection=Rejection.NOT_LEADER)
 
 
-def current_roster(state: FleetState) -> Roster:
+def current_router_membership(state: FleetState) -> RouterMembership:
     """Return the roster in force at the state's newest revision."""
-    return Roster(
+    return RouterMembership(
         revision=state.revision,
         routers=frozenset(router.router_id for router in state.routers()),
         witnesses=frozenset(state.witnesses),
     )
 
 
-def _rosters_of(state: FleetState) -> list[Roster]:
+def _router_memberships_of(state: FleetState) -> list[RouterMembership]:
     """Return every witness set since the last revision recorded as confirmed, oldest first."""
     routers = frozenset(router.router_id for router in state.routers())
     return [
-        Roster(state.confirmed_revision, routers, frozenset(witnesses))
+        RouterMembership(state.confirmed_revision, routers, frozenset(witnesses))
         for witnesses in state.witness_sets_since(state.confirmed_revision)
     ]
--- a/src/orchidpath/control/liveness.py
+++ b/src/orchidpath/control/leadership/liveness.py
@@ -83,8 +83,8 @@
             if heard is None:
                 self._workers[worker_id] = HeardWorker(incarnation, 0, now)
                 continue
-            lapsed = now - heard.heard_at > self._worker_lease_seconds
-            if lapsed and self._may_propose(worker_id, now):
+            expired = now - heard.heard_at > self._worker_lease_seconds
+            if expired and self._may_propose(worker_id, now):
                 silent.append((worker_id, incarnation, heard.sequence))
         return silent
 
--- a/src/orchidpath/control/member_manager.py
+++ b/src/orchidpath/control/leadership/member_manager.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from orchidpath.consensus.types import Membership
-from orchidpath.control.liveness import ROUTER_REMOVAL_SECONDS
+from orchidpath.control.leadership.liveness import ROUTER_REMOVAL_SECONDS
 from orchidpath.wire.backend import WORKER_LEASE_SECONDS
 
 HEARD_SECONDS = 1.0
@@ -81,32 +81,32 @@
         if joined is not None:
             return joined
 
-        def silence_seconds(node_id: str) -> float:
+        def unheard_seconds(node_id: str) -> float:
             if node_id == leader_id:
                 return 0.0
             return now - max(last_contact(node_id), self._started_at)
 
-        superseded = _superseded(membership, silence_seconds)
+        superseded = _superseded(membership, unheard_seconds)
         lost = [
             voter
             for voter in membership.voters
-            if voter in superseded or silence_seconds(voter) > self._policy.replace_after_seconds
+            if voter in superseded or unheard_seconds(voter) > self._policy.replace_after_seconds
         ]
         surplus = len(membership.voters) - self._policy.target_voters
         if lost and surplus > 0:
-            return _remove(membership, max(lost, key=silence_seconds))
+            return _remove(membership, max(lost, key=unheard_seconds))
         if surplus > 0:
             return _demote_newest(membership, leader_id)
         heard = [
             one
             for one in membership.learners
-            if one not in standbys and silence_seconds(one) < HEARD_SECONDS
+            if one not in standbys and unheard_seconds(one) < HEARD_SECONDS
         ]
         if heard and (surplus < 0 or lost):
             taken = {membership.addresses[voter] for voter in superseded}
             successors = [one for one in heard if membership.addresses[one] in taken]
             return _promote(membership, (successors or heard)[0])
-        return self._remove_silent_learner(membership, silence_seconds)
+        return self._remove_silent_learner(membership, unheard_seconds)
 
     def _add_learner(self, membership: Membership) -> Membership | None:
         for node_id, address in list(self._joining.items()):
@@ -121,18 +121,18 @@
         return None
 
     def _remove_silent_learner(
-        self, membership: Membership, silence_seconds: Callable[[str], float]
+        self, membership: Membership, unheard_seconds: Callable[[str], float]
     ) -> Membership | None:
         members = Counter(membership.addresses[one] for one in membership.members())
         for learner in membership.learners:
             is_shared = members[membership.addresses[learner]] > 1
             patience = SUPERSEDED_REMOVAL_SECONDS if is_shared else LEARNER_REMOVAL_SECONDS
-            if silence_seconds(learner) > patience:
+            if unheard_seconds(learner) > patience:
                 return _remove(membership, learner)
         return None
 
 
-def _superseded(membership: Membership, silence_seconds: Callable[[str], float]) -> set[str]:
+def _superseded(membership: Membership, unheard_seconds: Callable[[str], float]) -> set[str]:
     """Return the voters whose address another replica has taken and that are heard no more.
 
     The machine came back with an empty disk: its old replica never will, so there is nothing to
@@ -142,7 +142,7 @@
     for member in membership.members():
         address = membership.addresses[member]
         known = heard_last.setdefault(address, member)
-        if silence_seconds(member) < silence_seconds(known):
+        if unheard_seconds(member) < unheard_seconds(known):
             heard_last[address] = member
     return {
         voter for voter in membership.voters if heard_last[membership.addresses[voter]] != voter
--- a/src/orchidpath/control/plan_driver.py
+++ b/src/orchidpath/control/leadership/plan_driver.py
@@ -8,21 +8,21 @@
 
 import msgspec
 
-from orchidpath.control.effects import SendWorkerOrder
+from orchidpath.control.replica.control_effects import SendWorkerCommand
 from orchidpath.placement.execution import (
-    ORDER_REPEAT_SECONDS,
+    COMMAND_REPEAT_SECONDS,
     Advance,
     PlanSituation,
-    SendStepOrder,
+    SendStepCommand,
     StepWatch,
     Stop,
     next_actions,
     workers_to_resume,
 )
 from orchidpath.state.commands import AdvanceStep, Command, StopPlan
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.plans import PlanRecord, StepPhase
-from orchidpath.wire.backend import OrderKind, WorkerOrder, WorkerOrderReply
+from orchidpath.wire.backend import WorkerCommand, WorkerCommandKind, WorkerCommandReply
 from orchidpath.wire.records import Stage, WorkerRecord
 
 PLAN_PERIOD_SECONDS = 0.1
@@ -64,8 +64,8 @@
         self._watched: dict[int, _Watched] = {}
         self._proposed: dict[Command, float] = {}
         self._resumed_at: dict[str, float] = {}
-        self._next_look = float("-inf")
-        self._orders: list[SendWorkerOrder] = []
+        self._next_check_at = float("-inf")
+        self._orders: list[SendWorkerCommand] = []
         self._proposals: list[Command] = []
 
     def tick(self, confirmed_revision: int, now: float) -> None:
@@ -74,15 +74,15 @@
         The caller has checked that this leader holds its lease at ``now``.
         """
         record = self._state.plan
-        if record is None or now < self._next_look:
+        if record is None or now < self._next_check_at:
             return
-        self._next_look = now + PLAN_PERIOD_SECONDS
+        self._next_check_at = now + PLAN_PERIOD_SECONDS
         workers = {worker.worker_id: worker for worker in self._state.workers()}
         self._resume_abandoned(workers, now)
         if record.active:
             self._follow(record, workers, confirmed_revision, now)
 
-    def order_answered(self, order: WorkerOrder, reply: WorkerOrderReply) -> None:
+    def command_answered(self, order: WorkerCommand, reply: WorkerCommandReply) -> None:
         """Note that a worker accepted an order that belongs to its step's present phase."""
         record = self._state.plan
         if record is None or order.term != self._term or not reply.accepted:
@@ -95,7 +95,7 @@
             if current and order.sequence >= watched.first_sequence:
                 watched.watch = msgspec.structs.replace(watched.watch, accepted=order.kind)
 
-    def take_orders(self) -> list[SendWorkerOrder]:
+    def take_commands(self) -> list[SendWorkerCommand]:
         """Return the orders to send, once."""
         orders, self._orders = self._orders, []
         return orders
@@ -127,15 +127,15 @@
                     self._propose(_advance_command(record, action), now)
                 case Stop():
                     self._propose(StopPlan(plan_id=self._plan_id, reason=action.reason), now)
-                case SendStepOrder():
+                case SendStepCommand():
                     self._order_step(record, action, now)
 
     def _resume_abandoned(self, workers: Mapping[str, WorkerRecord], now: float) -> None:
         for worker in workers_to_resume(self._state.abandoned_workers(), workers):
             last = self._resumed_at.get(worker.worker_id, float("-inf"))
-            if now - last >= ORDER_REPEAT_SECONDS:
+            if now - last >= COMMAND_REPEAT_SECONDS:
                 self._resumed_at[worker.worker_id] = now
-                self._order(worker, OrderKind.RESUME, None)
+                self._order(worker, WorkerCommandKind.RESUME, None)
 
     def _watch(self, record: PlanRecord, now: float) -> None:
         """Begin to watch each step anew whose phase has changed."""
@@ -156,7 +156,7 @@
         self._proposed[command] = now
         self._proposals.append(command)
 
-    def _order_step(self, record: PlanRecord, action: SendStepOrder, now: float) -> None:
+    def _order_step(self, record: PlanRecord, action: SendStepCommand, now: float) -> None:
         entry = self._state.find_worker(record.plan.steps[action.step].worker_id)
         if entry is None:
             return
@@ -164,9 +164,9 @@
         watched.watch = msgspec.structs.replace(watched.watch, ordered_at=now)
         self._order(entry.record, action.kind, action.stage)
 
-    def _order(self, worker: WorkerRecord, kind: OrderKind, stage: Stage | None) -> None:
+    def _order(self, worker: WorkerRecord, kind: WorkerCommandKind, stage: Stage | None) -> None:
         self._sequence += 1
-        order = WorkerOrder(
+        order = WorkerCommand(
             term=self._term,
             sequence=self._sequence,
             worker_id=worker.worker_id,
@@ -174,7 +174,7 @@
             kind=kind,
             stage=stage,
         )
-        self._orders.append(SendWorkerOrder(worker.url, order))
+        self._orders.append(SendWorkerCommand(worker.url, order))
 
 
 def _advance_command(record: PlanRecord, action: Advance) -> AdvanceStep:
--- a/src/orchidpath/control/stage_balancer.py
+++ b/src/orchidpath/control/leadership/stage_balancer.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from orchidpath.control.effects import SendWorkerOrder
-from orchidpath.placement.balance import StageMove, next_moves
-from orchidpath.state.commands import Command, HoldWorker
-from orchidpath.state.machine import FleetState
-from orchidpath.wire.backend import OrderKind, WorkerOrder, WorkerOrderReply
+from orchidpath.control.replica.control_effects import SendWorkerCommand
+from orchidpath.placement.stage_allocation import StageMove, next_moves
+from orchidpath.state.commands import Command, CordonWorker
+from orchidpath.state.fleet_state import FleetState
+from orchidpath.wire.backend import WorkerCommand, WorkerCommandKind, WorkerCommandReply
 from orchidpath.wire.configuration import Service
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
@@ -25,16 +25,16 @@
 TAKEOVER_SECONDS = 4.0
 """A new leader orders nothing for this long: orders of two holders must not take turns."""
 
-CALM_SECONDS = 1.5
+QUIET_PERIOD_SECONDS = 1.5
 """The set of workers must have been the same for this long before a move begins."""
 
-URGENT_CALM_SECONDS = 0.5
+URGENT_QUIET_PERIOD_SECONDS = 0.5
 """The same while no worker decodes, so that nothing is served."""
 
-HOLD_SECONDS = 2.5
+CORDON_SECONDS = 2.5
 """Bound on the wait until every serving router knows of a hold."""
 
-ORDER_REPEAT_SECONDS = 1.0
+COMMAND_REPEAT_SECONDS = 1.0
 """An order without an answer is sent again after this long."""
 
 MOVE_SECONDS = 20.0
@@ -42,7 +42,7 @@
 
 
 class _Phase(StrEnum):
-    HOLDING = "holding"
+    CORDONING = "holding"
     ORDERING = "ordering"
     SWITCHING = "switching"
 
@@ -53,8 +53,8 @@
     worker: WorkerRecord
     stage: Stage
     since: float
-    phase: _Phase = _Phase.HOLDING
-    hold_revision: int = 0
+    phase: _Phase = _Phase.CORDONING
+    cordon_revision: int = 0
     ordered_at: float = float("-inf")
 
 
@@ -88,8 +88,8 @@
         self._may_order_at = now + TAKEOVER_SECONDS
         self._known: dict[str, frozenset[str]] = {}
         self._known_since: dict[str, float] = {}
-        self._next_look = now
-        self._orders: list[SendWorkerOrder] = []
+        self._next_check_at = now
+        self._orders: list[SendWorkerCommand] = []
         self._proposals: list[Command] = []
 
     def tick(self, confirmed_revision: int, now: float) -> None:
@@ -102,9 +102,9 @@
         now
             Monotonic seconds.
         """
-        if now < self._next_look:
+        if now < self._next_check_at:
             return
-        self._next_look = now + BALANCE_PERIOD_SECONDS
+        self._next_check_at = now + BALANCE_PERIOD_SECONDS
         plan = self._state.plan
         if now < self._may_order_at or (plan is not None and plan.active):
             return
@@ -116,13 +116,13 @@
                 own = [worker for worker in workers.values() if worker.service == service.name]
                 self._balance(service, own, now)
 
-    def order_answered(self, order: WorkerOrder, reply: WorkerOrderReply) -> None:
+    def command_answered(self, order: WorkerCommand, reply: WorkerCommandReply) -> None:
         """Note that a worker has taken the order of its move."""
         move = self._moves.get(order.worker_id)
         if move is not None and reply.accepted and order.term == self._term:
             move.phase = _Phase.SWITCHING
 
-    def take_orders(self) -> list[SendWorkerOrder]:
+    def take_commands(self) -> list[SendWorkerCommand]:
         """Return the orders to send, once."""
         orders, self._orders = self._orders, []
         return orders
@@ -142,8 +142,8 @@
             worker.stage is Stage.DECODE and worker.status is WorkerStatus.READY
             for worker in workers
         )
-        calm_seconds = CALM_SECONDS if decodes else URGENT_CALM_SECONDS
-        if now - self._known_since[service.name] < calm_seconds:
+        quiet_period_seconds = QUIET_PERIOD_SECONDS if decodes else URGENT_QUIET_PERIOD_SECONDS
+        if now - self._known_since[service.name] < quiet_period_seconds:
             return
         moving = {worker_id: move.stage for worker_id, move in self._moves.items()}
         for move in next_moves(service, workers, moving, self._in_flight(now)):
@@ -152,13 +152,13 @@
     def _release_strangers(self, workers: list[WorkerRecord]) -> None:
         """Release workers that a former leader held back and did not come to release."""
         for worker in workers:
-            if worker.held and worker.worker_id not in self._moves:
-                self._proposals.append(HoldWorker(worker_id=worker.worker_id, held=False))
+            if worker.cordoned and worker.worker_id not in self._moves:
+                self._proposals.append(CordonWorker(worker_id=worker.worker_id, cordoned=False))
 
     def _begin(self, move: StageMove, now: float) -> None:
         worker_id = move.worker.worker_id
         self._moves[worker_id] = _Move(move.worker, move.stage, now)
-        self._proposals.append(HoldWorker(worker_id=worker_id, held=True))
+        self._proposals.append(CordonWorker(worker_id=worker_id, cordoned=True))
 
     def _follow(
         self, move: _Move, worker: WorkerRecord | None, confirmed_revision: int, now: float
@@ -169,28 +169,28 @@
             self._end(move, worker)
             return
         assert worker is not None
-        if move.phase is _Phase.HOLDING and worker.held:
-            move.hold_revision = move.hold_revision or self._state.revision
-            is_known = confirmed_revision >= move.hold_revision
-            if is_known or now - move.since > HOLD_SECONDS:
+        if move.phase is _Phase.CORDONING and worker.cordoned:
+            move.cordon_revision = move.cordon_revision or self._state.revision
+            is_known = confirmed_revision >= move.cordon_revision
+            if is_known or now - move.since > CORDON_SECONDS:
                 move.phase = _Phase.ORDERING
-        if move.phase is _Phase.ORDERING and now - move.ordered_at >= ORDER_REPEAT_SECONDS:
+        if move.phase is _Phase.ORDERING and now - move.ordered_at >= COMMAND_REPEAT_SECONDS:
             move.ordered_at = now
             self._order(worker, move.stage)
 
     def _end(self, move: _Move, worker: WorkerRecord | None) -> None:
         del self._moves[move.worker.worker_id]
         if worker is not None:
-            self._proposals.append(HoldWorker(worker_id=worker.worker_id, held=False))
+            self._proposals.append(CordonWorker(worker_id=worker.worker_id, cordoned=False))
 
     def _order(self, worker: WorkerRecord, stage: Stage) -> None:
         self._sequence += 1
-        order = WorkerOrder(
+        order = WorkerCommand(
             term=self._term,
             sequence=self._sequence,
             worker_id=worker.worker_id,
             incarnation=worker.incarnation,
-            kind=OrderKind.SET_STAGE,
+            kind=WorkerCommandKind.SET_STAGE,
             stage=stage,
         )
-        self._orders.append(SendWorkerOrder(worker.url, order))
+        self._orders.append(SendWorkerCommand(worker.url, order))
--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -12,34 +12,38 @@
 from orchidpath.common.logs import configure_logs, get_logger
 from orchidpath.common.metrics import Metrics
 from orchidpath.common.settings import ControlSettings
-from orchidpath.consensus.core import RaftCore
 from orchidpath.consensus.effects import LeadershipChanged
 from orchidpath.consensus.errors import ConsensusError, StorageError, StorageFullError
 from orchidpath.consensus.files import FileLayer, RealFiles
+from orchidpath.consensus.raft_core import RaftCore
 from orchidpath.consensus.storage import FileLogStorage, LogStorage, MemoryLogStorage
 from orchidpath.consensus.types import Membership, RaftSettings, RestoredState
-from orchidpath.control.access import LocalControlAccess
-from orchidpath.control.core import ControlCore
-from orchidpath.control.effects import (
+from orchidpath.control.api.local_access import LocalControlAccess
+from orchidpath.control.api.operator_api import create_operator_app
+from orchidpath.control.api.plan_api import add_plan_routes
+from orchidpath.control.leadership.member_manager import MemberPolicy
+from orchidpath.control.replica.control_effects import (
     ControlEffect,
-    OrderAnswered,
-    PlanAnswered,
+    PlanActionAnswered,
     ReadFailed,
     ReadReady,
     SendToConnected,
     SendToMember,
     SendToNode,
-    SendWorkerOrder,
+    SendWorkerCommand,
+    UpdateAnswered,
 )
-from orchidpath.control.formation import NoAnswerError, ask_who_is_control, may_form_fleet
-from orchidpath.control.member_manager import MemberPolicy
-from orchidpath.control.operator_api import create_operator_app
-from orchidpath.control.plan_api import add_plan_routes
-from orchidpath.control.runner import CoreRunner
-from orchidpath.control.worker_orders import OrderFormat, WorkerOrderSender
-from orchidpath.wire.backend import WorkerOrder, WorkerOrderReply
+from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.formation import (
+    NoAnswerError,
+    may_form_fleet,
+    query_control_members,
+)
+from orchidpath.control.replica.replica_loop import CoreRunner
+from orchidpath.control.worker_commands import WorkerCommandFormat, WorkerCommandSender
+from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 from orchidpath.wire.connection import Connection, Listener
-from orchidpath.wire.faults import LinkFaults, watch_fault_file
+from orchidpath.wire.link_faults import LinkFaults, watch_fault_file
 from orchidpath.wire.messages import (
     ControlMembers,
     Hello,
@@ -95,10 +99,10 @@
         files: FileLayer | None = None,
         clock: Clock = monotonic_seconds,
         add_routes: RouteAdder | None = None,
-        order_format: OrderFormat | None = None,
+        command_format: WorkerCommandFormat | None = None,
     ) -> None:
         super().__init__()
-        self._order_format = order_format
+        self._command_format = command_format
         self._add_routes = add_routes
         self._settings = settings
         self._clock = clock
@@ -139,7 +143,9 @@
             self._new_core(restored, None), self._storage, self._clock, self._execute, self._synced
         )
         self._access = LocalControlAccess(self._runner, self._clock, self._send_to_leader)
-        self._worker_orders = WorkerOrderSender(self._worker_order_answered, self._order_format)
+        self._worker_commands = WorkerCommandSender(
+            self._worker_command_answered, self._command_format
+        )
         self._faults = LinkFaults() if self._settings.fault_file else None
         self._listener = Listener(
             self._settings.wire_address,
@@ -165,7 +171,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._worker_orders.close()
+        await self._worker_commands.close()
         await self._links.close()
         await self._listener.close()
         await self._http_runner.cleanup()
@@ -213,7 +219,7 @@
                 await self._runner.run_forever()
             except StorageFullError as error:
                 self._logger.error("disk_full", error=str(error))
-                await self._start_replica_anew()
+                await self._restart_replica()
             except ConsensusError as error:
                 self.fail(ReplicaStoppedError(f"{type(error).__name__}: {error}"))
                 return
@@ -223,7 +229,7 @@
                 self.fail(ReplicaStoppedError(f"{type(error).__name__}: {error}"))
                 return
 
-    async def _start_replica_anew(self) -> None:
+    async def _restart_replica(self) -> None:
         """Go on from what is on the disk, as a restarted process would, once it takes bytes.
 
         What the core believed is ahead of its disk, so nothing of it is kept.
@@ -266,10 +272,10 @@
             if address == settings.wire_address:
                 continue
             try:
-                answer = await ask_who_is_control(address, self._hello, self._faults)
+                answer = await query_control_members(address, self._hello, self._faults)
             except NoAnswerError:
                 continue
-            if await self._ask_to_join(answer):
+            if await self._request_join(answer):
                 return
 
     def _form_fleet(self) -> None:
@@ -281,7 +287,7 @@
         self._was_restored = True
         self._runner.core = self._new_core(RestoredState(), membership)
 
-    async def _ask_to_join(self, answer: ControlMembers) -> bool:
+    async def _request_join(self, answer: ControlMembers) -> bool:
         """Ask the leader named in an answer to be added; False if it names none to ask."""
         own = self._member.node_id
         if any(member.node_id == own for member in answer.members):
@@ -343,10 +349,10 @@
             case SendToConnected():
                 for connection in self._incoming.values():
                     connection.send(effect.message)
-            case OrderAnswered() | ReadReady() | ReadFailed() | PlanAnswered():
+            case UpdateAnswered() | ReadReady() | ReadFailed() | PlanActionAnswered():
                 self._access.answered(effect.key, effect)
-            case SendWorkerOrder():
-                self._worker_orders.send(effect.url, effect.order)
+            case SendWorkerCommand():
+                self._worker_commands.send(effect.url, effect.order)
             case LeadershipChanged():
                 self._logger.info(
                     "leadership_changed",
@@ -357,9 +363,11 @@
             case _:
                 raise AssertionError(f"{type(effect).__name__} is a record")
 
-    def _worker_order_answered(self, order: WorkerOrder, reply: WorkerOrderReply | None) -> None:
+    def _worker_command_answered(
+        self, order: WorkerCommand, reply: WorkerCommandReply | None
+    ) -> None:
         runner = self._runner
-        runner.post(lambda now: runner.core.worker_order_answered(order, reply, now))
+        runner.post(lambda now: runner.core.worker_command_answered(order, reply, now))
 
     def _send_to_incoming(self, node_id: str, message: Message) -> None:
         connection = self._incoming.get(node_id)
--- a/src/orchidpath/control/codec.py
+++ b/src/orchidpath/control/replica/consensus_codec.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from orchidpath.consensus.messages import RaftMessage
+from orchidpath.consensus.raft_messages import RaftMessage
 from orchidpath.wire.messages import ConsensusMessage
 
 _encoder = msgspec.msgpack.Encoder()
--- a/src/orchidpath/control/effects.py
+++ b/src/orchidpath/control/replica/control_effects.py
@@ -12,8 +12,8 @@
     PersistHardState,
     PersistSnapshot,
 )
-from orchidpath.wire.backend import WorkerOrder
-from orchidpath.wire.messages import ConsensusMessage, Message, OrderAnswer, PlanOrderAnswer
+from orchidpath.wire.backend import WorkerCommand
+from orchidpath.wire.messages import ConsensusMessage, Message, PlanActionStatus, UpdateStatus
 
 
 class SendToMember(msgspec.Struct, frozen=True):
@@ -37,11 +37,11 @@
     message: Message
 
 
-class OrderAnswered(msgspec.Struct, frozen=True):
+class UpdateAnswered(msgspec.Struct, frozen=True):
     """The outcome of an order that this process was asked to submit under ``key``."""
 
     key: int
-    answer: OrderAnswer
+    answer: UpdateStatus
     version: int = 0
     reason: str = ""
 
@@ -58,19 +58,19 @@
     key: int
 
 
-class PlanAnswered(msgspec.Struct, frozen=True):
+class PlanActionAnswered(msgspec.Struct, frozen=True):
     """The outcome of an order about a plan that this process was asked to take under ``key``."""
 
     key: int
-    answer: PlanOrderAnswer
+    answer: PlanActionStatus
     reason: str = ""
 
 
-class SendWorkerOrder(msgspec.Struct, frozen=True):
+class SendWorkerCommand(msgspec.Struct, frozen=True):
     """Post an order to a worker at its HTTP base address and hand its answer back to the core."""
 
     url: str
-    order: WorkerOrder
+    order: WorkerCommand
 
 
 PersistEffect = PersistHardState | PersistEntries | PersistSnapshot
@@ -81,9 +81,9 @@
     | SendToMember
     | SendToNode
     | SendToConnected
-    | OrderAnswered
+    | UpdateAnswered
     | ReadReady
     | ReadFailed
-    | PlanAnswered
-    | SendWorkerOrder
+    | PlanActionAnswered
+    | SendWorkerCommand
 )
--- a/src/orchidpath/control/core.py
+++ b/src/orchidpath/control/replica/control_replica.py
@@ -10,8 +10,7 @@
 
 import msgspec
 
-from orchidpath.circuit.table import WorkerCircuitView
-from orchidpath.consensus.core import RaftCore
+from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.consensus.effects import (
     Apply,
     ApplySnapshot,
@@ -23,21 +22,22 @@
     Send,
 )
 from orchidpath.consensus.errors import MembershipChangeError, NotLeaderError
+from orchidpath.consensus.raft_core import RaftCore
 from orchidpath.consensus.types import EntryKind, LogEntry, Role
-from orchidpath.control.codec import decode_consensus, encode_consensus
-from orchidpath.control.confirmation import ConfirmationGuard
-from orchidpath.control.effects import (
+from orchidpath.control.leadership.confirmation import ConfirmationGuard
+from orchidpath.control.leadership.leader_duties import LeaderDuties, not_leader_reply
+from orchidpath.control.leadership.member_manager import MemberManager, MemberPolicy
+from orchidpath.control.replica.consensus_codec import decode_consensus, encode_consensus
+from orchidpath.control.replica.control_effects import (
     ControlEffect,
     SendToConnected,
     SendToMember,
     SendToNode,
 )
-from orchidpath.control.forwarding import ForwardedOrders
-from orchidpath.control.leader import LeaderDuties, not_leader_reply
-from orchidpath.control.member_manager import MemberManager, MemberPolicy
-from orchidpath.control.orders import OrderBook
-from orchidpath.control.plan_orders import PlanOrderBook, plan_command
-from orchidpath.control.reads import ReadBook
+from orchidpath.control.replica.leader_forwarding import ForwardedOrders
+from orchidpath.control.replica.pending_plan_actions import PendingPlanActions, plan_command
+from orchidpath.control.replica.pending_reads import PendingReads
+from orchidpath.control.replica.pending_updates import PendingUpdates
 from orchidpath.state.commands import (
     Command,
     LeaderStarted,
@@ -46,12 +46,13 @@
     SubmitConfiguration,
     encode_command,
 )
-from orchidpath.state.machine import FleetState
-from orchidpath.state.outcomes import OrderResult, PlanResult
-from orchidpath.wire.backend import WorkerOrder, WorkerOrderReply
+from orchidpath.state.fleet_state import FleetState
+from orchidpath.state.outcomes import PlanResult, UpdateResult
+from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 from orchidpath.wire.messages import (
     AttemptReports,
     CapacityObserved,
+    ConfigurationUpdateRequest,
     ConsensusMessage,
     ControlMembers,
     CounterReport,
@@ -60,8 +61,7 @@
     ForwardedAnnouncements,
     JoinRequest,
     Message,
-    OrderRequest,
-    PlanOrderRequest,
+    PlanActionRequest,
     ReadIndexReply,
     ReadIndexRequest,
     RouterHeartbeat,
@@ -75,7 +75,7 @@
 """A voter heard within this long is waited for before an order is called confirmed."""
 
 
-FORMATION_PATIENCE_SECONDS = 30.0
+FORMATION_TIMEOUT_SECONDS = 30.0
 """A new fleet takes its first order after this long even if voters are missing."""
 
 
@@ -117,9 +117,9 @@
         self._disabled_guards = disabled_guards
         self._members = MemberManager(policy, 0.0)
         self._leading_since = 0.0
-        self._orders = OrderBook()
-        self._plan_orders = PlanOrderBook()
-        self._reads = ReadBook(raft)
+        self._orders = PendingUpdates()
+        self._plan_actions = PendingPlanActions()
+        self._reads = PendingReads(raft)
         self._outbox: list[ControlEffect] = []
         self._proposals: list[Command] = []
         self._forwarded = ForwardedOrders()
@@ -169,10 +169,12 @@
             self._outbox.append(SendToNode(sender_id, self.control_members()))
         elif isinstance(message, JoinRequest):
             self._join_requested(message)
-        elif isinstance(message, OrderRequest):
+        elif isinstance(message, ConfigurationUpdateRequest):
             self._take_forwarded_order(sender_id, message, now)
-        elif isinstance(message, PlanOrderRequest):
-            self._order_plan(self._forwarded.key_for(sender_id, message.correlation), message, now)
+        elif isinstance(message, PlanActionRequest):
+            self._request_plan_action(
+                self._forwarded.key_for(sender_id, message.correlation), message, now
+            )
         elif isinstance(message, ReadIndexRequest):
             self._answer_read_index(sender_id, message, now)
         elif isinstance(message, WorkerCircuitsRequest):
@@ -182,22 +184,24 @@
         return self._drain(now)
 
     def submit(self, key: int, order: SubmitConfiguration, now: float) -> list[ControlEffect]:
-        """Take an operator's order; `OrderAnswered` with ``key`` follows, now or later."""
+        """Take an operator's order; `UpdateAnswered` with ``key`` follows, now or later."""
         self._submit(key, order, now)
         return self._drain(now)
 
-    def order_plan(self, key: int, order: PlanOrderRequest, now: float) -> list[ControlEffect]:
-        """Take an order about a plan; `PlanAnswered` with ``key`` follows, now or later."""
-        self._order_plan(key, order, now)
+    def request_plan_action(
+        self, key: int, order: PlanActionRequest, now: float
+    ) -> list[ControlEffect]:
+        """Take an order about a plan; `PlanActionAnswered` with ``key`` follows, now or later."""
+        self._request_plan_action(key, order, now)
         return self._drain(now)
 
-    def worker_order_answered(
-        self, order: WorkerOrder, reply: WorkerOrderReply | None, now: float
+    def worker_command_answered(
+        self, order: WorkerCommand, reply: WorkerCommandReply | None, now: float
     ) -> list[ControlEffect]:
         """Take a worker's answer to an order; None if there was none in time."""
         if self.duties is not None and reply is not None:
-            self.duties.plan_driver.order_answered(order, reply)
-            self.duties.stage_balancer.order_answered(order, reply)
+            self.duties.plan_driver.command_answered(order, reply)
+            self.duties.stage_balancer.command_answered(order, reply)
         return self._drain(now)
 
     def read(self, key: int, now: float) -> list[ControlEffect]:
@@ -268,23 +272,25 @@
 
     def _submit(self, key: int, order: SubmitConfiguration, now: float) -> None:
         if not self.has_authority(now):
-            self._outbox.append(self._orders.not_taken(key, "this process does not lead"))
+            self._outbox.append(self._orders.rejected(key, "this process does not lead"))
             return
         voters = len(self.raft.membership.voters)
-        is_forming = now - self._leading_since < FORMATION_PATIENCE_SECONDS
+        is_forming = now - self._leading_since < FORMATION_TIMEOUT_SECONDS
         is_first = self.state.configuration_version == 0
         if is_first and is_forming and voters < self._formation_voters:
-            self._outbox.append(self._orders.not_taken(key, "the fleet is still forming"))
+            self._outbox.append(self._orders.rejected(key, "the fleet is still forming"))
             return
         try:
             indexes, effects = self.raft.propose([encode_command(order)], now)
         except NotLeaderError:
-            self._outbox.append(self._orders.not_taken(key, "this process does not lead"))
+            self._outbox.append(self._orders.rejected(key, "this process does not lead"))
             return
         self._orders.proposed(key, indexes[0], self.raft.term, now)
         self._run(effects, now)
 
-    def _take_forwarded_order(self, sender_id: str, request: OrderRequest, now: float) -> None:
+    def _take_forwarded_order(
+        self, sender_id: str, request: ConfigurationUpdateRequest, now: float
+    ) -> None:
         key = self._forwarded.key_for(sender_id, request.correlation)
         order = SubmitConfiguration(
             order_id=request.order_id,
@@ -295,17 +301,17 @@
         )
         self._submit(key, order, now)
 
-    def _order_plan(self, key: int, order: PlanOrderRequest, now: float) -> None:
+    def _request_plan_action(self, key: int, order: PlanActionRequest, now: float) -> None:
         if not self.has_authority(now):
-            self._outbox.append(self._plan_orders.not_taken(key))
+            self._outbox.append(self._plan_actions.rejected(key))
             return
         command = plan_command(order, self.state)
         try:
             indexes, effects = self.raft.propose([encode_command(command)], now)
         except NotLeaderError:
-            self._outbox.append(self._plan_orders.not_taken(key))
+            self._outbox.append(self._plan_actions.rejected(key))
             return
-        self._plan_orders.proposed(key, indexes[0], self.raft.term)
+        self._plan_actions.proposed(key, indexes[0], self.raft.term)
         self._run(effects, now)
 
     def _answer_read_index(self, sender_id: str, request: ReadIndexRequest, now: float) -> None:
@@ -384,16 +390,16 @@
         previous_revision = self.state.revision
         result = self.state.apply(entry.index, entry.payload)
         if self.state.leader_term == self.raft.term and self.raft.role is Role.LEADER:
-            self._take_up_duties(now)
+            self._start_duties(now)
         if self.duties is not None:
             self.duties.applied(result.outcome, previous_revision, now)
-        if isinstance(result.outcome, OrderResult):
+        if isinstance(result.outcome, UpdateResult):
             answers = self._orders.applied(entry, result.outcome, self.state.revision, now)
             self._outbox.extend(answers)
         if isinstance(result.outcome, PlanResult):
-            self._outbox.extend(self._plan_orders.applied(entry, result.outcome))
+            self._outbox.extend(self._plan_actions.applied(entry, result.outcome))
 
-    def _take_up_duties(self, now: float) -> None:
+    def _start_duties(self, now: float) -> None:
         """Begin to act as the leader once the first entry of this term has been applied.
 
         Not before: until then the state may lack entries that earlier leaders have confirmed.
@@ -422,7 +428,7 @@
             return
         self._proposals.clear()
         self._outbox.extend(self._orders.leadership_lost())
-        self._outbox.extend(self._plan_orders.leadership_lost())
+        self._outbox.extend(self._plan_actions.leadership_lost())
 
     def _drain(self, now: float) -> list[ControlEffect]:
         """Propose what is due, push what changed, and hand out all effects in order."""
--- a/src/orchidpath/control/formation.py
+++ b/src/orchidpath/control/replica/formation.py
@@ -13,7 +13,7 @@
 
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.wire.connection import Connection, connect
-from orchidpath.wire.faults import LinkFaults
+from orchidpath.wire.link_faults import LinkFaults
 from orchidpath.wire.messages import ControlMembers, Hello, Message, ProcessRole, WhoIsControl
 
 ANSWER_TIMEOUT_SECONDS = 1.0
@@ -24,7 +24,7 @@
     """A process did not say who the control members are in time."""
 
 
-async def ask_who_is_control(
+async def query_control_members(
     address: str, hello: Hello, faults: LinkFaults | None = None
 ) -> ControlMembers:
     """Ask one process who the control members are.
@@ -85,7 +85,7 @@
         if position == own_position:
             continue
         try:
-            answer = await ask_who_is_control(address, hello, faults)
+            answer = await query_control_members(address, hello, faults)
         except NoAnswerError:
             return False
         if answer.members or (position < own_position and answer.may_vote):
--- a/src/orchidpath/control/forwarding.py
+++ b/src/orchidpath/control/replica/leader_forwarding.py
@@ -1,7 +1,12 @@
 """Orders that another control process forwarded to this one, and where their answers go; pure."""
 
-from orchidpath.control.effects import ControlEffect, OrderAnswered, PlanAnswered, SendToNode
-from orchidpath.wire.messages import OrderReply, PlanOrderReply
+from orchidpath.control.replica.control_effects import (
+    ControlEffect,
+    PlanActionAnswered,
+    SendToNode,
+    UpdateAnswered,
+)
+from orchidpath.wire.messages import ConfigurationUpdateReply, PlanActionReply
 
 
 class ForwardedOrders:
@@ -21,18 +26,18 @@
 
     def routed(self, effect: ControlEffect) -> ControlEffect:
         """Return the reply to send in place of the outcome of a forwarded order."""
-        if not isinstance(effect, OrderAnswered | PlanAnswered):
+        if not isinstance(effect, UpdateAnswered | PlanActionAnswered):
             return effect
         origin = self._origin.pop(effect.key, None)
         if origin is None:
             return effect
         node_id, correlation = origin
-        if isinstance(effect, PlanAnswered):
-            answer = PlanOrderReply(
+        if isinstance(effect, PlanActionAnswered):
+            answer = PlanActionReply(
                 correlation=correlation, answer=effect.answer, reason=effect.reason
             )
             return SendToNode(node_id, answer)
-        reply = OrderReply(
+        reply = ConfigurationUpdateReply(
             correlation=correlation,
             answer=effect.answer,
             version=effect.version,
--- a/src/orchidpath/control/plan_orders.py
+++ b/src/orchidpath/control/replica/pending_plan_actions.py
@@ -7,19 +7,19 @@
 import msgspec
 
 from orchidpath.consensus.types import LogEntry
-from orchidpath.control.effects import PlanAnswered
+from orchidpath.control.replica.control_effects import PlanActionAnswered
 from orchidpath.placement.planner import make_preview
 from orchidpath.state.commands import (
     CancelPlan,
     HaltPlan,
-    PlanOrderCommand,
+    PlanActionCommand,
     ResumePlan,
     StartPlan,
 )
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.outcomes import PlanResult
 from orchidpath.state.plans import Plan
-from orchidpath.wire.messages import PlanAction, PlanOrderAnswer, PlanOrderRequest
+from orchidpath.wire.messages import PlanAction, PlanActionRequest, PlanActionStatus
 
 
 class _Proposed(msgspec.Struct, frozen=True):
@@ -27,42 +27,44 @@
     term: int
 
 
-class PlanOrderBook:
+class PendingPlanActions:
     """Orders about plans that this replica has proposed and not answered yet."""
 
     def __init__(self) -> None:
         self._proposed: dict[int, _Proposed] = {}
 
-    def not_taken(self, key: int) -> PlanAnswered:
+    def rejected(self, key: int) -> PlanActionAnswered:
         """Answer an order that was never proposed."""
-        return PlanAnswered(key, PlanOrderAnswer.NOT_TAKEN, "this process does not lead")
+        return PlanActionAnswered(key, PlanActionStatus.REJECTED, "this process does not lead")
 
     def proposed(self, key: int, index: int, term: int) -> None:
         """Follow an order that was proposed at a log index."""
         self._proposed[index] = _Proposed(key, term)
 
-    def applied(self, entry: LogEntry, result: PlanResult) -> list[PlanAnswered]:
+    def applied(self, entry: LogEntry, result: PlanResult) -> list[PlanActionAnswered]:
         """Take the outcome of the order at a log entry."""
         proposed = self._proposed.pop(entry.index, None)
         if proposed is None:
             return []
         if proposed.term != entry.term:
             # Another leader's entry took this index, so the order never will be in the log.
-            return [PlanAnswered(proposed.key, PlanOrderAnswer.NOT_TAKEN, "leadership was lost")]
-        answer = PlanOrderAnswer(result.answer.value)
-        return [PlanAnswered(proposed.key, answer, result.reason)]
+            return [
+                PlanActionAnswered(proposed.key, PlanActionStatus.REJECTED, "leadership was lost")
+            ]
+        answer = PlanActionStatus(result.answer.value)
+        return [PlanActionAnswered(proposed.key, answer, result.reason)]
 
-    def leadership_lost(self) -> list[PlanAnswered]:
+    def leadership_lost(self) -> list[PlanActionAnswered]:
         """Answer everything at once: a follower cannot tell what becomes of it."""
         answers = [
-            PlanAnswered(order.key, PlanOrderAnswer.UNKNOWN, "leadership was lost")
+            PlanActionAnswered(order.key, PlanActionStatus.UNKNOWN, "leadership was lost")
             for order in self._proposed.values()
         ]
         self._proposed.clear()
         return answers
 
 
-def plan_command(order: PlanOrderRequest, state: FleetState) -> PlanOrderCommand:
+def plan_command(order: PlanActionRequest, state: FleetState) -> PlanActionCommand:
     """Return the command that an order about a plan puts into the log."""
     match order.action:
         case PlanAction.CONFIRM:
--- a/src/orchidpath/control/reads.py
+++ b/src/orchidpath/control/replica/pending_reads.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-from orchidpath.consensus.core import RaftCore
 from orchidpath.consensus.errors import NotLeaderError
+from orchidpath.consensus.raft_core import RaftCore
 from orchidpath.consensus.types import ReadTicket
-from orchidpath.control.effects import ReadFailed, ReadReady
+from orchidpath.control.replica.control_effects import ReadFailed, ReadReady
 
 READ_WAIT_SECONDS = 1.0
 """A linearizable read that is not ready after this long has failed."""
@@ -16,7 +16,7 @@
     ticket: ReadTicket
 
 
-class ReadBook:
+class PendingReads:
     """Reads asked for at this replica and not answered yet.
 
     Parameters
--- a/src/orchidpath/control/runner.py
+++ b/src/orchidpath/control/replica/replica_loop.py
@@ -13,8 +13,8 @@
 from orchidpath.consensus.effects import PersistEntries, PersistHardState, PersistSnapshot
 from orchidpath.consensus.errors import ConsensusError
 from orchidpath.consensus.storage import LogStorage
-from orchidpath.control.core import ControlCore
-from orchidpath.control.effects import ControlEffect, PersistEffect
+from orchidpath.control.replica.control_effects import ControlEffect, PersistEffect
+from orchidpath.control.replica.control_replica import ControlCore
 
 CoreEvent = Callable[[float], list[ControlEffect]]
 """One call of the core, given the time at which it is made."""
--- a/src/orchidpath/control/worker_orders.py
+++ b/src/orchidpath/control/worker_commands.py
@@ -10,30 +10,30 @@
 import aiohttp
 import msgspec
 
-from orchidpath.wire.backend import WorkerOrder, WorkerOrderReply
+from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 
 WORKER_ORDER_TIMEOUT_SECONDS = 2.0
 """Bound on a worker's answer to an order."""
 
 ORDERS_PATH = "/v1/orders"
 
-AnswerHandler = Callable[[WorkerOrder, WorkerOrderReply | None], None]
+AnswerHandler = Callable[[WorkerCommand, WorkerCommandReply | None], None]
 
 
-class OrderFormat:
+class WorkerCommandFormat:
     """How an order is written to a worker, and how its answer is read; the product's own form."""
 
     path = ORDERS_PATH
 
-    def headers(self, order: WorkerOrder) -> dict[str, str]:
+    def headers(self, order: WorkerCommand) -> dict[str, str]:
         """Return the headers of an order."""
         return {}
 
-    def body(self, order: WorkerOrder) -> bytes:
+    def body(self, order: WorkerCommand) -> bytes:
         """Return the body of an order."""
         return msgspec.json.encode(order)
 
-    def read_answer(self, order: WorkerOrder, status: int, body: bytes) -> WorkerOrderReply:
+    def read_answer(self, order: WorkerCommand, status: int, body: bytes) -> WorkerCommandReply:
         """Return what a worker answered.
 
         Raises
@@ -41,10 +41,10 @@
         msgspec.MsgspecError, ValueError
             It is no answer to an order.
         """
-        return msgspec.json.decode(body, type=WorkerOrderReply)
+        return msgspec.json.decode(body, type=WorkerCommandReply)
 
 
-class WorkerOrderSender:
+class WorkerCommandSender:
     """Posts orders, each in a task of its own.
 
     Parameters
@@ -55,13 +55,15 @@
         How orders are written.
     """
 
-    def __init__(self, on_answer: AnswerHandler, order_format: OrderFormat | None = None) -> None:
+    def __init__(
+        self, on_answer: AnswerHandler, command_format: WorkerCommandFormat | None = None
+    ) -> None:
         self._on_answer = on_answer
-        self._format = order_format or OrderFormat()
+        self._format = command_format or WorkerCommandFormat()
         self._session: aiohttp.ClientSession | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def send(self, url: str, order: WorkerOrder) -> None:
+    def send(self, url: str, order: WorkerCommand) -> None:
         """Send an order to the worker at a base address; returns at once."""
         task = asyncio.create_task(self._post(url, order))
         self._tasks.add(task)
@@ -75,11 +77,11 @@
         if self._session is not None:
             await self._session.close()
 
-    async def _post(self, url: str, order: WorkerOrder) -> None:
+    async def _post(self, url: str, order: WorkerCommand) -> None:
         if self._session is None:
             timeout = aiohttp.ClientTimeout(total=WORKER_ORDER_TIMEOUT_SECONDS)
             self._session = aiohttp.ClientSession(timeout=timeout)
-        reply: WorkerOrderReply | None = None
+        reply: WorkerCommandReply | None = None
         try:
             posted = self._session.post(
                 url + self._format.path,
--- a/src/orchidpath/standins/announce_loop.py
+++ b/src/orchidpath/emulators/backend/announce_loop.py
@@ -6,9 +6,9 @@
 import aiohttp
 import msgspec
 
-from orchidpath.standins.announcing import AnnouncementPlan, Announcer
-from orchidpath.standins.http_exchange import base_url
-from orchidpath.standins.polling import wait_for_event, wait_until
+from orchidpath.emulators.backend.announcing import AnnouncementPlan, Announcer
+from orchidpath.emulators.backend.http_exchange import base_url
+from orchidpath.emulators.backend.polling import wait_for_event, wait_until
 from orchidpath.wire.backend import AnnouncementReply
 from orchidpath.wire.records import WorkerRecord
 
--- a/src/orchidpath/standins/attempts.py
+++ b/src/orchidpath/emulators/backend/attempts.py
@@ -26,7 +26,7 @@
 class Phase(StrEnum):
     """What an attempt does on a back end; only EXECUTION must happen at most once per request."""
 
-    PROMPT_READ = "prompt_read"
+    PREFILL_DONE = "prompt_read"
     EXECUTION = "execution"
 
 
--- a/src/orchidpath/standins/backend_core.py
+++ b/src/orchidpath/emulators/backend/backend_core.py
@@ -6,23 +6,23 @@
 
 import msgspec
 
-from orchidpath.standins.attempts import Admission, AttemptRegistry, Phase
-from orchidpath.standins.order_fence import OrderFence
-from orchidpath.standins.reports import BackendCounts, BackendReport, ExecutionLog
-from orchidpath.standins.worker_model import InFlightLimit
+from orchidpath.emulators.backend.attempts import Admission, AttemptRegistry, Phase
+from orchidpath.emulators.backend.command_fence import CommandFence
+from orchidpath.emulators.backend.reports import BackendCounts, BackendReport, ExecutionLog
+from orchidpath.emulators.worker.engine_model import InFlightLimit
 from orchidpath.wire.backend import (
     CancelReply,
     ErrorBody,
     ErrorCode,
-    OrderKind,
     Ran,
-    WorkerOrder,
-    WorkerOrderReply,
+    WorkerCommand,
+    WorkerCommandKind,
+    WorkerCommandReply,
 )
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
 
-class AttemptOrder(msgspec.Struct, frozen=True, kw_only=True):
+class AttemptDispatch(msgspec.Struct, frozen=True, kw_only=True):
     """The part of any execution order that admission looks at."""
 
     request_id: str
@@ -48,7 +48,7 @@
         self._draining = False
         self._terminating = False
         self.attempts = AttemptRegistry()
-        self.fence = OrderFence()
+        self.fence = CommandFence()
         self.limit = InFlightLimit(max_in_flight)
         self.counts = BackendCounts()
         self.log = ExecutionLog(record.worker_id, record.incarnation)
@@ -80,7 +80,9 @@
         """Refuse new attempts until the process ends; no order undoes this."""
         self._terminating = True
 
-    def admit(self, order: AttemptOrder, now: float, refuse_all: bool = False) -> ErrorBody | None:
+    def admit(
+        self, order: AttemptDispatch, now: float, refuse_all: bool = False
+    ) -> ErrorBody | None:
         """Take in an attempt, or return why not.
 
         The attempt id is claimed before anything else is looked at, so that a refusal for another
@@ -88,7 +90,7 @@
 
         Parameters
         ----------
-        order : AttemptOrder
+        order : AttemptDispatch
             What is ordered.
         now : float
             Monotonic time in seconds.
@@ -108,21 +110,23 @@
             return self.refuse(order, objection, "not taken in", now)
         return None
 
-    def start(self, order: AttemptOrder, now: float) -> bool:
+    def start(self, order: AttemptDispatch, now: float) -> bool:
         """Let an admitted attempt run; false when it was cancelled meanwhile."""
         return self.attempts.start(order.attempt_id, order.phase, now)
 
-    def leave(self, order: AttemptOrder, now: float) -> None:
+    def leave(self, order: AttemptDispatch, now: float) -> None:
         """Give back the place of an admitted attempt."""
         self.attempts.finish(order.attempt_id, order.phase, now)
         self.limit.leave()
 
-    def refuse(self, order: AttemptOrder, code: ErrorCode, message: str, now: float) -> ErrorBody:
+    def refuse(
+        self, order: AttemptDispatch, code: ErrorCode, message: str, now: float
+    ) -> ErrorBody:
         """Refuse an attempt that did not start, and promise that it never will."""
         ran = self.attempts.refuse(order.attempt_id, order.phase, now)
         return self.error(order, code, message, ran)
 
-    def error(self, order: AttemptOrder, code: ErrorCode, message: str, ran: Ran) -> ErrorBody:
+    def error(self, order: AttemptDispatch, code: ErrorCode, message: str, ran: Ran) -> ErrorBody:
         """Make the body of a refusal and count it."""
         self.counts.refused += 1
         return ErrorBody(
@@ -142,19 +146,19 @@
             incarnation=self._record.incarnation,
         )
 
-    def obey(self, order: WorkerOrder, handles_outstanding: int) -> WorkerOrderReply:
+    def obey(self, order: WorkerCommand, handles_outstanding: int) -> WorkerCommandReply:
         """Obey a fenced order, or say why not.
 
         Parameters
         ----------
-        order : WorkerOrder
+        order : WorkerCommand
             The order.
         handles_outstanding : int
             KV caches still held for a hand-over; a worker that holds any is not idle.
 
         Returns
         -------
-        WorkerOrderReply
+        WorkerCommandReply
             Also names the highest fence seen.
         """
         reason = self._order_objection(order, handles_outstanding)
@@ -163,7 +167,7 @@
         else:
             self.counts.orders_obeyed += 1
             self._carry_out(order)
-        return WorkerOrderReply(
+        return WorkerCommandReply(
             accepted=not reason,
             highest_term=self.fence.term,
             highest_sequence=self.fence.sequence,
@@ -192,14 +196,14 @@
             counts=self.counts,
         )
 
-    def _turn_away(self, order: AttemptOrder, admission: Admission) -> ErrorBody:
+    def _turn_away(self, order: AttemptDispatch, admission: Admission) -> ErrorBody:
         if admission is Admission.FULL:
             # Nothing is remembered of this attempt, so nothing may be promised about it.
             return self.error(order, ErrorCode.OVERLOADED, "attempt memory full", Ran.UNKNOWN)
         ran = self.attempts.ran(order.attempt_id, order.phase)
         return self.error(order, ErrorCode.ATTEMPT_REFUSED, f"attempt id: {admission}", ran)
 
-    def _objection(self, order: AttemptOrder, refuse_all: bool) -> ErrorCode | None:
+    def _objection(self, order: AttemptDispatch, refuse_all: bool) -> ErrorCode | None:
         if self.draining:
             return ErrorCode.DRAINING
         if order.stage is not self._record.stage:
@@ -210,14 +214,14 @@
             return ErrorCode.OVERLOADED
         return None
 
-    def _order_objection(self, order: WorkerOrder, handles_outstanding: int) -> str:
+    def _order_objection(self, order: WorkerCommand, handles_outstanding: int) -> str:
         if order.worker_id != self._record.worker_id:
             return "another worker"
         if order.incarnation != self._record.incarnation:
             return "another incarnation"
         if not self.fence.pass_order(order):
             return ErrorCode.STALE_ORDER.value
-        if order.kind is not OrderKind.SET_STAGE:
+        if order.kind is not WorkerCommandKind.SET_STAGE:
             return ""
         if order.stage is None or (order.stage is Stage.PLAIN) != (
             self._record.stage is Stage.PLAIN
@@ -227,10 +231,10 @@
             return "not idle"
         return ""
 
-    def _carry_out(self, order: WorkerOrder) -> None:
-        if order.kind is OrderKind.DRAIN:
+    def _carry_out(self, order: WorkerCommand) -> None:
+        if order.kind is WorkerCommandKind.DRAIN:
             self.drain()
-        elif order.kind is OrderKind.RESUME:
+        elif order.kind is WorkerCommandKind.RESUME:
             self.resume()
         elif order.stage is not None:
             self._record = msgspec.structs.replace(self._record, stage=order.stage)
--- a/src/orchidpath/standins/backend_shell.py
+++ b/src/orchidpath/emulators/backend/backend_shell.py
@@ -10,24 +10,24 @@
 from aiohttp import web
 from aiohttp.typedefs import Middleware
 
-from orchidpath.standins.announce_loop import AnnounceLoop
-from orchidpath.standins.announcing import Announcer
-from orchidpath.standins.attempts import Phase
-from orchidpath.standins.backend_core import AttemptOrder, BackendCore
-from orchidpath.standins.faults import Fault, FaultBoard, FaultKind, FaultReply
-from orchidpath.standins.http_exchange import (
+from orchidpath.emulators.backend.announce_loop import AnnounceLoop
+from orchidpath.emulators.backend.announcing import Announcer
+from orchidpath.emulators.backend.attempts import Phase
+from orchidpath.emulators.backend.backend_core import AttemptDispatch, BackendCore
+from orchidpath.emulators.backend.http_exchange import (
     MAX_BODY_BYTES,
     abort_connection,
     error_response,
     json_response,
     read_struct,
 )
-from orchidpath.standins.polling import wait_until
+from orchidpath.emulators.backend.injected_faults import Fault, FaultBoard, FaultKind, FaultReply
+from orchidpath.emulators.backend.polling import wait_until
 from orchidpath.wire.backend import (
     ErrorCode,
-    OrderKind,
     Ran,
-    WorkerOrder,
+    WorkerCommand,
+    WorkerCommandKind,
 )
 from orchidpath.wire.records import WorkerRecord
 
@@ -166,17 +166,17 @@
     def on_stage_set(self) -> None:
         """Forget what belonged to the former stage."""
 
-    def lapse_handles(self) -> None:
+    def expire_handles(self) -> None:
         """Drop every handle."""
 
     async def admitted(
-        self, order: AttemptOrder, work: Callable[[], Awaitable[web.StreamResponse]]
+        self, order: AttemptDispatch, work: Callable[[], Awaitable[web.StreamResponse]]
     ) -> web.StreamResponse:
         """Run work under admission control.
 
         Parameters
         ----------
-        order : AttemptOrder
+        order : AttemptDispatch
             What is ordered.
         work : callable
             Called when the attempt was taken in; its place is given back afterwards.
@@ -195,7 +195,7 @@
         finally:
             self.core.leave(order, self.now())
 
-    def begin(self, order: AttemptOrder) -> web.Response | None:
+    def begin(self, order: AttemptDispatch) -> web.Response | None:
         """Start an admitted attempt: log and count it, or answer that it was cancelled."""
         if self.core.start(order, self.now()):
             record = self.core.log.add(order.phase, order.request_id, order.attempt_id)
@@ -207,7 +207,9 @@
             self.core.error(order, ErrorCode.ATTEMPT_REFUSED, "cancelled before its start", ran)
         )
 
-    async def spoil_answer(self, request: web.Request, order: AttemptOrder) -> web.Response | None:
+    async def spoil_answer(
+        self, request: web.Request, order: AttemptDispatch
+    ) -> web.Response | None:
         """Apply the faults that follow the work and precede its answer."""
         late = self.faults.take(FaultKind.ANSWER_LATE, self.now())
         if late is not None:
@@ -226,7 +228,7 @@
         """Tell whether executions are answered by a stream."""
         return False
 
-    def answer_identity(self, order: AttemptOrder) -> AttemptOrder:
+    def answer_identity(self, order: AttemptDispatch) -> AttemptDispatch:
         """Return whose answer is sent: the attempt's own, or by a fault another one's."""
         if self.faults.take(FaultKind.WRONG_ATTEMPT_ECHO, self.now()) is None:
             return order
@@ -261,9 +263,9 @@
         return json_response(reply, attempt_id=attempt_id)
 
     async def _orders(self, request: web.Request) -> web.StreamResponse:
-        order = await read_struct(request, WorkerOrder)
+        order = await read_struct(request, WorkerCommand)
         reply = self.core.obey(order, self.handles_outstanding())
-        if reply.accepted and order.kind is OrderKind.SET_STAGE:
+        if reply.accepted and order.kind is WorkerCommandKind.SET_STAGE:
             self.on_stage_set()
         self.announce_change()
         return json_response(reply)
@@ -284,8 +286,8 @@
         match fault.kind:
             case FaultKind.CRASH:
                 os._exit(CRASH_STATUS)
-            case FaultKind.LAPSE_HANDLES:
-                self.lapse_handles()
+            case FaultKind.EXPIRE_HANDLES:
+                self.expire_handles()
             case FaultKind.CLEAR:
                 self.faults.clear()
             case FaultKind.DRAIN:
--- a/src/orchidpath/standins/order_fence.py
+++ b/src/orchidpath/emulators/backend/command_fence.py
@@ -1,9 +1,9 @@
 """The fence of a worker's orders: an order from a deposed leader is refused."""
 
-from orchidpath.wire.backend import WorkerOrder
+from orchidpath.wire.backend import WorkerCommand
 
 
-class OrderFence:
+class CommandFence:
     """The highest ``(term, sequence)`` that an incarnation has seen.
 
     The fence rises with every order that is addressed to this incarnation, also with one that is
@@ -14,12 +14,12 @@
         self.term = 0
         self.sequence = 0
 
-    def pass_order(self, order: WorkerOrder) -> bool:
+    def pass_order(self, order: WorkerCommand) -> bool:
         """Raise the fence to an order above it; tell whether the order was above it.
 
         Parameters
         ----------
-        order : WorkerOrder
+        order : WorkerCommand
             An order addressed to this incarnation.
 
         Returns
--- a/src/orchidpath/standins/faults.py
+++ b/src/orchidpath/emulators/backend/injected_faults.py
@@ -8,7 +8,7 @@
 class FaultKind(StrEnum):
     """What goes wrong.
 
-    Acting at once: CRASH, LAPSE_HANDLES, DRAIN, RESUME and CLEAR (ends every fault). The others
+    Acting at once: CRASH, EXPIRE_HANDLES, DRAIN, RESUME and CLEAR (ends every fault). The others
     last for ``seconds`` or for the next ``count`` requests, or until cleared when both are zero.
     """
 
@@ -38,7 +38,7 @@
     """No KV cache passes between this worker and ``worker_id`` (every worker when empty)."""
     SLOW_LINK = "slow_link"
     """The hand-over with ``worker_id`` takes ``factor`` times as long."""
-    LAPSE_HANDLES = "lapse_handles"
+    EXPIRE_HANDLES = "lapse_handles"
     DRAIN = "drain"
     RESUME = "resume"
     CLEAR = "clear"
--- a/src/orchidpath/standins/reports.py
+++ b/src/orchidpath/emulators/backend/reports.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from orchidpath.standins.attempts import Phase
+from orchidpath.emulators.backend.attempts import Phase
 from orchidpath.wire.records import Stage, WorkerStatus
 
 MAX_LOGGED_EXECUTIONS = 100_000
--- a/src/orchidpath/standins/arrivals.py
+++ b/src/orchidpath/emulators/client/arrivals.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from orchidpath.standins.traffic_mix import RatePoint, Swing, TrafficMix, TrafficStream
+from orchidpath.emulators.client.traffic_mix import RatePoint, Swing, TrafficMix, TrafficStream
 
 
 class Arrival(msgspec.Struct, frozen=True, kw_only=True, order=True):
--- a/src/orchidpath/standins/caller.py
+++ b/src/orchidpath/emulators/client/caller.py
@@ -8,25 +8,25 @@
 import aiohttp
 import msgspec
 
-from orchidpath.standins.arrivals import Arrival, all_arrivals
-from orchidpath.standins.caller_report import (
+from orchidpath.emulators.backend.polling import wait_for_event
+from orchidpath.emulators.client.arrivals import Arrival, all_arrivals
+from orchidpath.emulators.client.caller_report import (
     CallerProgress,
     CallerSummary,
     CallerTally,
     RequestResult,
     result_of,
 )
-from orchidpath.standins.polling import wait_for_event
-from orchidpath.standins.request_plan import PlannedRequest, RequestPlanner
-from orchidpath.standins.return_policy import ReturnPolicy, may_return, pause_seconds
-from orchidpath.standins.router_client import (
+from orchidpath.emulators.client.request_plan import PlannedRequest, RequestPlanner
+from orchidpath.emulators.client.return_policy import ReturnPolicy, may_return, pause_seconds
+from orchidpath.emulators.client.router_client import (
     RouterClient,
     RouterUnreachableError,
     make_session,
 )
-from orchidpath.standins.router_selection import RouterSelection
-from orchidpath.standins.traffic_mix import TrafficMix
-from orchidpath.standins.verification import Outcome
+from orchidpath.emulators.client.router_selection import RouterSelection
+from orchidpath.emulators.client.traffic_mix import TrafficMix
+from orchidpath.emulators.client.verification import Outcome
 
 PROBE_PERIOD_SECONDS = 0.5
 """Time between two readiness probes of a router."""
--- a/src/orchidpath/standins/caller_report.py
+++ b/src/orchidpath/emulators/client/caller_report.py
@@ -5,9 +5,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from orchidpath.standins.request_plan import PlannedRequest
-from orchidpath.standins.traffic_mix import TrafficKind
-from orchidpath.standins.verification import Outcome
+from orchidpath.emulators.client.request_plan import PlannedRequest
+from orchidpath.emulators.client.traffic_mix import TrafficKind
+from orchidpath.emulators.client.verification import Outcome
 
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 3_600_000_000
--- a/src/orchidpath/standins/request_plan.py
+++ b/src/orchidpath/emulators/client/request_plan.py
@@ -6,7 +6,7 @@
 import msgspec
 import xxhash
 
-from orchidpath.standins.traffic_mix import (
+from orchidpath.emulators.client.traffic_mix import (
     TokenDistribution,
     TrafficKind,
     TrafficMix,
--- a/src/orchidpath/standins/return_policy.py
+++ b/src/orchidpath/emulators/client/return_policy.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from orchidpath.standins.caller_report import RequestResult
-from orchidpath.standins.verification import Outcome
+from orchidpath.emulators.client.caller_report import RequestResult
+from orchidpath.emulators.client.verification import Outcome
 from orchidpath.wire.backend import Ran
 
 RETRY_LATER_STATUSES = frozenset({429, 503})
--- a/src/orchidpath/standins/router_client.py
+++ b/src/orchidpath/emulators/client/router_client.py
@@ -5,10 +5,10 @@
 import aiohttp
 import msgspec
 
-from orchidpath.standins.caller_report import RequestResult, TimeRecorder, result_of
-from orchidpath.standins.request_plan import PlannedRequest
-from orchidpath.standins.traffic_mix import TrafficKind
-from orchidpath.standins.verification import (
+from orchidpath.emulators.client.caller_report import RequestResult, TimeRecorder, result_of
+from orchidpath.emulators.client.request_plan import PlannedRequest
+from orchidpath.emulators.client.traffic_mix import TrafficKind
+from orchidpath.emulators.client.verification import (
     Outcome,
     StreamVerifier,
     judge_call,
--- a/src/orchidpath/standins/verification.py
+++ b/src/orchidpath/emulators/client/verification.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from orchidpath.standins.answers import expected_text, is_expected_call_body
-from orchidpath.standins.server_sent_events import EventParser, ServerSentEvent
+from orchidpath.emulators.backend.answers import expected_text, is_expected_call_body
+from orchidpath.emulators.client.server_sent_events import EventParser, ServerSentEvent
 
 END_OF_STREAM = "[DONE]"
 """Data of the last event of a client's stream."""
--- a/src/orchidpath/standins/service.py
+++ b/src/orchidpath/emulators/plain_service.py
@@ -6,12 +6,12 @@
 import msgspec
 from aiohttp import web
 
-from orchidpath.standins.answers import expected_call_body
-from orchidpath.standins.attempts import Phase
-from orchidpath.standins.backend_core import AttemptOrder
-from orchidpath.standins.backend_shell import BackendSettings, BackendShell
-from orchidpath.standins.faults import FaultKind
-from orchidpath.standins.http_exchange import json_response, read_struct
+from orchidpath.emulators.backend.answers import expected_call_body
+from orchidpath.emulators.backend.attempts import Phase
+from orchidpath.emulators.backend.backend_core import AttemptDispatch
+from orchidpath.emulators.backend.backend_shell import BackendSettings, BackendShell
+from orchidpath.emulators.backend.http_exchange import json_response, read_struct
+from orchidpath.emulators.backend.injected_faults import FaultKind
 from orchidpath.wire.backend import CallReply, CallRequest
 from orchidpath.wire.records import Stage, WorkerRecord
 
@@ -77,7 +77,7 @@
 
     async def _call(self, request: web.Request) -> web.StreamResponse:
         call = await read_struct(request, CallRequest)
-        order = AttemptOrder(
+        order = AttemptDispatch(
             request_id=call.request_id,
             attempt_id=call.attempt_id,
             phase=Phase.EXECUTION,
@@ -86,7 +86,7 @@
         return await self.admitted(order, lambda: self._answer(request, call, order))
 
     async def _answer(
-        self, request: web.Request, call: CallRequest, order: AttemptOrder
+        self, request: web.Request, call: CallRequest, order: AttemptDispatch
     ) -> web.StreamResponse:
         refusal = self.begin(order)
         if refusal is not None:
--- a/src/orchidpath/standins/process.py
+++ b/src/orchidpath/emulators/process.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from orchidpath.standins.backend_shell import BackendShell
-from orchidpath.standins.caller import Callers, CallerSettings
-from orchidpath.standins.caller_report import CallerProgress, CallerSummary
+from orchidpath.emulators.backend.backend_shell import BackendShell
+from orchidpath.emulators.client.caller import Callers, CallerSettings
+from orchidpath.emulators.client.caller_report import CallerProgress, CallerSummary
 
 EXIT_AT_ONCE_STATUS = 130
 """Exit status after a second signal."""
--- a/src/orchidpath/standins/frames.py
+++ b/src/orchidpath/emulators/worker/frames.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from orchidpath.standins.answers import expected_token
+from orchidpath.emulators.backend.answers import expected_token
 from orchidpath.wire.backend import DecodeFrame, FrameKind
 
 
--- a/src/orchidpath/standins/kv_cache.py
+++ b/src/orchidpath/emulators/worker/kv_cache.py
@@ -98,7 +98,7 @@
     """Answer to a decode worker that asks for a KV cache."""
 
     GRANTED = "granted"
-    LAPSED = "lapsed"
+    EXPIRED = "lapsed"
     MISMATCH = "mismatch"
 
 
@@ -118,7 +118,7 @@
     prompt_tokens: int = 0
 
 
-class HeldHandle(msgspec.Struct, frozen=True, kw_only=True):
+class StoredHandle(msgspec.Struct, frozen=True, kw_only=True):
     """A handle that was given out and not used yet."""
 
     request_id: str
@@ -141,15 +141,15 @@
     def __init__(self, incarnation: str, lifetime_seconds: float) -> None:
         self.incarnation = incarnation
         self.lifetime_seconds = lifetime_seconds
-        self._handles: OrderedDict[str, HeldHandle] = OrderedDict()
+        self._handles: OrderedDict[str, StoredHandle] = OrderedDict()
         self._issued = 0
 
     def issue(self, request_id: str, attempt_id: str, prompt_tokens: int, now: float) -> str:
         """Give out a handle and return its id."""
-        self._drop_lapsed(now)
+        self._drop_expired(now)
         self._issued += 1
         handle_id = f"{self.incarnation}-{self._issued}"
-        self._handles[handle_id] = HeldHandle(
+        self._handles[handle_id] = StoredHandle(
             request_id=request_id,
             attempt_id=attempt_id,
             prompt_tokens=prompt_tokens,
@@ -172,12 +172,12 @@
         ClaimAnswer
             A mismatch leaves the handle in place for the one it belongs to.
         """
-        self._drop_lapsed(now)
+        self._drop_expired(now)
         if claim.incarnation != self.incarnation:
             return ClaimAnswer(verdict=HandleVerdict.MISMATCH)
         held = self._handles.get(claim.handle_id)
         if held is None:
-            return ClaimAnswer(verdict=HandleVerdict.LAPSED)
+            return ClaimAnswer(verdict=HandleVerdict.EXPIRED)
         if (held.request_id, held.attempt_id) != (claim.request_id, claim.attempt_id):
             return ClaimAnswer(verdict=HandleVerdict.MISMATCH)
         del self._handles[claim.handle_id]
@@ -189,7 +189,7 @@
         for handle_id in gone:
             del self._handles[handle_id]
 
-    def lapse_all(self) -> int:
+    def expire_all(self) -> int:
         """Drop every handle and return how many there were."""
         count = len(self._handles)
         self._handles.clear()
@@ -197,10 +197,10 @@
 
     def outstanding(self, now: float) -> int:
         """Return how many handles are held and not lapsed."""
-        self._drop_lapsed(now)
+        self._drop_expired(now)
         return len(self._handles)
 
-    def _drop_lapsed(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         # Every handle lives equally long, so the oldest lapses first.
         while self._handles:
             handle_id, held = next(iter(self._handles.items()))
--- a/src/orchidpath/standins/hand_over.py
+++ b/src/orchidpath/emulators/worker/kv_pull.py
@@ -5,11 +5,11 @@
 import aiohttp
 import msgspec
 
-from orchidpath.standins.faults import FaultBoard, FaultKind
-from orchidpath.standins.http_exchange import base_url
+from orchidpath.emulators.backend.http_exchange import base_url
+from orchidpath.emulators.backend.injected_faults import FaultBoard, FaultKind
 from orchidpath.wire.backend import CacheHandle, DecodeRequest, ErrorCode, ErrorEnvelope
 
-DENIALS = frozenset({ErrorCode.HANDLE_LAPSED, ErrorCode.HANDLE_MISMATCH})
+DENIALS = frozenset({ErrorCode.HANDLE_EXPIRED, ErrorCode.HANDLE_MISMATCH})
 """Codes by which a prefill worker denies a handle."""
 
 
@@ -23,7 +23,7 @@
     kv_bytes: int
 
 
-class HandOverFailure(msgspec.Struct, frozen=True, kw_only=True):
+class KvTransferFailure(msgspec.Struct, frozen=True, kw_only=True):
     """Why a KV cache could not be had: its prefill worker denied it, or was not reached."""
 
     code: ErrorCode
@@ -57,7 +57,7 @@
         self._worker_id = worker_id
         self._timeout_seconds = timeout_seconds
 
-    async def pull(self, order: DecodeRequest) -> HandOverFailure | None:
+    async def pull(self, order: DecodeRequest) -> KvTransferFailure | None:
         """Pull the KV cache that an order names.
 
         Parameters
@@ -67,7 +67,7 @@
 
         Returns
         -------
-        HandOverFailure or None
+        KvTransferFailure or None
             None when the whole KV cache is here.
         """
         handle = order.handle
@@ -86,7 +86,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError) as problem:
             return _unreachable(handle, type(problem).__name__)
 
-    async def _fetch(self, handle: CacheHandle) -> HandOverFailure | None:
+    async def _fetch(self, handle: CacheHandle) -> KvTransferFailure | None:
         url = f"{base_url(handle.url)}/v1/kv/{handle.handle_id}"
         query = {
             "request_id": handle.request_id,
@@ -104,18 +104,18 @@
         return None
 
 
-def _mismatch(message: str) -> HandOverFailure:
-    return HandOverFailure(code=ErrorCode.HANDLE_MISMATCH, message=message)
+def _mismatch(message: str) -> KvTransferFailure:
+    return KvTransferFailure(code=ErrorCode.HANDLE_MISMATCH, message=message)
 
 
-def _unreachable(handle: CacheHandle, cause: str) -> HandOverFailure:
+def _unreachable(handle: CacheHandle, cause: str) -> KvTransferFailure:
     message = f"prefill worker {handle.worker_id} unreachable: {cause}"
-    return HandOverFailure(code=ErrorCode.UPSTREAM_FAILED, message=message)
+    return KvTransferFailure(code=ErrorCode.UPSTREAM_FAILED, message=message)
 
 
-def _denied(handle: CacheHandle, content: bytes) -> HandOverFailure:
+def _denied(handle: CacheHandle, content: bytes) -> KvTransferFailure:
     error = msgspec.json.decode(content, type=ErrorEnvelope).error
     if error.code not in DENIALS:
         return _unreachable(handle, error.code)
     message = f"prefill worker {handle.worker_id} denied the handle: {error.message}"
-    return HandOverFailure(code=error.code, message=message)
+    return KvTransferFailure(code=error.code, message=message)
--- a/src/orchidpath/standins/worker.py
+++ b/src/orchidpath/emulators/worker/model_worker.py
@@ -5,29 +5,19 @@
 import msgspec
 from aiohttp import web
 
-from orchidpath.standins.attempts import Phase
-from orchidpath.standins.backend_core import AttemptOrder
-from orchidpath.standins.backend_shell import BackendSettings, BackendShell
-from orchidpath.standins.faults import Fault, FaultKind
-from orchidpath.standins.frames import StreamPlan, decode_frames
-from orchidpath.standins.hand_over import CachePuller, KvTransfer
-from orchidpath.standins.http_exchange import (
+from orchidpath.emulators.backend.attempts import Phase
+from orchidpath.emulators.backend.backend_core import AttemptDispatch
+from orchidpath.emulators.backend.backend_shell import BackendSettings, BackendShell
+from orchidpath.emulators.backend.http_exchange import (
     abort_connection,
     error_response,
     is_closed,
     json_response,
     read_struct,
 )
-from orchidpath.standins.kv_cache import (
-    HandleClaim,
-    HandleTable,
-    HandleVerdict,
-    PrefixCache,
-    block_keys,
-    count_tokens,
-)
-from orchidpath.standins.polling import wait_until
-from orchidpath.standins.worker_model import (
+from orchidpath.emulators.backend.injected_faults import Fault, FaultKind
+from orchidpath.emulators.backend.polling import wait_until
+from orchidpath.emulators.worker.engine_model import (
     SerialResource,
     WorkerTiming,
     decode_interval_seconds,
@@ -35,6 +25,16 @@
     transfer_bytes,
     transfer_seconds,
 )
+from orchidpath.emulators.worker.frames import StreamPlan, decode_frames
+from orchidpath.emulators.worker.kv_cache import (
+    HandleClaim,
+    HandleTable,
+    HandleVerdict,
+    PrefixCache,
+    block_keys,
+    count_tokens,
+)
+from orchidpath.emulators.worker.kv_pull import CachePuller, KvTransfer
 from orchidpath.wire.backend import (
     ATTEMPT_HEADER,
     CacheHandle,
@@ -50,7 +50,7 @@
 from orchidpath.wire.records import Stage, WorkerRecord
 
 VERDICT_CODES = {
-    HandleVerdict.LAPSED: ErrorCode.HANDLE_LAPSED,
+    HandleVerdict.EXPIRED: ErrorCode.HANDLE_EXPIRED,
     HandleVerdict.MISMATCH: ErrorCode.HANDLE_MISMATCH,
 }
 
@@ -85,7 +85,7 @@
         super().add_routes(app)
         app.router.add_post("/v1/prefill", self._prefill)
         app.router.add_post("/v1/decode", self._decode)
-        app.router.add_get("/v1/kv/{handle_id}", self._hand_over)
+        app.router.add_get("/v1/kv/{handle_id}", self._transfer_kv)
 
     def handles_outstanding(self) -> int:
         """Return how many KV caches are held for a hand-over or being handed over."""
@@ -98,11 +98,11 @@
     def on_stage_set(self) -> None:
         """Forget the cache of the former stage."""
         self._cache.clear()
-        self._handles.lapse_all()
+        self._handles.expire_all()
 
-    def lapse_handles(self) -> None:
+    def expire_handles(self) -> None:
         """Drop every handle."""
-        self._handles.lapse_all()
+        self._handles.expire_all()
 
     def streams(self) -> bool:
         """Tell that executions are answered by a stream."""
@@ -110,17 +110,17 @@
 
     async def _prefill(self, request: web.Request) -> web.StreamResponse:
         body = await read_struct(request, PrefillRequest)
-        order = AttemptOrder(
+        order = AttemptDispatch(
             request_id=body.request_id,
             attempt_id=body.attempt_id,
-            phase=Phase.PROMPT_READ,
+            phase=Phase.PREFILL_DONE,
             stage=Stage.PREFILL,
             model=body.model,
         )
-        return await self.admitted(order, lambda: self._read_prompt(request, body, order))
+        return await self.admitted(order, lambda: self._start_prefill(request, body, order))
 
-    async def _read_prompt(
-        self, request: web.Request, body: PrefillRequest, order: AttemptOrder
+    async def _start_prefill(
+        self, request: web.Request, body: PrefillRequest, order: AttemptDispatch
     ) -> web.StreamResponse:
         refusal = self.begin(order)
         if refusal is not None:
@@ -155,7 +155,7 @@
         self._cache.insert(keys)
         return cached_tokens
 
-    def _issue_handle(self, order: AttemptOrder, prompt_tokens: int) -> CacheHandle:
+    def _issue_handle(self, order: AttemptDispatch, prompt_tokens: int) -> CacheHandle:
         record = self.core.record
         handle_id = self._handles.issue(
             order.request_id, order.attempt_id, prompt_tokens, self.now()
@@ -171,7 +171,7 @@
             expires_in_seconds=self._timing.handle_lifetime_seconds,
         )
 
-    async def _hand_over(self, request: web.Request) -> web.StreamResponse:
+    async def _transfer_kv(self, request: web.Request) -> web.StreamResponse:
         claim = HandleClaim(
             handle_id=request.match_info["handle_id"],
             request_id=request.query.get("request_id", ""),
@@ -219,7 +219,7 @@
 
     async def _decode(self, request: web.Request) -> web.StreamResponse:
         body = await read_struct(request, DecodeRequest)
-        order = AttemptOrder(
+        order = AttemptDispatch(
             request_id=body.request_id,
             attempt_id=body.attempt_id,
             phase=Phase.EXECUTION,
@@ -229,7 +229,7 @@
         return await self.admitted(order, lambda: self._run_decode(request, body, order))
 
     async def _run_decode(
-        self, request: web.Request, body: DecodeRequest, order: AttemptOrder
+        self, request: web.Request, body: DecodeRequest, order: AttemptDispatch
     ) -> web.StreamResponse:
         puller = CachePuller(
             self.session,
@@ -254,7 +254,7 @@
             self._streams -= 1
 
     async def _stream(
-        self, request: web.Request, body: DecodeRequest, order: AttemptOrder
+        self, request: web.Request, body: DecodeRequest, order: AttemptDispatch
     ) -> web.StreamResponse:
         sender = self.answer_identity(order)
         plan = StreamPlan(
@@ -286,7 +286,7 @@
         request: web.Request,
         response: web.StreamResponse,
         plan: StreamPlan,
-        order: AttemptOrder,
+        order: AttemptDispatch,
     ) -> None:
         cut = self.faults.take(FaultKind.TRUNCATE, self.now())
         stall = self.faults.take(FaultKind.STALL, self.now())
--- a/src/orchidpath/fleet/executions.py
+++ b/src/orchidpath/fleet/executions.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from orchidpath.standins.attempts import Phase
-from orchidpath.standins.caller_report import RequestResult
-from orchidpath.standins.reports import ExecutionRecord
-from orchidpath.standins.verification import Outcome
+from orchidpath.emulators.backend.attempts import Phase
+from orchidpath.emulators.backend.reports import ExecutionRecord
+from orchidpath.emulators.client.caller_report import RequestResult
+from orchidpath.emulators.client.verification import Outcome
 from orchidpath.wire.backend import Ran
 from orchidpath.wire.configuration import Configuration
 
@@ -44,7 +44,7 @@
     def must_be_once(self, record: ExecutionRecord) -> bool:
         """Tell whether this start must be the only one of its phase and request."""
         service = self._service_by_worker.get(record.worker_id, "")
-        if record.phase is Phase.PROMPT_READ:
+        if record.phase is Phase.PREFILL_DONE:
             return service not in self._prompt_read_repeatable
         return service not in self._repeatable
 
--- a/src/orchidpath/fleet/fault_runner.py
+++ b/src/orchidpath/fleet/fault_runner.py
@@ -10,11 +10,11 @@
 import aiohttp
 import msgspec
 
-from orchidpath.fleet.faults import CutTable, TimedAction
+from orchidpath.emulators.backend.injected_faults import FaultKind
+from orchidpath.fleet.fault_timeline import CutTable, TimedAction
 from orchidpath.fleet.file import LEADER_TARGET, ScriptedFaultKind
 from orchidpath.fleet.layout import FleetLayout
 from orchidpath.fleet.processes import ChildProcess
-from orchidpath.standins.faults import FaultKind
 
 POST_TIMEOUT_SECONDS = 5.0
 """Bound on posting a fault to an emulated worker."""
--- a/src/orchidpath/fleet/faults.py
+++ b/src/orchidpath/fleet/fault_timeline.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from orchidpath.fleet.file import ScriptedFault, ScriptedFaultKind
-from orchidpath.wire.faults import ANY_NODE, LinkFault, LinkFaultFile
+from orchidpath.wire.link_faults import ANY_NODE, LinkFault, LinkFaultFile
 
 _ENDED_BY = {
     ScriptedFaultKind.KILL: ScriptedFaultKind.START,
--- a/src/orchidpath/fleet/file.py
+++ b/src/orchidpath/fleet/file.py
@@ -10,8 +10,8 @@
 from orchidpath.common.settings_checks import check_name
 from orchidpath.common.settings_file import convert_settings, read_table
 from orchidpath.common.typed_walk import Mismatch
-from orchidpath.standins.faults import Fault
-from orchidpath.standins.traffic_mix import TrafficMix, TrafficMixError, check_traffic_mix
+from orchidpath.emulators.backend.injected_faults import Fault
+from orchidpath.emulators.client.traffic_mix import TrafficMix, TrafficMixError, check_traffic_mix
 from orchidpath.state.validation import validate
 from orchidpath.wire.configuration import Configuration, ServiceKind
 from orchidpath.wire.records import Stage
--- a/src/orchidpath/fleet/runner.py
+++ b/src/orchidpath/fleet/runner.py
@@ -11,7 +11,9 @@
 import msgspec
 
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.control.operator_client import OperatorClient
+from orchidpath.control.api.operator_client import OperatorClient
+from orchidpath.emulators.backend.reports import ExecutionRecord
+from orchidpath.emulators.client.caller_report import CallerProgress, CallerSummary, RequestResult
 from orchidpath.fleet.executions import (
     ExecutionPolicy,
     decode_lines,
@@ -19,7 +21,7 @@
     repeated_executions,
 )
 from orchidpath.fleet.fault_runner import FaultRunner
-from orchidpath.fleet.faults import timeline
+from orchidpath.fleet.fault_timeline import timeline
 from orchidpath.fleet.file import FleetFile
 from orchidpath.fleet.layout import FleetLayout, ProcessKind, make_layout, ports_needed
 from orchidpath.fleet.ports import choose_ports
@@ -27,8 +29,6 @@
 from orchidpath.fleet.startup import POLL_SECONDS, FleetStartError, bring_into_service
 from orchidpath.fleet.summary import FleetSummary, RunEvidence, summarise
 from orchidpath.fleet.watch import ControlWatch
-from orchidpath.standins.caller_report import CallerProgress, CallerSummary, RequestResult
-from orchidpath.standins.reports import ExecutionRecord
 
 UNBOUNDED_SECONDS = 10_000_000.0
 """Time of the traffic when the run ends by Ctrl-C."""
--- a/src/orchidpath/fleet/startup.py
+++ b/src/orchidpath/fleet/startup.py
@@ -6,11 +6,11 @@
 import aiohttp
 
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.control.operator_client import (
+from orchidpath.control.api.operator_client import (
     NoControlAnswersError,
     OperatorClient,
-    OrderNotTakenError,
     OrderOutcomeUnknownError,
+    UpdateRejectedError,
 )
 from orchidpath.fleet.file import FleetFile
 from orchidpath.fleet.layout import FleetLayout, ProcessKind
@@ -70,7 +70,7 @@
     # A new fleet's newest version is 0, and the order id makes repetitions take effect once.
     try:
         reply = await client.submit(INITIAL_ORDER_ID, 0, fleet.configuration)
-    except (OrderNotTakenError, OrderOutcomeUnknownError):
+    except (UpdateRejectedError, OrderOutcomeUnknownError):
         return False
     return reply.confirmed
 
--- a/src/orchidpath/fleet/summary.py
+++ b/src/orchidpath/fleet/summary.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
+from orchidpath.emulators.client.caller_report import CallerSummary, Percentiles, RequestResult
+from orchidpath.emulators.client.verification import Outcome
 from orchidpath.fleet.executions import ExecutionKey
-from orchidpath.standins.caller_report import CallerSummary, Percentiles, RequestResult
-from orchidpath.standins.verification import Outcome
 from orchidpath.wire.backend import ErrorCode, Ran
 
 MAX_EXAMPLES = 10
@@ -105,7 +105,9 @@
     failures = [f"{count} {what}" for what, count in counted.items() if count]
     failures += _named("executions repeated", [key.request_id for key in evidence.repeated])
     failures += _named("requests ran after a promise of not run", evidence.refused_but_ran)
-    dishonest = [result.request_id for result in evidence.results if not _kept_promise(result)]
+    dishonest = [
+        result.request_id for result in evidence.results if not _honoured_guarantee(result)
+    ]
     failures += _named("refusals without ran=no and Retry-After", dishonest)
     failures += [f"process ended by itself: {name}" for name in evidence.unexpected_exits]
     if evidence.callers.due == 0:
@@ -119,7 +121,7 @@
     return [f"{len(request_ids)} {what}: {', '.join(request_ids[:MAX_EXAMPLES])}"]
 
 
-def _kept_promise(result: RequestResult) -> bool:
+def _honoured_guarantee(result: RequestResult) -> bool:
     """Tell whether a refusal said honestly that the call did not run and when to come back.
 
     The local fleet's callers send only valid requests, so a refusal of the request itself counts
--- a/src/orchidpath/fleet/watch.py
+++ b/src/orchidpath/fleet/watch.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from orchidpath.consensus.types import Role
-from orchidpath.control.operator_bodies import StatusBody
-from orchidpath.control.operator_client import OperatorClient
+from orchidpath.control.api.operator_bodies import StatusBody
+from orchidpath.control.api.operator_client import OperatorClient
 
 WATCH_PERIOD_SECONDS = 0.5
 """Time between two looks."""
--- a/src/orchidpath/forwarding/progress.py
+++ b/src/orchidpath/forwarding/progress.py
@@ -25,8 +25,8 @@
 waited would be lost, and the other worker would read shared parts that the first one holds.
 """
 
-READ_PATIENCE_FACTOR = 3.0
-READ_PATIENCE_SECONDS = 1.2
+PREFILL_TIMEOUT_FACTOR = 3.0
+MIN_PREFILL_TIMEOUT_SECONDS = 1.2
 """A read that takes so many times as long as expected, and this, is at a worker that hangs.
 
 Callers of streams do not wait for their deadline: they give up after a few target latencies.
@@ -35,7 +35,7 @@
 FIRST_ANSWER_LATENCY_FACTOR = 2.0
 """A request that may be repeated gives a silent worker up after this many target latencies."""
 
-SHORTEST_PATIENCE_SECONDS = 1.5
+MIN_TIMEOUT_SECONDS = 1.5
 """No worker is given up sooner than this for being silent."""
 
 
@@ -52,7 +52,7 @@
     """No answer came in time; it may have run."""
 
 
-class FinalStatus(StrEnum):
+class FinalOutcome(StrEnum):
     """What the caller is told when a request is given up."""
 
     NOT_RUN = "not_run"
@@ -84,31 +84,31 @@
         self.last_failure: FailureKind | None = None
         self._had_run_before = False
         self._orders = 0
-        self._prompt_reads = 0
+        self._prefills = 0
         self._workers: set[str] = set()
 
     def time_left(self, now: float) -> float:
         """Return the seconds until the deadline."""
         return self.deadline - now
 
-    def may_read_prompt(self, now: float) -> bool:
+    def may_prefill(self, now: float) -> bool:
         """Whether the prompt may be read, or read again, on a worker of its own.
 
         The first read is free; a further one counts as an attempt, and one attempt must remain
         for the run itself.
         """
-        if self._prompt_reads == 0:
+        if self._prefills == 0:
             return True
         if self.time_left(now) < LEAST_RETRY_SECONDS:
             return False
-        spent = self._prompt_reads - 1 + self._orders
+        spent = self._prefills - 1 + self._orders
         return spent + 2 <= self._route.max_attempts and self._budget.try_spend(now)
 
-    def prompt_read_sent(self) -> None:
+    def prefill_dispatched(self) -> None:
         """Count a prompt read that has left this router."""
-        self._prompt_reads += 1
+        self._prefills += 1
 
-    def prompt_read_failed(self, now: float) -> None:
+    def prefill_failed(self, now: float) -> None:
         """Charge a prompt read that no worker took up, or that failed there, to the budget."""
         self._budget.record_extra(now)
 
@@ -126,10 +126,10 @@
             return False
         if self._orders == 0:
             return True
-        if self.time_left(now) < LEAST_RETRY_SECONDS or not self._may_run_again():
+        if self.time_left(now) < LEAST_RETRY_SECONDS or not self._may_execute_again():
             return False
-        extra_reads = max(self._prompt_reads - 1, 0)
-        workers = len(self._workers | {worker_id}) + extra_reads
+        extra_prefills = max(self._prefills - 1, 0)
+        workers = len(self._workers | {worker_id}) + extra_prefills
         return workers <= self._route.max_attempts and self._budget.try_spend(now)
 
     def sent(self, worker_id: str) -> None:
@@ -147,8 +147,8 @@
 
     def has_workers_left(self) -> bool:
         """Whether another worker than those used may still be tried."""
-        extra_reads = max(self._prompt_reads - 1, 0)
-        return len(self._workers) + extra_reads < self._route.max_attempts
+        extra_prefills = max(self._prefills - 1, 0)
+        return len(self._workers) + extra_prefills < self._route.max_attempts
 
     def prompt_read_seconds(self, now: float, expected_seconds: float = 0.0) -> float:
         """Return how long a prompt read may take from now on.
@@ -163,7 +163,7 @@
         longest = max(self.time_left(now) * PROMPT_READ_SHARE, 0.0)
         if expected_seconds <= 0:
             return longest
-        return min(longest, READ_PATIENCE_SECONDS + READ_PATIENCE_FACTOR * expected_seconds)
+        return min(longest, MIN_PREFILL_TIMEOUT_SECONDS + PREFILL_TIMEOUT_FACTOR * expected_seconds)
 
     def first_answer_seconds(self, now: float) -> float:
         """Return how long to wait for the first byte of an answer from now on.
@@ -176,17 +176,17 @@
         if not gives_up:
             return left
         wanted = self._route.target_latency_seconds * FIRST_ANSWER_LATENCY_FACTOR
-        return min(left, max(wanted, SHORTEST_PATIENCE_SECONDS))
+        return min(left, max(wanted, MIN_TIMEOUT_SECONDS))
 
-    def final_status(self) -> FinalStatus:
+    def final_status(self) -> FinalOutcome:
         """Return what the caller is told when the request is given up."""
         if not self.may_have_run:
-            return FinalStatus.NOT_RUN
+            return FinalOutcome.NOT_RUN
         if self.last_failure is FailureKind.TIMED_OUT:
-            return FinalStatus.TIMED_OUT
-        return FinalStatus.BROKEN
+            return FinalOutcome.TIMED_OUT
+        return FinalOutcome.BROKEN
 
-    def _may_run_again(self) -> bool:
+    def _may_execute_again(self) -> bool:
         return not self.may_have_run or self._route.repetition is not Repetition.NEVER
 
 
--- a/src/orchidpath/forwarding/resumable_stream.py
+++ b/src/orchidpath/forwarding/resumable_stream.py
@@ -25,7 +25,7 @@
         self._pending = b""
         self._last_id: int | None = None
         self._has_passed = False
-        self._is_whole = True
+        self._is_complete = True
 
     @property
     def last_event_id(self) -> str:
@@ -33,9 +33,9 @@
         return "" if self._last_id is None else str(self._last_id)
 
     @property
-    def can_be_taken_up(self) -> bool:
+    def can_be_resumed(self) -> bool:
         """Whether another worker can go on where this answer broke off."""
-        return self._is_whole and (not self._has_passed or self._last_id is not None)
+        return self._is_complete and (not self._has_passed or self._last_id is not None)
 
     def take(self, data: bytes) -> bytes:
         """Take bytes of an answer and return those that can be passed on now.
@@ -48,7 +48,7 @@
         self._pending += data
         end = max(self._end_after(mark) for mark in _ENDS_OF_EVENT)
         if not end and len(self._pending) > MAX_EVENT_BYTES:
-            self._is_whole = False
+            self._is_complete = False
             end = len(self._pending)
         whole, self._pending = self._pending[:end], self._pending[end:]
         self._follow(whole)
@@ -75,7 +75,7 @@
                 continue
             value = line.removeprefix(_ID_FIELD).strip()
             if not value.isdigit():
-                self._is_whole = False
+                self._is_complete = False
                 continue
             if last_id is not None and int(value) <= last_id:
                 raise StitchedStreamError(f"event {int(value)} follows event {last_id}")
