--- a/src/orchidpath/placement/execution.py
+++ b/src/orchidpath/placement/execution.py
@@ -16,15 +16,15 @@
     PlanStatus,
     StepPhase,
     begin_objection,
-    held_count,
+    cordoned_count,
 )
-from orchidpath.wire.backend import OrderKind
+from orchidpath.wire.backend import WorkerCommandKind
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
-ORDER_REPEAT_SECONDS = 1.0
+COMMAND_REPEAT_SECONDS = 1.0
 """An order that has not had its effect is sent again after this long, as a newer one."""
 
-HOLD_SECONDS = 10.0
+CORDON_SECONDS = 10.0
 """Bound on the wait until every serving router knows of a hold; 1.7 s when one is cut off."""
 
 SWITCH_SECONDS = 60.0
@@ -46,7 +46,7 @@
 
     since: float
     ordered_at: float = float("-inf")
-    accepted: OrderKind | None = None
+    accepted: WorkerCommandKind | None = None
 
 
 class Advance(msgspec.Struct, frozen=True, kw_only=True):
@@ -58,11 +58,11 @@
     reason: str = ""
 
 
-class SendStepOrder(msgspec.Struct, frozen=True, kw_only=True):
+class SendStepCommand(msgspec.Struct, frozen=True, kw_only=True):
     """Order the worker of a step."""
 
     step: int
-    kind: OrderKind
+    kind: WorkerCommandKind
     stage: Stage | None = None
 
 
@@ -72,7 +72,7 @@
     reason: str
 
 
-PlanAction = Advance | SendStepOrder | Stop
+PlanAction = Advance | SendStepCommand | Stop
 
 
 class PlanSituation(msgspec.Struct, frozen=True, kw_only=True):
@@ -121,12 +121,14 @@
         if record.progress.steps[position].phase is not StepPhase.WAITING or step.service in seen:
             continue
         seen.add(step.service)
-        if held_count(record, step.service) >= record.plan.bounds_of(step.service).max_held:
+        if cordoned_count(record, step.service) >= record.plan.bounds_of(step.service).max_cordoned:
             continue
         objection = begin_objection(record, position, situation.workers.values())
         if objection:
             return [Stop(reason=objection)]
-        actions.append(Advance(step=position, expected=StepPhase.WAITING, phase=StepPhase.HOLDING))
+        actions.append(
+            Advance(step=position, expected=StepPhase.WAITING, phase=StepPhase.CORDONING)
+        )
     return actions
 
 
@@ -142,7 +144,7 @@
     if worker.incarnation != step.incarnation:
         return _abandon(position, phase, f"{step.worker_id} was restarted")
     # Up to this phase nothing was changed, so giving up means going back.
-    reversible = phase in {StepPhase.HOLDING, StepPhase.DRAINING}
+    reversible = phase in {StepPhase.CORDONING, StepPhase.DRAINING}
     if reversible and record.progress.status in {PlanStatus.CANCELLING, PlanStatus.STOPPING}:
         return Advance(step=position, expected=phase, phase=StepPhase.RETURNING)
     following = _following_phase(record, position, worker, situation)
@@ -160,11 +162,11 @@
     step = record.plan.steps[position]
     progress = record.progress.steps[position]
     resumed = (
-        situation.watches[position].accepted is OrderKind.RESUME
+        situation.watches[position].accepted is WorkerCommandKind.RESUME
         and worker.status is WorkerStatus.READY
     )
     match progress.phase:
-        case StepPhase.HOLDING if situation.confirmed_revision >= progress.held_revision:
+        case StepPhase.CORDONING if situation.confirmed_revision >= progress.cordoned_revision:
             return StepPhase.DRAINING
         case StepPhase.DRAINING if (
             worker.status is WorkerStatus.DRAINING
@@ -184,25 +186,25 @@
 
 def _order_action(
     record: PlanRecord, position: int, situation: PlanSituation
-) -> SendStepOrder | None:
+) -> SendStepCommand | None:
     """Return the order that the phase asks for, unless it was sent a moment ago."""
     phase = record.progress.steps[position].phase
-    if phase is StepPhase.HOLDING:
+    if phase is StepPhase.CORDONING:
         return None
-    if situation.now - situation.watches[position].ordered_at < ORDER_REPEAT_SECONDS:
+    if situation.now - situation.watches[position].ordered_at < COMMAND_REPEAT_SECONDS:
         return None
     if phase is StepPhase.DRAINING:
-        return SendStepOrder(step=position, kind=OrderKind.DRAIN)
+        return SendStepCommand(step=position, kind=WorkerCommandKind.DRAIN)
     if phase is StepPhase.SWITCHING:
         stage = record.plan.steps[position].to_stage
-        return SendStepOrder(step=position, kind=OrderKind.SET_STAGE, stage=stage)
-    return SendStepOrder(step=position, kind=OrderKind.RESUME)
+        return SendStepCommand(step=position, kind=WorkerCommandKind.SET_STAGE, stage=stage)
+    return SendStepCommand(step=position, kind=WorkerCommandKind.RESUME)
 
 
 def _bound_seconds(record: PlanRecord, position: int) -> float:
     service = record.plan.steps[position].service
     bounds = {
-        StepPhase.HOLDING: HOLD_SECONDS,
+        StepPhase.CORDONING: CORDON_SECONDS,
         StepPhase.DRAINING: record.plan.bounds_of(service).drain_seconds,
         StepPhase.SWITCHING: SWITCH_SECONDS,
         StepPhase.RESUMING: RESUME_SECONDS,
@@ -236,7 +238,7 @@
         worker = workers.get(one.worker_id)
         if worker is None or worker.incarnation != one.incarnation:
             continue
-        if worker.status is WorkerStatus.DRAINING and not worker.held:
+        if worker.status is WorkerStatus.DRAINING and not worker.cordoned:
             found.append(worker)
     return found
 
@@ -246,5 +248,5 @@
 
     A step that runs into the bound of its change also waits for the return.
     """
-    way_there = HOLD_SECONDS + drain_seconds + SWITCH_SECONDS
+    way_there = CORDON_SECONDS + drain_seconds + SWITCH_SECONDS
     return way_there + max(RESUME_SECONDS, RETURN_SECONDS)
--- a/src/orchidpath/placement/planner.py
+++ b/src/orchidpath/placement/planner.py
@@ -62,8 +62,8 @@
     prefill_after: int
     decode_before: int
     decode_after: int
-    held_at_once: int
-    held_seconds_at_most: float
+    cordoned_at_once: int = msgspec.field(name="held_at_once")
+    max_cordoned_seconds: float = msgspec.field(name="held_seconds_at_most")
     plan_seconds_at_most: float
     moved_ring_share: float
 
@@ -278,7 +278,7 @@
     ]
     return ServiceBounds(
         service=service.name,
-        max_held=service.max_held_workers,
+        max_cordoned=service.max_held_workers,
         minimum_prefill=service.prefill_workers,
         minimum_decode=service.decode_workers,
         drain_seconds=max(deadlines, default=0.0) + DRAIN_MARGIN_SECONDS,
@@ -301,15 +301,15 @@
 def _service_preview(moves: _ServiceMoves, configuration: Configuration) -> ServicePreview:
     bounds = _bounds(moves.service, configuration)
     seconds = step_bound_seconds(bounds.drain_seconds)
-    rounds = -(-len(moves.moved) // bounds.max_held)
+    rounds = -(-len(moves.moved) // bounds.max_cordoned)
     return ServicePreview(
         service=moves.service.name,
         prefill_before=len(moves.prefill),
         prefill_after=moves.count_after(Stage.PREFILL),
         decode_before=len(moves.decode),
         decode_after=moves.count_after(Stage.DECODE),
-        held_at_once=min(bounds.max_held, len(moves.moved)),
-        held_seconds_at_most=seconds,
+        cordoned_at_once=min(bounds.max_cordoned, len(moves.moved)),
+        max_cordoned_seconds=seconds,
         plan_seconds_at_most=rounds * seconds,
         moved_ring_share=sum(moves.shares[worker.worker_id] for worker in moves.moved),
     )
--- a/src/orchidpath/placement/prompts.py
+++ b/src/orchidpath/placement/prefill_placement.py
@@ -18,15 +18,15 @@
 
 import msgspec
 
-from orchidpath.placement.read_queues import ReadQueues
+from orchidpath.placement.prefill_queues import PrefillQueues
 from orchidpath.wire.configuration import PlacementPolicy
 from orchidpath.wire.messages import (
-    PROMPT_READ_SUFFIX,
+    PREFILL_DONE_SUFFIX,
     AttemptReport,
     DecisionReply,
     DecisionRequest,
-    Leg,
     PromptShape,
+    StageCandidates,
 )
 from orchidpath.wire.records import Stage
 
@@ -36,7 +36,7 @@
 DEFAULT_CAPACITY_TOKENS = 400_000
 """Capacity of a worker of which the configuration says nothing."""
 
-READ_AGAIN_WEIGHT = 2.0
+RECOMPUTE_WEIGHT = 2.0
 """Weight of shared tokens that a worker does not hold: reading them delays whoever comes next."""
 
 DIRECT_READ_WEIGHT = 5.0
@@ -46,13 +46,13 @@
 quiet days lost 0.07 of their worth: decode workers read while pairs were free.
 """
 
-LONGEST_DIRECT_READ_TOKENS = 6_000
+MAX_DECODE_SIDE_PREFILL_TOKENS = 6_000
 """A decode worker is not chosen to read more: nothing else is taken up there meanwhile.
 
 Seen on the bench: 22,000 tokens kept every hand-over to one worker waiting for two seconds.
 """
 
-HAND_OVER_TOKENS = 1_500
+KV_TRANSFER_TOKENS = 1_500
 """Cost of a hand-over, in tokens that could be read meanwhile."""
 
 MOVED_TOKEN_WEIGHT = 0.05
@@ -93,7 +93,7 @@
 """Nobody waits longer for a read that should have ended."""
 
 
-class _HeldPrefixes:
+class _CachedPrefixes:
     """Prefixes that one worker is taken to hold; the one used longest ago goes first."""
 
     def __init__(self) -> None:
@@ -110,12 +110,12 @@
             self._total -= self._tokens.popitem(last=False)[1]
 
 
-class PromptPlacement:
+class PrefillPlacement:
     """Orders the candidates of decisions by what they would have to read."""
 
     def __init__(self) -> None:
-        self._held: dict[str, _HeldPrefixes] = {}
-        self._queues = ReadQueues()
+        self._cached_prefixes: dict[str, _CachedPrefixes] = {}
+        self._queues = PrefillQueues()
         self._awaited: OrderedDict[tuple[str, str], PromptShape] = OrderedDict()
         self._reading: dict[tuple[str, int], str] = {}
         self._capacity_tokens = DEFAULT_CAPACITY_TOKENS
@@ -132,8 +132,8 @@
 
     def set_workers(self, worker_ids: frozenset[str]) -> None:
         """Forget workers that are gone: a new incarnation holds nothing."""
-        for worker_id in [one for one in self._held if one not in worker_ids]:
-            del self._held[worker_id]
+        for worker_id in [one for one in self._cached_prefixes if one not in worker_ids]:
+            del self._cached_prefixes[worker_id]
         for key in [one for one in self._reading if one[0] not in worker_ids]:
             del self._reading[key]
         self._queues.set_workers(worker_ids)
@@ -170,12 +170,14 @@
             Zone of the router that asks; empty when it is not known.
         """
         prompt = request.prompt
-        legs = {leg.stage: leg for leg in request.legs}
-        if prompt is None or Stage.DECODE not in legs:
+        per_stage = {
+            stage_candidates.stage: stage_candidates for stage_candidates in request.per_stage
+        }
+        if prompt is None or Stage.DECODE not in per_stage:
             return request
         self._queues.expire(now)
-        decode = legs[Stage.DECODE]
-        prefill = legs.get(Stage.PREFILL)
+        decode = per_stage[Stage.DECODE]
+        prefill = per_stage.get(Stage.PREFILL)
 
         def load_cost(worker_id: str) -> float:
             waiting = WAITING_TOKEN_WEIGHT * self.waiting_tokens(worker_id)
@@ -188,25 +190,25 @@
 
         if prefill is None:
             ordered = self._sorted(decode, request_cost)
-            return msgspec.structs.replace(request, legs=(ordered,))
+            return msgspec.structs.replace(request, per_stage=(ordered,))
 
         def direct_cost(worker_id: str) -> float:
-            tokens = self.waiting_tokens(worker_id) + self._tokens_to_read(worker_id, prompt)
+            tokens = self.waiting_tokens(worker_id) + self._uncached_tokens(worker_id, prompt)
             return DIRECT_READ_WEIGHT * tokens + STREAM_TOKENS * in_flight(worker_id)
 
         prefill = self._order_prefill(prefill, prompt, now)
         direct = self._sorted(decode, direct_cost)
         if self._is_direct(prefill, direct, direct_cost, prompt, now):
-            return msgspec.structs.replace(request, legs=(direct,))
+            return msgspec.structs.replace(request, per_stage=(direct,))
         reader_zone = self._zones.get(next(iter(prefill.candidates), ""), "")
         far_cost = FAR_MOVE_WEIGHT * (prompt.own_tokens + prompt.shared_tokens)
 
-        def hand_over_cost(worker_id: str) -> float:
+        def kv_transfer_cost(worker_id: str) -> float:
             is_far = self._policy.near_pairs and self._zones.get(worker_id, "") != reader_zone
             return load_cost(worker_id) + (far_cost if is_far else 0.0)
 
-        ordered = self._sorted(decode, hand_over_cost)
-        return msgspec.structs.replace(request, legs=(prefill, ordered))
+        ordered = self._sorted(decode, kv_transfer_cost)
+        return msgspec.structs.replace(request, per_stage=(prefill, ordered))
 
     def decided(self, request: DecisionRequest, reply: DecisionReply, now: float) -> float:
         """Note where a prompt is going to be read, and which workers will hold it.
@@ -220,13 +222,13 @@
         if prompt is None or request.attempt_id in self._queues:
             return 0.0
         expected_seconds = 0.0
-        stages = [leg.stage for leg in request.legs]
+        stages = [stage_candidates.stage for stage_candidates in request.per_stage]
         for choice in reply.choices:
             if choice.stage is stages[0] and not request.is_read:
                 expected_seconds = self._queues.begin(
                     request.attempt_id,
                     choice.worker_id,
-                    self._tokens_to_read(choice.worker_id, prompt),
+                    self._uncached_tokens(choice.worker_id, prompt),
                     now,
                     shows_pace=choice.stage is Stage.PREFILL,
                 )
@@ -256,7 +258,7 @@
             return 0.0
         if prompt is None or not request.may_wait or prompt.shared_tokens < LEAST_AWAITED_TOKENS:
             return 0.0
-        first = request.legs[0]
+        first = request.per_stage[0]
         if first.stage is not Stage.PREFILL or not first.candidates:
             return 0.0
         attempt_id = self._reading_attempt(first.candidates[0], prompt)
@@ -271,7 +273,7 @@
     def reported(self, reports: Sequence[AttemptReport], now: float) -> None:
         """Note prompt reads that have ended."""
         for report in reports:
-            attempt_id = report.attempt_id.removesuffix(PROMPT_READ_SUFFIX)
+            attempt_id = report.attempt_id.removesuffix(PREFILL_DONE_SUFFIX)
             was_read = attempt_id != report.attempt_id
             self._queues.end(attempt_id, report.worker_id, now, was_read=was_read)
             prompt = self._awaited.pop((attempt_id, report.worker_id), None)
@@ -280,33 +282,35 @@
             if self._reading.get((report.worker_id, prompt.prefix_key)) == attempt_id:
                 del self._reading[report.worker_id, prompt.prefix_key]
             if was_read:
-                self._will_hold(report.worker_id, prompt)
+                self._will_cache(report.worker_id, prompt)
 
-    def _order_prefill(self, leg: Leg, prompt: PromptShape, now: float) -> Leg:
+    def _order_prefill(
+        self, stage_candidates: StageCandidates, prompt: PromptShape, now: float
+    ) -> StageCandidates:
         holders = {
             one
-            for one in leg.candidates
+            for one in stage_candidates.candidates
             if self._holds(one, prompt) or self._reading_attempt(one, prompt) is not None
         }
         if not holders:
             # A former leader, and every router that decides alone, sends it to the first one.
-            holders = set(leg.candidates[:1])
+            holders = set(stage_candidates.candidates[:1])
         if not self._policy.prefix_affinity:
-            holders = set(leg.candidates)
+            holders = set(stage_candidates.candidates)
 
         def cost(worker_id: str) -> float:
             tokens = float(prompt.own_tokens)
             if worker_id not in holders:
-                tokens += READ_AGAIN_WEIGHT * prompt.shared_tokens
+                tokens += RECOMPUTE_WEIGHT * prompt.shared_tokens
             wait_seconds = self._queues.wait_seconds(worker_id, now)
             return wait_seconds + tokens * self._queues.seconds_per_token(worker_id)
 
-        return self._sorted(leg, cost)
+        return self._sorted(stage_candidates, cost)
 
     def _is_direct(
         self,
-        prefill: Leg,
-        direct: Leg,
+        prefill: StageCandidates,
+        direct: StageCandidates,
         direct_cost: Callable[[str], float],
         prompt: PromptShape,
         now: float,
@@ -314,44 +318,46 @@
         """Whether the first decode candidate reads the prompt at a lower cost than a pair."""
         if not prefill.candidates or not direct.candidates or not self._policy.direct_reads:
             return False
-        if self._tokens_to_read(direct.candidates[0], prompt) > LONGEST_DIRECT_READ_TOKENS:
+        if self._uncached_tokens(direct.candidates[0], prompt) > MAX_DECODE_SIDE_PREFILL_TOKENS:
             return False
         first = prefill.candidates[0]
         total_tokens = prompt.own_tokens + prompt.shared_tokens
         wait_seconds = self._queues.wait_seconds(first, now)
         pair_cost = (
             wait_seconds / self._queues.typical_seconds_per_token()
-            + self._tokens_to_read(first, prompt)
-            + HAND_OVER_TOKENS
+            + self._uncached_tokens(first, prompt)
+            + KV_TRANSFER_TOKENS
             + MOVED_TOKEN_WEIGHT * total_tokens
         )
         return direct_cost(direct.candidates[0]) < pair_cost
 
     @staticmethod
-    def _sorted(leg: Leg, cost: Callable[[str], float]) -> Leg:
+    def _sorted(stage_candidates: StageCandidates, cost: Callable[[str], float]) -> StageCandidates:
         """Return a leg by cost; workers that were tried come last, and the order is kept else."""
 
         def key(worker_id: str) -> tuple[bool, float]:
-            return worker_id in leg.tried, cost(worker_id)
+            return worker_id in stage_candidates.tried, cost(worker_id)
 
-        return msgspec.structs.replace(leg, candidates=tuple(sorted(leg.candidates, key=key)))
+        return msgspec.structs.replace(
+            stage_candidates, candidates=tuple(sorted(stage_candidates.candidates, key=key))
+        )
 
     def _holds(self, worker_id: str, prompt: PromptShape) -> bool:
-        held = self._held.get(worker_id)
-        return held is not None and prompt.prefix_key in held
+        cached = self._cached_prefixes.get(worker_id)
+        return cached is not None and prompt.prefix_key in cached
 
     def _reading_attempt(self, worker_id: str, prompt: PromptShape) -> str | None:
         """Return the attempt that has a worker read the shared part of a prompt now."""
         attempt_id = self._reading.get((worker_id, prompt.prefix_key))
         return attempt_id if attempt_id is not None and attempt_id in self._queues else None
 
-    def _tokens_to_read(self, worker_id: str, prompt: PromptShape) -> int:
+    def _uncached_tokens(self, worker_id: str, prompt: PromptShape) -> int:
         if self._holds(worker_id, prompt):
             return prompt.own_tokens
         return prompt.own_tokens + prompt.shared_tokens
 
-    def _will_hold(self, worker_id: str, prompt: PromptShape) -> None:
+    def _will_cache(self, worker_id: str, prompt: PromptShape) -> None:
         if prompt.shared_tokens:
-            held = self._held.setdefault(worker_id, _HeldPrefixes())
+            cached = self._cached_prefixes.setdefault(worker_id, _CachedPrefixes())
             capacity_tokens = int(self._capacity_tokens * CAPACITY_SHARE)
-            held.use(prompt.prefix_key, prompt.shared_tokens, capacity_tokens)
+            cached.use(prompt.prefix_key, prompt.shared_tokens, capacity_tokens)
--- a/src/orchidpath/placement/read_queues.py
+++ b/src/orchidpath/placement/prefill_queues.py
@@ -53,7 +53,7 @@
         self.read_seconds = self.read_seconds * kept + seconds
 
 
-class ReadQueues:
+class PrefillQueues:
     """Prompt reads under way, by worker."""
 
     def __init__(self) -> None:
--- a/src/orchidpath/placement/balance.py
+++ b/src/orchidpath/placement/stage_allocation.py
@@ -68,7 +68,7 @@
     stages = {worker.worker_id: moving.get(worker.worker_id, worker.stage) for worker in able}
     decoding = sum(stage is Stage.DECODE for stage in stages.values())
     wanted = wanted_decode_workers(service, len(able))
-    free = [worker for worker in able if worker.worker_id not in moving and not worker.held]
+    free = [worker for worker in able if worker.worker_id not in moving and not worker.cordoned]
     if decoding > wanted:
         return _pick(free, Stage.DECODE, Stage.PREFILL, decoding - wanted, in_flight)
     too_few = decoding < min(service.least_decode_workers, wanted)
--- a/src/orchidpath/router/attempt_trace.py
+++ b/src/orchidpath/router/chat/attempt_trace.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from orchidpath.common.clock import Clock
-from orchidpath.router.chat_api import DecisionTrace, TraceEntry
-from orchidpath.routing.request_events import Report
+from orchidpath.router.chat.chat_api import DecisionTrace, TraceEntry
+from orchidpath.routing.request.events import Report
 from orchidpath.wire.records import Stage
 
 
--- a/src/orchidpath/router/backend_client.py
+++ b/src/orchidpath/router/chat/backend_client.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from orchidpath.circuit.classification import AttemptObservation, Observed
-from orchidpath.router.backend_exchange import (
+from orchidpath.router.chat.backend_exchange import (
     AttemptError,
     CheckedRequest,
     Emit,
@@ -28,8 +28,8 @@
     require_echo,
     require_success,
 )
-from orchidpath.router.server_sent_events import EventParser, MalformedEventError
-from orchidpath.routing.request_events import (
+from orchidpath.router.chat.event_stream import EventParser, MalformedEventError
+from orchidpath.routing.request.events import (
     CallReplied,
     DecodeEnded,
     DecodeFrameReceived,
--- a/src/orchidpath/router/backend_exchange.py
+++ b/src/orchidpath/router/chat/backend_exchange.py
@@ -15,7 +15,7 @@
 
 from orchidpath.circuit.classification import AttemptObservation, Observed
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.routing.request_events import AttemptFailed, RequestEvent, SendRefusal
+from orchidpath.routing.request.events import AttemptFailed, RequestEvent, SendRefusal
 from orchidpath.wire.backend import ErrorBody, ErrorEnvelope
 
 MAXIMUM_REPLY_BYTES = 16 * 1024 * 1024
@@ -64,7 +64,7 @@
     def __init__(self, target: OrderTarget, check: SendCheck) -> None:
         self.target = target
         self.check = check
-        self.order_left = False
+        self.dispatch_left = False
         self.echoed_attempt_id = ""
         self.protocol: ResponseHandler | None = None
 
@@ -88,7 +88,7 @@
             if refusal is not None:
                 raise SendRefusedError(refusal)
             exchange.protocol = conn.protocol
-            exchange.order_left = True
+            exchange.dispatch_left = True
         return await super().send(conn)
 
 
@@ -137,7 +137,7 @@
 
 def failed_as(exchange: Exchange, observed: Observed, problem: Exception) -> AttemptFailed:
     """Return the event of an exchange that an exception ended."""
-    if not exchange.order_left:
+    if not exchange.dispatch_left:
         observed = Observed.CONNECT_FAILED
     reason = f"{observed.value}: {type(problem).__name__}"
     return failed(exchange, AttemptObservation(observed=observed), reason, None)
@@ -151,7 +151,7 @@
         attempt_id=exchange.target.attempt_id,
         observation=observation,
         reason=reason,
-        order_left=exchange.order_left,
+        dispatch_left=exchange.dispatch_left,
         echoed_attempt_id=exchange.echoed_attempt_id,
         error=error,
     )
--- a/src/orchidpath/router/event_queue.py
+++ b/src/orchidpath/router/chat/event_queue.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from orchidpath.routing.request_events import RequestEvent
+from orchidpath.routing.request.events import RequestEvent
 
 MAXIMUM_QUEUED_ANSWERS = 64
 """Answers and frames of back ends that wait for the machine; above it the back end waits."""
--- a/src/orchidpath/router/http_edge.py
+++ b/src/orchidpath/router/chat/http_edge.py
@@ -1,7 +1,8 @@
 """The router's HTTP edge: callers' requests, workers' announcements, health and metrics.
 
 A request is refused at once, with ``ran=no``, while the router is stopping or holds no lease to
-serve; whatever is admitted is served by a :class:`~orchidpath.router.request_runner.RequestRunner`.
+serve; whatever is admitted is served by a
+:class:`~orchidpath.router.chat.request_runner.RequestRunner`.
 """
 
 import asyncio
@@ -15,15 +16,10 @@
 from orchidpath.common.clock import Clock
 from orchidpath.common.logs import Logger, get_logger
 from orchidpath.common.settings import RouterSettings
-from orchidpath.router.backend_client import BackendClient
 from orchidpath.router.background_tasks import BackgroundTasks
-from orchidpath.router.decision_maker import DecisionMaker
-from orchidpath.router.decision_recorder import DecisionRecorder
-from orchidpath.router.decisions import FleetAccess
-from orchidpath.router.drain import DrainState
-from orchidpath.router.health import HealthPages
-from orchidpath.router.http_errors import error_response, refusal
-from orchidpath.router.http_intake import (
+from orchidpath.router.chat.backend_client import BackendClient
+from orchidpath.router.chat.http_errors import error_response, refusal
+from orchidpath.router.chat.http_intake import (
     Intake,
     RefusedError,
     admission_error,
@@ -31,9 +27,8 @@
     read_plain,
     request_id_of,
 )
-from orchidpath.router.metrics_page import RouterMetrics
-from orchidpath.router.request_runner import RequestRunner, RunnerEnvironment
-from orchidpath.router.response_sinks import (
+from orchidpath.router.chat.request_runner import RequestRunner, RunnerEnvironment
+from orchidpath.router.chat.response_sinks import (
     ChatIdentity,
     CompletionSink,
     PlainSink,
@@ -41,6 +36,12 @@
     StreamSink,
     close_uncleanly,
 )
+from orchidpath.router.decision_maker import DecisionMaker
+from orchidpath.router.drain import DrainState
+from orchidpath.router.fleet_link.fleet_access import FleetAccess
+from orchidpath.router.observability.decision_recorder import DecisionRecorder
+from orchidpath.router.observability.metrics_page import RouterMetrics
+from orchidpath.router.observability.readiness import HealthPages
 from orchidpath.router.routing_state import RoutingState
 from orchidpath.routing.admission import Rejected
 from orchidpath.wire.announcements import InvalidAnnouncementError, decode_announcement
@@ -60,7 +61,7 @@
 SHUTDOWN_GRACE_SECONDS = 0.5
 """After the drain time, what still runs is cut off within this."""
 
-CLIENT_GONE_STATUS = 499
+CLIENT_DISCONNECTED_STATUS = 499
 """Nobody reads it; it only marks the request in the library's own records."""
 
 _Read = Callable[[web.Request, str, RoutingState, float], Awaitable[Intake]]
@@ -258,7 +259,7 @@
         except ConnectionError:
             # The caller is gone, or reads nothing: there is nobody left to answer.
             self._logger.debug("caller_gone", request_id=intake.routed.plan.request_id)
-            return sink.response or web.Response(status=CLIENT_GONE_STATUS)
+            return sink.response or web.Response(status=CLIENT_DISCONNECTED_STATUS)
         except Exception:
             if sink.response is None:
                 raise
--- a/src/orchidpath/router/http_errors.py
+++ b/src/orchidpath/router/chat/http_errors.py
@@ -6,7 +6,7 @@
 import msgspec
 from aiohttp import web
 
-from orchidpath.router.chat_api import DecisionTrace, ErrorAnswer
+from orchidpath.router.chat.chat_api import DecisionTrace, ErrorAnswer
 from orchidpath.wire.backend import ErrorBody, ErrorCode, Ran
 
 REQUEST_ID_HEADER = "x-request-id"
--- a/src/orchidpath/router/http_intake.py
+++ b/src/orchidpath/router/chat/http_intake.py
@@ -7,13 +7,13 @@
 from aiohttp import web
 
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.router.chat_api import CHARACTERS_PER_TOKEN, ChatCompletionRequest
+from orchidpath.router.chat.chat_api import CHARACTERS_PER_TOKEN, ChatCompletionRequest
+from orchidpath.router.chat.http_errors import REQUEST_ID_HEADER, refusal
+from orchidpath.router.chat.request_runner import RoutedRequest
 from orchidpath.router.decision_maker import DecisionSubject
-from orchidpath.router.http_errors import REQUEST_ID_HEADER, refusal
-from orchidpath.router.request_runner import RoutedRequest
 from orchidpath.router.routing_state import RoutingState
 from orchidpath.routing.admission import Rejected, RejectionReason
-from orchidpath.routing.request_events import RequestPlan
+from orchidpath.routing.request.events import RequestPlan
 from orchidpath.routing.ring import prefix_key
 from orchidpath.routing.route_table import RouteMatch
 from orchidpath.wire.backend import ErrorBody, ErrorCode, Ran
@@ -172,9 +172,9 @@
     streaming: bool,
 ) -> RequestPlan:
     allowed_seconds = match.route.deadline_seconds
-    asked_seconds = _asked_deadline_seconds(request, request_id)
-    if asked_seconds is not None:
-        allowed_seconds = min(allowed_seconds, asked_seconds)
+    requested_seconds = _requested_deadline_seconds(request, request_id)
+    if requested_seconds is not None:
+        allowed_seconds = min(allowed_seconds, requested_seconds)
     return RequestPlan(
         request_id=request_id,
         route=match.route,
@@ -185,7 +185,7 @@
     )
 
 
-def _asked_deadline_seconds(request: web.Request, request_id: str) -> float | None:
+def _requested_deadline_seconds(request: web.Request, request_id: str) -> float | None:
     text = request.headers.get(DEADLINE_HEADER)
     if text is None:
         return None
--- a/src/orchidpath/router/request_runner.py
+++ b/src/orchidpath/router/chat/request_runner.py
@@ -1,7 +1,7 @@
 """Drives one request's machine: carries out its instructions and brings it the events.
 
-The machine (:mod:`orchidpath.routing.attempt`) decides everything; this shell sends orders, reads
-answers, keeps timers and writes the response.
+The machine (:mod:`orchidpath.routing.request.request_machine`) decides everything; this shell sends
+requests to workers, reads their responses, keeps timers and writes the response.
 """
 
 import asyncio
@@ -9,19 +9,23 @@
 import msgspec
 
 from orchidpath.common.clock import Clock
-from orchidpath.router.attempt_trace import AttemptTrace
-from orchidpath.router.backend_client import BackendClient
-from orchidpath.router.backend_exchange import OrderTarget, SendCheck
 from orchidpath.router.background_tasks import BackgroundTasks
-from orchidpath.router.chat_api import DecisionTrace
+from orchidpath.router.chat.attempt_trace import AttemptTrace
+from orchidpath.router.chat.backend_client import BackendClient
+from orchidpath.router.chat.backend_exchange import OrderTarget, SendCheck
+from orchidpath.router.chat.chat_api import DecisionTrace
+from orchidpath.router.chat.event_queue import EventQueue
+from orchidpath.router.chat.response_sinks import ResponseSink
 from orchidpath.router.decision_maker import DecisionMaker, DecisionSubject
-from orchidpath.router.event_queue import EventQueue
-from orchidpath.router.metrics_page import OUTCOME_CLIENT_GONE, OUTCOME_OK, RouterMetrics
-from orchidpath.router.response_sinks import ResponseSink
+from orchidpath.router.observability.metrics_page import (
+    OUTCOME_CLIENT_DISCONNECTED,
+    OUTCOME_OK,
+    RouterMetrics,
+)
 from orchidpath.router.routing_state import RoutingState
-from orchidpath.routing import request_events as events
-from orchidpath.routing.attempt import RequestMachine
-from orchidpath.routing.request_core import SharedRouting
+from orchidpath.routing.request import events
+from orchidpath.routing.request.core import SharedRouting
+from orchidpath.routing.request.request_machine import RequestMachine
 from orchidpath.wire.backend import CallRequest, DecodeRequest, ErrorCode, PrefillRequest
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
@@ -74,7 +78,7 @@
         self._plan = request.plan
         shared = SharedRouting(
             retry_budget=state.budget(request.subject.service),
-            handover=state.handover,
+            kv_transfer_evidence=state.kv_transfer_evidence,
             random=state.random,
         )
         self._machine = RequestMachine(request.plan, shared)
@@ -105,7 +109,7 @@
                 await self._handle(queued.event)
                 self._events.done(queued)
         except (asyncio.CancelledError, ConnectionError):
-            self._leave(OUTCOME_CLIENT_GONE)
+            self._leave(OUTCOME_CLIENT_DISCONNECTED)
             raise
         except Exception:
             self._leave(ErrorCode.INTERNAL.value)
@@ -116,7 +120,9 @@
     def _leave(self, outcome: str) -> None:
         """Let go of everything, without waiting, since nobody is there to be answered."""
         self._outcome = outcome
-        for instruction in self._machine.handle(events.ClientGone(), self._environment.clock()):
+        for instruction in self._machine.handle(
+            events.ClientDisconnected(), self._environment.clock()
+        ):
             self._execute(instruction)
 
     def _close(self) -> None:
@@ -130,7 +136,7 @@
 
     async def _handle(self, event: events.RequestEvent) -> None:
         now = self._environment.clock()
-        self._note(event, now)
+        self._record_event(event, now)
         instructions = self._machine.handle(event, now)
         # The caller last: if it is gone, the workers and the leader still hear what they must.
         for instruction in instructions:
@@ -172,7 +178,7 @@
 
     def _execute(self, instruction: events.RequestInstruction) -> None:
         match instruction:
-            case events.AskDecision():
+            case events.RequestDecision():
                 self._ask(instruction)
             case events.SendPrefill() | events.SendDecode() | events.SendCall():
                 self._send(instruction)
@@ -194,13 +200,13 @@
         loop = asyncio.get_running_loop()
         self._timers.append(loop.call_later(max(seconds, 0.0), self._events.post, event))
 
-    def _ask(self, instruction: events.AskDecision) -> None:
+    def _ask(self, instruction: events.RequestDecision) -> None:
         self._attempts += 1
         if self._attempts > 1:
             self._environment.metrics.retries.labels(self._plan.route.name).inc()
         self._environment.tasks.spawn(self._decide(instruction))
 
-    async def _decide(self, instruction: events.AskDecision) -> None:
+    async def _decide(self, instruction: events.RequestDecision) -> None:
         decided = await self._environment.decisions.decide(self._request.subject, instruction)
         if not self._machine.is_ended:
             self._events.post(decided)
@@ -320,7 +326,7 @@
             body=msgspec.Raw(self._request.body),
         )
 
-    def _note(self, event: events.RequestEvent, now: float) -> None:
+    def _record_event(self, event: events.RequestEvent, now: float) -> None:
         """Measure how long the ordered worker took to its answer or first frame."""
         if not isinstance(event, _FIRST_ANSWERS):
             return
--- a/src/orchidpath/router/response_sinks.py
+++ b/src/orchidpath/router/chat/response_sinks.py
@@ -12,7 +12,7 @@
 import msgspec
 from aiohttp import web
 
-from orchidpath.router.chat_api import (
+from orchidpath.router.chat.chat_api import (
     AssistantMessage,
     ChatChunk,
     ChatCompletion,
@@ -23,7 +23,7 @@
     ErrorAnswer,
     Usage,
 )
-from orchidpath.router.http_errors import REQUEST_ID_HEADER, error_response
+from orchidpath.router.chat.http_errors import REQUEST_ID_HEADER, error_response
 from orchidpath.wire.backend import DecodeFrame, ErrorBody, FrameKind
 
 CLIENT_STALL_SECONDS = 30.0
--- a/src/orchidpath/router/decision_maker.py
+++ b/src/orchidpath/router/decision_maker.py
@@ -5,24 +5,29 @@
 import msgspec
 
 from orchidpath.common.clock import Clock
-from orchidpath.router.chat_api import TraceEntry
-from orchidpath.router.decision_recorder import DecisionRecorder
-from orchidpath.router.decisions import FleetAccess
+from orchidpath.router.chat.chat_api import TraceEntry
+from orchidpath.router.fleet_link.fleet_access import FleetAccess
 from orchidpath.router.load_view import LoadView
+from orchidpath.router.observability.decision_recorder import DecisionRecorder
 from orchidpath.router.routing_state import RoutingState
 from orchidpath.routing.decision_log import DecidedBy
 from orchidpath.routing.pairing import ModelQuery, PlainQuery
-from orchidpath.routing.request_events import AskDecision, DecisionMade, LegTried, NoCandidates
+from orchidpath.routing.request.events import (
+    DecisionMade,
+    NoCandidates,
+    RequestDecision,
+    StageTried,
+)
 from orchidpath.wire.messages import (
-    PROMPT_READ_SUFFIX,
+    PREFILL_DONE_SUFFIX,
     AttemptEffect,
     AttemptReport,
     CapacityObserved,
     DecisionReply,
     DecisionRequest,
-    Denial,
-    Leg,
     PromptShape,
+    Rejection,
+    StageCandidates,
 )
 from orchidpath.wire.records import Stage
 
@@ -43,7 +48,7 @@
     may_wait: bool = False
 
 
-_NOBODY = DecisionReply(correlation=0, term=0, denial=Denial.EXHAUSTED)
+_NOBODY = DecisionReply(correlation=0, term=0, rejection=Rejection.EXHAUSTED)
 """What is recorded when the adopted view has no worker to ask about."""
 
 
@@ -80,7 +85,7 @@
         self._loads = LoadView()
 
     async def decide(
-        self, subject: DecisionSubject, ask: AskDecision
+        self, subject: DecisionSubject, ask: RequestDecision
     ) -> DecisionMade | NoCandidates:
         """List the candidates and have one chosen for every leg.
 
@@ -97,23 +102,27 @@
             NoCandidates when the adopted view has no worker for a leg.
         """
         self._state.refresh()
-        legs = self._legs(subject, ask.legs)
+        per_stage = self._candidates_per_stage(subject, ask.per_stage)
         request = DecisionRequest(
             correlation=0,
             request_id=subject.request_id,
             attempt_id=ask.attempt_id,
             service=subject.service,
-            legs=legs,
+            per_stage=per_stage,
             prompt=subject.prompt,
             is_read=bool(subject.prefill_worker_id),
             may_wait=subject.may_wait,
         )
-        missing = [leg.stage.value for leg in legs if not leg.candidates]
+        missing = [
+            stage_candidates.stage.value
+            for stage_candidates in per_stage
+            if not stage_candidates.candidates
+        ]
         if missing:
             self._record(request, _NOBODY, DecidedBy.ROUTER)
             reason = f"no usable {' and no usable '.join(missing)} worker in {subject.service}"
             return NoCandidates(attempt_id=ask.attempt_id, reason=reason)
-        reply = await self._ask_leader_or_fall_back(request)
+        reply = await self._query_leader_or_fall_back(request)
         self._loads.begin([choice.worker_id for choice in reply.choices])
         return DecisionMade(attempt_id=ask.attempt_id, reply=reply)
 
@@ -129,11 +138,11 @@
             throttle = self._state.throttle
             self._obey(throttle.observe_refusal(report.worker_id, report.request_id, now))
 
-    def note_prompt_read(self, request_id: str, attempt_id: str, worker_id: str) -> None:
+    def record_prefill_done(self, request_id: str, attempt_id: str, worker_id: str) -> None:
         """Tell the leader that a prompt was read; how the attempt ended is reported later."""
         report = AttemptReport(
             request_id=request_id,
-            attempt_id=attempt_id + PROMPT_READ_SUFFIX,
+            attempt_id=attempt_id + PREFILL_DONE_SUFFIX,
             worker_id=worker_id,
             effect=AttemptEffect.GATEWAY,
         )
@@ -151,10 +160,10 @@
         self._state.fallback.observe_capacity(observed, self._clock())
         self._fleet.observe_capacity(observed)
 
-    async def _ask_leader_or_fall_back(self, request: DecisionRequest) -> DecisionReply:
+    async def _query_leader_or_fall_back(self, request: DecisionRequest) -> DecisionReply:
         reply = await self._fleet.decide(request, self._timeout_seconds)
         now = self._clock()
-        if reply is None or reply.denial is Denial.NOT_LEADER:
+        if reply is None or reply.rejection is Rejection.NOT_LEADER:
             alone = self._state.fallback.decide(request, now)
             chosen = [choice.worker_id for choice in alone.choices]
             self._fleet.decided_alone(request.attempt_id, chosen)
@@ -174,10 +183,12 @@
         self._recorder.configuration(state.configuration, state.configuration_version)
         self._recorder.decision(request, reply, decided_by)
 
-    def _legs(self, subject: DecisionSubject, tried: Sequence[LegTried]) -> tuple[Leg, ...]:
+    def _candidates_per_stage(
+        self, subject: DecisionSubject, tried: Sequence[StageTried]
+    ) -> tuple[StageCandidates, ...]:
         now = self._clock()
         loads = self._loads.in_flight(now)
-        by_stage = {leg.stage: leg for leg in tried}
+        by_stage = {stage_candidates.stage: stage_candidates for stage_candidates in tried}
         selector = self._state.selector
         if subject.is_model:
             query = ModelQuery(
@@ -189,24 +200,29 @@
                 tried_decode=by_stage[Stage.DECODE].tried,
             )
             if Stage.PREFILL in by_stage:
-                legs = selector.model_legs(query, loads, now)
+                per_stage = selector.model_candidates(query, loads, now)
             else:
                 near = subject.prefill_worker_id
-                legs = (selector.decode_leg(query, near, loads, now),)
+                per_stage = (selector.decode_candidates(query, near, loads, now),)
         else:
             plain = PlainQuery(
                 service=subject.service,
                 request_id=subject.request_id,
                 tried=by_stage[Stage.PLAIN].tried,
             )
-            legs = (selector.plain_leg(plain, loads),)
-        return tuple(self._without_unusable(leg, by_stage[leg.stage].excluded) for leg in legs)
+            per_stage = (selector.plain_candidates(plain, loads),)
+        return tuple(
+            self._without_unusable(stage_candidates, by_stage[stage_candidates.stage].excluded)
+            for stage_candidates in per_stage
+        )
 
-    def _without_unusable(self, leg: Leg, excluded: tuple[str, ...]) -> Leg:
+    def _without_unusable(
+        self, stage_candidates: StageCandidates, excluded: tuple[str, ...]
+    ) -> StageCandidates:
         """Leave out what this request must not use, and who told this router of its draining."""
         candidates = tuple(
             worker_id
-            for worker_id in leg.candidates
+            for worker_id in stage_candidates.candidates
             if worker_id not in excluded and not self._state.is_draining(worker_id)
         )
-        return msgspec.structs.replace(leg, candidates=candidates)
+        return msgspec.structs.replace(stage_candidates, candidates=candidates)
--- a/src/orchidpath/router/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -13,11 +13,11 @@
 
 from orchidpath.common.clock import Clock
 from orchidpath.common.logs import get_logger
-from orchidpath.router.announced_workers import AnnouncedWorkers
-from orchidpath.router.decisions import FleetAccess
-from orchidpath.router.late_decisions import LateDecisions
-from orchidpath.router.leader_finder import LeaderFinder
-from orchidpath.router.report_queue import ReportQueue
+from orchidpath.router.fleet_link.announced_workers import AnnouncedWorkers
+from orchidpath.router.fleet_link.fleet_access import FleetAccess
+from orchidpath.router.fleet_link.late_decisions import LateDecisions
+from orchidpath.router.fleet_link.leader_finder import LeaderFinder
+from orchidpath.router.fleet_link.report_queue import ReportQueue
 from orchidpath.routing.freshness import (
     AcknowledgeSoon,
     FreshnessCore,
@@ -28,7 +28,7 @@
 )
 from orchidpath.wire.backend import Announcement, AnnouncementReply
 from orchidpath.wire.connection import Connection, Listener
-from orchidpath.wire.faults import LinkFaults
+from orchidpath.wire.link_faults import LinkFaults
 from orchidpath.wire.messages import (
     AttemptReport,
     AttemptReportsReply,
@@ -38,13 +38,13 @@
     CounterReport,
     DecisionReply,
     DecisionRequest,
-    Denial,
     FleetUpdate,
     ForwardedAnnouncements,
     FreshnessQuery,
     FreshnessReply,
     Hello,
     Message,
+    Rejection,
     RouterHeartbeatReply,
     WhoIsControl,
 )
@@ -188,7 +188,7 @@
             return None
         finally:
             del self._decisions[request.correlation]
-        return None if reply.denial is Denial.NOT_LEADER else reply
+        return None if reply.rejection is Rejection.NOT_LEADER else reply
 
     def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
         """Learn which workers the router chose by itself."""
@@ -222,8 +222,8 @@
             now = self._clock()
             self._links.set_addresses(self._wanted_addresses(now))
             self._execute(self._core.tick(now))
-            if self._finder.should_ask(now):
-                self._ask_everyone(now)
+            if self._finder.should_query(now):
+                self._query_everyone(now)
             self._send_queued(now)
             await asyncio.sleep(TURN_SECONDS)
 
@@ -236,7 +236,7 @@
         addresses.discard(self._record.address)
         return addresses
 
-    def _ask_everyone(self, now: float) -> None:
+    def _query_everyone(self, now: float) -> None:
         for connection in self._links.connections():
             connection.send(WhoIsControl())
             if self._core.view is None:
--- a/src/orchidpath/router/leader_finder.py
+++ b/src/orchidpath/router/fleet_link/leader_finder.py
@@ -10,7 +10,7 @@
 LEADER_SILENT_SECONDS = 0.7
 """Without a word of the leader for this long, every known process is asked who leads."""
 
-ASK_PERIOD_SECONDS = 0.25
+QUERY_PERIOD_SECONDS = 0.25
 """Time between two rounds of asking while no leader is heard."""
 
 
@@ -29,7 +29,7 @@
         self._seeds = tuple(seeds)
         self._members = ControlMembers(term=0, leader_id="", members=())
         self._leader_heard_at = now - LEADER_SILENT_SECONDS
-        self._next_ask_at = now
+        self._next_query_at = now
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
         """Take other seeds; what was learned through the earlier ones stays."""
@@ -73,11 +73,11 @@
         """Whether the leader was not heard lately."""
         return now - self._leader_heard_at >= LEADER_SILENT_SECONDS
 
-    def should_ask(self, now: float) -> bool:
+    def should_query(self, now: float) -> bool:
         """Whether to ask everyone now who leads; at most once a period."""
-        if not self.is_leader_silent(now) or now < self._next_ask_at:
+        if not self.is_leader_silent(now) or now < self._next_query_at:
             return False
-        self._next_ask_at = now + ASK_PERIOD_SECONDS
+        self._next_query_at = now + QUERY_PERIOD_SECONDS
         return True
 
     def addresses(self, now: float) -> set[str]:
--- a/src/orchidpath/router/decision_log_writer.py
+++ b/src/orchidpath/router/observability/decision_log_writer.py
@@ -21,7 +21,7 @@
 MAX_FILE_BYTES = 64 * 1024 * 1024
 """A file that has grown to this is rotated."""
 
-KEPT_FILES = 4
+RETAINED_FILES = 4
 """Rotated files that are kept beside the current one."""
 
 REOPEN_SECONDS = 1.0
@@ -54,12 +54,12 @@
         path: Path,
         *,
         max_file_bytes: int = MAX_FILE_BYTES,
-        kept_files: int = KEPT_FILES,
+        retained_files: int = RETAINED_FILES,
         max_waiting_lines: int = MAX_WAITING_LINES,
     ) -> None:
         self._path = path
         self._max_file_bytes = max_file_bytes
-        self._kept_files = kept_files
+        self._retained_files = retained_files
         self._waiting: queue.Queue[LogLine] = queue.Queue(max_waiting_lines)
         self._stopping = threading.Event()
         self._lock = threading.Lock()
@@ -68,7 +68,7 @@
         self._policy: PolicyLine | None = None
         self._file: FileIO | None = None
         self._size_bytes = 0
-        self._open_again_at = 0.0
+        self._reopen_at = 0.0
         self._logger = get_logger("decision_log")
         # A daemon thread: a disk that never answers must not keep the process from ending.
         self._thread = threading.Thread(target=self._run, name="decision_log", daemon=True)
@@ -126,7 +126,7 @@
             self._drop()
             self._logger.warning("decision_log_refused", error=str(error))
             self._close()
-            self._open_again_at = time.monotonic() + REOPEN_SECONDS
+            self._reopen_at = time.monotonic() + REOPEN_SECONDS
         finally:
             if isinstance(line, PolicyLine):
                 # Also one that was dropped: the next file to be opened begins with it.
@@ -135,7 +135,7 @@
     def _is_open(self) -> bool:
         if self._file is not None:
             return True
-        if time.monotonic() < self._open_again_at:
+        if time.monotonic() < self._reopen_at:
             return False
         self._open()
         return True
@@ -171,7 +171,7 @@
 
     def _rotate(self) -> None:
         self._close()
-        for number in range(self._kept_files, 0, -1):
+        for number in range(self._retained_files, 0, -1):
             source = self._rotated(number - 1)
             if source.exists():
                 source.replace(self._rotated(number))
--- a/src/orchidpath/router/decision_recorder.py
+++ b/src/orchidpath/router/observability/decision_recorder.py
@@ -4,7 +4,7 @@
 from datetime import UTC, datetime
 
 from orchidpath.common.clock import Clock
-from orchidpath.router.chat_api import TraceEntry
+from orchidpath.router.chat.chat_api import TraceEntry
 from orchidpath.routing.decision_log import (
     DecidedBy,
     DecisionLine,
@@ -103,12 +103,12 @@
             attempt_id=request.attempt_id,
             service=request.service,
             configuration_version=self._configuration_version,
-            legs=request.legs,
+            per_stage=request.per_stage,
             decided_by=decided_by,
             term=reply.term,
             states=reply.states,
             choices=reply.choices,
-            denial=reply.denial,
+            rejection=reply.rejection,
             retry_after_seconds=reply.retry_after_seconds,
         )
         self._write(line)
--- a/src/orchidpath/router/metrics_page.py
+++ b/src/orchidpath/router/observability/metrics_page.py
@@ -7,7 +7,7 @@
 OUTCOME_OK = "ok"
 """Outcome of a request that got its whole answer; any other outcome is an error code."""
 
-OUTCOME_CLIENT_GONE = "client_gone"
+OUTCOME_CLIENT_DISCONNECTED = "client_gone"
 """Outcome of a request whose caller left."""
 
 
--- a/src/orchidpath/router/health.py
+++ b/src/orchidpath/router/observability/readiness.py
@@ -8,8 +8,8 @@
 from aiohttp import web
 
 from orchidpath.common.clock import Clock
-from orchidpath.router.decisions import FleetAccess
 from orchidpath.router.drain import DrainState
+from orchidpath.router.fleet_link.fleet_access import FleetAccess
 
 DRAINING_REASON = "draining"
 
--- a/src/orchidpath/router/process.py
+++ b/src/orchidpath/router/process.py
@@ -10,17 +10,17 @@
 from orchidpath.common.daemon import Daemon
 from orchidpath.common.logs import configure_logs
 from orchidpath.common.settings import RouterSettings
-from orchidpath.router.control_link import ControlLink
-from orchidpath.router.decision_log_writer import DecisionLogWriter
-from orchidpath.router.decision_recorder import DecisionRecorder
-from orchidpath.router.forward_dialect import ForwardDialect
-from orchidpath.router.forward_edge import ForwardEdge
-from orchidpath.wire.faults import LinkFaults, watch_fault_file
+from orchidpath.router.fleet_link.control_link import ControlLink
+from orchidpath.router.observability.decision_log_writer import DecisionLogWriter
+from orchidpath.router.observability.decision_recorder import DecisionRecorder
+from orchidpath.router.proxy.protocol_mapping import ProtocolMapping
+from orchidpath.router.proxy.proxy_edge import ForwardEdge
+from orchidpath.wire.link_faults import LinkFaults, watch_fault_file
 from orchidpath.wire.messages import Hello, ProcessRole
 from orchidpath.wire.records import RouterRecord
 
 if TYPE_CHECKING:
-    from orchidpath.router.http_edge import EdgeServer
+    from orchidpath.router.chat.http_edge import EdgeServer
 
 INCARNATION_CHARACTERS = 12
 """Characters of the random incarnation, new for each start."""
@@ -43,10 +43,10 @@
         self,
         settings: RouterSettings,
         clock: Clock = monotonic_seconds,
-        dialect: ForwardDialect | None = None,
+        protocol_mapping: ProtocolMapping | None = None,
     ) -> None:
         super().__init__()
-        self._dialect = dialect or ForwardDialect()
+        self._protocol_mapping = protocol_mapping or ProtocolMapping()
         self._settings = settings
         self._clock = clock
         self._fault_watch: asyncio.Task[None] | None = None
@@ -102,9 +102,11 @@
     def _make_edge(self, incarnation: str) -> "EdgeServer | ForwardEdge":
         settings = self._settings
         if settings.forward_address:
-            return ForwardEdge(settings, self._link, self._dialect, self._random, self._clock)
+            return ForwardEdge(
+                settings, self._link, self._protocol_mapping, self._random, self._clock
+            )
         # A third of a forwarding router's start would be the import of an HTTP server it lacks.
-        from orchidpath.router.http_edge import EdgeServer
+        from orchidpath.router.chat.http_edge import EdgeServer
 
         recorder = self._make_recorder(incarnation)
         return EdgeServer(settings, self._link, self._random, self._clock, recorder)
--- a/src/orchidpath/router/forward_dialect.py
+++ b/src/orchidpath/router/proxy/protocol_mapping.py
@@ -36,7 +36,7 @@
     deadline_milliseconds: bytes = b"x-orchidpath-deadline-ms"
     model: bytes = b"x-orchidpath-model"
     token_usage: bytes = b"x-orchidpath-tokens"
-    prompt_parts: bytes = b"x-orchidpath-prompt-parts"
+    prompt_segments: bytes = b"x-orchidpath-prompt-parts"
     priority: bytes = b"x-orchidpath-priority"
     stage: bytes = b"x-orchidpath-stage"
     cache_source: bytes = b"x-orchidpath-cache-source"
@@ -49,7 +49,7 @@
     last_event_id: bytes = b"last-event-id"
 
 
-class RequestFacts(msgspec.Struct, frozen=True, kw_only=True):
+class RequestMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """What a router must know of a request besides its bytes.
 
     ``prefix_key`` is the same for requests that share all parts of their prompt but the last one;
@@ -75,15 +75,15 @@
 class Order(msgspec.Struct, frozen=True, kw_only=True):
     """What the router adds to a request that it sends to a worker.
 
-    ``reads_prompt`` asks for the prompt read alone. ``cache_source`` names the KV cache of an
-    earlier prompt read, as :meth:`ForwardDialect.cache_source` made it. ``last_event_id`` is the
+    ``is_prefill`` asks for the prompt read alone. ``cache_source`` names the KV cache of an
+    earlier prompt read, as :meth:`ProtocolMapping.cache_source` made it. ``last_event_id`` is the
     event after which a stream is to go on; empty to leave it to what the caller said.
     """
 
     worker_id: str
     deadline_seconds: float
     priority: int | None = None
-    reads_prompt: bool = False
+    is_prefill: bool = False
     cache_source: str = ""
     expected_version: int | None = None
     last_event_id: str = ""
@@ -102,13 +102,13 @@
         return self.waiting > 0 or self.running >= self.slots
 
 
-class AnswerFacts(msgspec.Struct, frozen=True, kw_only=True):
+class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """What the head of a worker's answer says besides its status."""
 
     request_id: str
     is_signed: bool
     is_encoded: bool
-    promises_not_run: bool
+    guarantees_not_executed: bool
     load: WorkerLoad | None = None
     weights_version: int | None = None
 
@@ -124,7 +124,7 @@
     """A header of the request has not the form that it must have."""
 
 
-class ForwardDialect:
+class ProtocolMapping:
     """Reads requests and answers and writes orders in one platform's names.
 
     Parameters
@@ -143,7 +143,7 @@
             {own.stage, own.cache_source, own.worker_id, own.priority, own.expected_version}
         )
 
-    def read_request(self, headers: Sequence[Header]) -> RequestFacts:
+    def read_request(self, headers: Sequence[Header]) -> RequestMetadata:
         """Return what the headers of a caller's request say.
 
         Raises
@@ -159,8 +159,8 @@
         deadline = values.get(names.deadline_milliseconds)
         usage = values.get(names.token_usage, b"0").split(b",")[0]
         model = values.get(names.model, b"")
-        parts = _shared_parts(values.get(names.prompt_parts, b""))
-        return RequestFacts(
+        parts = _shared_segments(values.get(names.prompt_segments, b""))
+        return RequestMetadata(
             request_id=request_id,
             deadline_seconds=None if deadline is None else _number(deadline) / 1000.0,
             model=model.decode("latin-1"),
@@ -189,7 +189,7 @@
         kept.append((names.worker_id, order.worker_id.encode("latin-1")))
         if order.priority is not None:
             kept.append((names.priority, b"%d" % order.priority))
-        if order.reads_prompt:
+        if order.is_prefill:
             kept.append((names.stage, b"prefill"))
         if order.cache_source:
             kept.append((names.cache_source, order.cache_source.encode("latin-1")))
@@ -199,15 +199,15 @@
             kept.append((names.expected_version, b"%d" % order.expected_version))
         return kept
 
-    def read_answer(self, status: int, headers: Sequence[Header]) -> AnswerFacts:
+    def read_answer(self, status: int, headers: Sequence[Header]) -> ResponseMetadata:
         """Return what the head of a worker's answer says."""
         names = self.names
         values = dict(headers)
-        return AnswerFacts(
+        return ResponseMetadata(
             request_id=values.get(names.request_id, b"").decode("latin-1"),
             is_signed=names.signature in values,
             is_encoded=values.get(b"content-encoding", b"identity") != b"identity",
-            promises_not_run=names.not_run in values or status == 421,
+            guarantees_not_executed=names.not_run in values or status == 421,
             load=_load(values.get(names.load)),
             weights_version=_version(values.get(names.weights_version)),
         )
@@ -245,21 +245,21 @@
     return number
 
 
-class _PromptPart(msgspec.Struct, frozen=True):
+class _PromptSegment(msgspec.Struct, frozen=True):
     name: bytes
     tokens: int
 
 
-def _shared_parts(value: bytes) -> list[_PromptPart]:
+def _shared_segments(value: bytes) -> list[_PromptSegment]:
     """Return the parts of a prompt, ``NAME:TOKENS`` with commas, without the request's own last."""
     parts = []
     for part in value.split(b",")[:-1]:
         name, _, tokens = part.strip().partition(b":")
-        parts.append(_PromptPart(name, int(_number(tokens or b"0"))))
+        parts.append(_PromptSegment(name, int(_number(tokens or b"0"))))
     return parts
 
 
-def _prefix_key(model: bytes, parts: Sequence[_PromptPart]) -> int:
+def _prefix_key(model: bytes, parts: Sequence[_PromptSegment]) -> int:
     names = b",".join(part.name for part in parts)
     return xxhash.xxh64_intdigest(model + b"\x00" + names)
 
--- a/src/orchidpath/router/forward_attempts.py
+++ b/src/orchidpath/router/proxy/proxy_attempts.py
@@ -9,14 +9,19 @@
 from orchidpath.common.clock import Clock
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.router.background_tasks import BackgroundTasks
-from orchidpath.router.chat_api import TraceEntry
+from orchidpath.router.chat.chat_api import TraceEntry
 from orchidpath.router.decision_maker import DecisionMaker, DecisionSubject
-from orchidpath.router.forward_dialect import ForwardDialect, RequestFacts
-from orchidpath.router.forward_metrics import ForwardMetrics
+from orchidpath.router.proxy.protocol_mapping import ProtocolMapping, RequestMetadata
+from orchidpath.router.proxy.proxy_metrics import ForwardMetrics
+from orchidpath.router.proxy.upstream import UpstreamPool
 from orchidpath.router.routing_state import RoutingState
-from orchidpath.router.upstream import UpstreamPool
-from orchidpath.routing.request_events import AskDecision, DecisionMade, LegTried, NoCandidates
-from orchidpath.wire.messages import AttemptEffect, AttemptReport, Denial
+from orchidpath.routing.request.events import (
+    DecisionMade,
+    NoCandidates,
+    RequestDecision,
+    StageTried,
+)
+from orchidpath.wire.messages import AttemptEffect, AttemptReport, Rejection
 from orchidpath.wire.records import Stage, WorkerRecord
 
 
@@ -26,7 +31,7 @@
     state: RoutingState
     decisions: DecisionMaker
     pool: UpstreamPool
-    dialect: ForwardDialect
+    protocol_mapping: ProtocolMapping
     tasks: BackgroundTasks
     metrics: ForwardMetrics
     random: Random
@@ -37,7 +42,7 @@
 """A request waits no longer for the read of its shared part by another one."""
 
 
-class DeniedError(OrchidpathError):
+class RejectedDecisionError(OrchidpathError):
     """No worker may be tried now; ``retry_after_seconds`` is 0 when nothing is known of when."""
 
     def __init__(self, reason: str, retry_after_seconds: float = 0.0) -> None:
@@ -75,10 +80,13 @@
     """
 
     def __init__(
-        self, environment: ForwardEnvironment, facts: RequestFacts, subject: DecisionSubject
+        self,
+        environment: ForwardEnvironment,
+        request_metadata: RequestMetadata,
+        subject: DecisionSubject,
     ) -> None:
         self._environment = environment
-        self._facts = facts
+        self._request_metadata = request_metadata
         self._subject = subject
         self._count = 0
         self._running: dict[str, Chosen] = {}
@@ -100,33 +108,33 @@
 
         Raises
         ------
-        DeniedError
+        RejectedDecisionError
             No worker may be tried now.
         """
-        legs = tuple(
-            LegTried(stage=stage, tried=tuple(self.tried[stage]), excluded=()) for stage in stages
+        per_stage = tuple(
+            StageTried(stage=stage, tried=tuple(self.tried[stage]), excluded=()) for stage in stages
         )
         subject = msgspec.structs.replace(self._subject, prefill_worker_id=prefill_worker_id)
         waits_until = self._environment.clock() + LONGEST_WAIT_SECONDS
         while True:
             self._count += 1
-            attempt_id = f"{self._facts.request_id}.{self._count}"
+            attempt_id = f"{self._request_metadata.request_id}.{self._count}"
             may_wait = self._environment.clock() < waits_until
             subject = msgspec.structs.replace(subject, may_wait=may_wait)
-            made = await self._decide_once(subject, attempt_id, legs)
-            if made.reply.denial is not Denial.POSTPONED:
+            made = await self._decide_once(subject, attempt_id, per_stage)
+            if made.reply.rejection is not Rejection.POSTPONED:
                 break
             await asyncio.sleep(made.reply.retry_after_seconds)
-        if made.reply.denial is not Denial.NONE:
-            raise DeniedError(made.reply.denial.value, made.reply.retry_after_seconds)
+        if made.reply.rejection is not Rejection.NONE:
+            raise RejectedDecisionError(made.reply.rejection.value, made.reply.retry_after_seconds)
         return self._take_choices(attempt_id, made)
 
     async def _decide_once(
-        self, subject: DecisionSubject, attempt_id: str, legs: tuple[LegTried, ...]
+        self, subject: DecisionSubject, attempt_id: str, per_stage: tuple[StageTried, ...]
     ) -> DecisionMade:
         deciding = self._environment.tasks.spawn(
             self._environment.decisions.decide(
-                subject, AskDecision(attempt_id=attempt_id, legs=legs)
+                subject, RequestDecision(attempt_id=attempt_id, per_stage=per_stage)
             )
         )
         try:
@@ -136,13 +144,13 @@
             deciding.add_done_callback(lambda done: self._release_late(attempt_id, done))
             raise
         if not isinstance(made, DecisionMade):
-            raise DeniedError(made.reason)
+            raise RejectedDecisionError(made.reason)
         return made
 
     def prompt_read(self, chosen: Chosen) -> None:
         """Tell the leader that a worker holds the prompt now; its attempt goes on."""
-        self._environment.decisions.note_prompt_read(
-            self._facts.request_id, chosen.attempt_id, chosen.worker.worker_id
+        self._environment.decisions.record_prefill_done(
+            self._request_metadata.request_id, chosen.attempt_id, chosen.worker.worker_id
         )
 
     def failed(self, chosen: Chosen, observed: Observed, status: int | None = None) -> None:
@@ -222,7 +230,7 @@
 
     def _report(self, entry: TraceEntry, probe_generation: int | None) -> None:
         report = AttemptReport(
-            request_id=self._facts.request_id,
+            request_id=self._request_metadata.request_id,
             attempt_id=entry.attempt_id,
             worker_id=entry.worker_id,
             effect=entry.effect,
--- a/src/orchidpath/router/forward_edge.py
+++ b/src/orchidpath/router/proxy/proxy_edge.py
@@ -1,7 +1,7 @@
 """The router's edge for forward routes: callers, readiness and metrics.
 
 A request is refused at once, as not run, while the router holds no lease to serve; whatever a route
-matches is served by a :class:`~orchidpath.router.forward_runner.ForwardRunner`.
+matches is served by a :class:`~orchidpath.router.proxy.proxy_runner.ForwardRunner`.
 """
 
 import asyncio
@@ -14,16 +14,16 @@
 from orchidpath.forwarding.split import WeightedSplit
 from orchidpath.router.background_tasks import BackgroundTasks
 from orchidpath.router.decision_maker import DecisionMaker
-from orchidpath.router.decisions import FleetAccess
 from orchidpath.router.drain import DrainState
-from orchidpath.router.forward_attempts import ForwardEnvironment
-from orchidpath.router.forward_dialect import ForwardDialect, UnreadableRequestError
-from orchidpath.router.forward_messages import ForwardedRequest
-from orchidpath.router.forward_metrics import ForwardMetrics
-from orchidpath.router.forward_runner import ForwardRunner
-from orchidpath.router.forward_server import CallerConnection, ForwardServer
+from orchidpath.router.fleet_link.fleet_access import FleetAccess
+from orchidpath.router.proxy.protocol_mapping import ProtocolMapping, UnreadableRequestError
+from orchidpath.router.proxy.proxy_attempts import ForwardEnvironment
+from orchidpath.router.proxy.proxy_messages import ForwardedRequest
+from orchidpath.router.proxy.proxy_metrics import ForwardMetrics
+from orchidpath.router.proxy.proxy_runner import ForwardRunner
+from orchidpath.router.proxy.proxy_server import CallerConnection, ForwardServer
+from orchidpath.router.proxy.upstream import UpstreamPool
 from orchidpath.router.routing_state import RoutingState
-from orchidpath.router.upstream import UpstreamPool
 from orchidpath.wire.configuration import EdgeLimits
 from orchidpath.wire.messages import AttemptReport, CircuitsView, CounterReport
 from orchidpath.wire.records import FleetView
@@ -86,7 +86,7 @@
         self,
         settings: RouterSettings,
         fleet: FleetAccess,
-        dialect: ForwardDialect,
+        protocol_mapping: ProtocolMapping,
         random: Random,
         clock: Clock,
     ) -> None:
@@ -94,7 +94,7 @@
         self._clock = clock
         self._random = random
         self._split = WeightedSplit(random)
-        self._dialect = dialect
+        self._protocol_mapping = protocol_mapping
         self._logger: Logger = get_logger("forward_edge")
         self._state = RoutingState(fleet, random, settings.zone)
         self._drain = DrainState()
@@ -107,7 +107,7 @@
                 fleet, self._state, settings.decision_timeout_seconds, clock, None
             ),
             pool=self._pool,
-            dialect=dialect,
+            protocol_mapping=protocol_mapping,
             tasks=self._tasks,
             metrics=self._metrics,
             random=random,
@@ -197,12 +197,12 @@
             caller.send_answer(404, (), b"no such route")
             return
         try:
-            facts = self._dialect.read_request(request.headers)
+            request_metadata = self._protocol_mapping.read_request(request.headers)
         except UnreadableRequestError as error:
             caller.send_answer(400, (), str(error).encode())
             return
         service = self._split.next_service(route)
-        runner = ForwardRunner(self._environment, request, facts, route, service, caller)
+        runner = ForwardRunner(self._environment, request, request_metadata, route, service, caller)
         await runner.run()
 
     def _serves(self) -> bool:
@@ -223,7 +223,7 @@
 
     async def _probe(self, request: ForwardedRequest, caller: CallerConnection) -> None:
         match request.path:
-            case self._dialect.ready_path:
+            case self._protocol_mapping.ready_path:
                 ready = self._serves() and not self._drain.is_draining
                 caller.send_answer(200 if ready else 503, (), b"")
             case "/health/live":
--- a/src/orchidpath/router/forward_messages.py
+++ b/src/orchidpath/router/proxy/proxy_messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from orchidpath.router.forward_dialect import Header
+from orchidpath.router.proxy.protocol_mapping import Header
 
 
 class ForwardedRequest(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/orchidpath/router/forward_runner.py
+++ b/src/orchidpath/router/proxy/proxy_runner.py
@@ -9,26 +9,31 @@
 import msgspec
 
 from orchidpath.circuit.classification import Observed
-from orchidpath.forwarding.progress import FailureKind, FinalStatus, ForwardProgress, ReturnTime
-from orchidpath.placement.prompts import LONGEST_DIRECT_READ_TOKENS
-from orchidpath.router.answer_relay import AnswerRelay
+from orchidpath.forwarding.progress import FailureKind, FinalOutcome, ForwardProgress, ReturnTime
+from orchidpath.placement.prefill_placement import MAX_DECODE_SIDE_PREFILL_TOKENS
 from orchidpath.router.decision_maker import DecisionSubject
-from orchidpath.router.forward_attempts import (
+from orchidpath.router.proxy.protocol_mapping import (
+    Order,
+    PromptRead,
+    RequestMetadata,
+    ResponseMetadata,
+)
+from orchidpath.router.proxy.proxy_attempts import (
     Chosen,
-    DeniedError,
     ForwardAttempts,
     ForwardEnvironment,
+    RejectedDecisionError,
 )
-from orchidpath.router.forward_dialect import AnswerFacts, Order, PromptRead, RequestFacts
-from orchidpath.router.forward_messages import AnswerHead, ForwardedRequest
-from orchidpath.router.forward_server import CallerConnection, CallerGoneError
-from orchidpath.router.upstream import (
+from orchidpath.router.proxy.proxy_messages import AnswerHead, ForwardedRequest
+from orchidpath.router.proxy.proxy_server import CallerConnection, CallerDisconnectedError
+from orchidpath.router.proxy.response_relay import AnswerRelay
+from orchidpath.router.proxy.upstream import (
     BrokenAnswerError,
     NoConnectionError,
     UpstreamConnection,
     UpstreamError,
 )
-from orchidpath.routing.request_events import SendRefusal
+from orchidpath.routing.request.events import SendRefusal
 from orchidpath.routing.ring import request_key
 from orchidpath.wire.configuration import ForwardRoute, Repetition, ServiceKind
 from orchidpath.wire.records import Stage
@@ -47,17 +52,17 @@
 NO_LEASE_RETURN_SECONDS = 1.0
 """A router that has lost its lease gets it back, or is taken out of use, within about this."""
 
-UNANSWERABLE_PROMISES = frozenset({408, 421, 429, 503})
+UNANSWERABLE_GUARANTEES = frozenset({408, 421, 429, 503})
 """Statuses that promise "not run": they are never passed on from a worker that did not promise."""
 
 _STATUS_BY_FINAL = {
-    FinalStatus.NOT_RUN: 503,
-    FinalStatus.BROKEN: 502,
-    FinalStatus.TIMED_OUT: 504,
+    FinalOutcome.NOT_RUN: 503,
+    FinalOutcome.BROKEN: 502,
+    FinalOutcome.TIMED_OUT: 504,
 }
 
 
-class _ReadPrompt(msgspec.Struct, frozen=True):
+class _PendingPrefill(msgspec.Struct, frozen=True):
     """A prompt that was read, and where its KV cache is.
 
     How the attempt ended for its worker is reported once the cache was taken up, or was not.
@@ -90,36 +95,36 @@
         self,
         environment: ForwardEnvironment,
         request: ForwardedRequest,
-        facts: RequestFacts,
+        request_metadata: RequestMetadata,
         route: ForwardRoute,
         service: str,
         caller: CallerConnection,
     ) -> None:
         self._environment = environment
         self._request = request
-        self._facts = facts
+        self._request_metadata = request_metadata
         self._route = route
         self._service = service
         self._caller = caller
         self._clock = environment.clock
         seconds = route.timeout_seconds
-        if facts.deadline_seconds is not None:
-            seconds = min(seconds, facts.deadline_seconds)
+        if request_metadata.deadline_seconds is not None:
+            seconds = min(seconds, request_metadata.deadline_seconds)
         budget = environment.state.budget(service)
         budget.record_first_attempt(self._clock())
         self._progress = ForwardProgress(route, budget, request.received_at + seconds)
         self._is_model = environment.state.service_kind(service) is ServiceKind.MODEL
-        self._model = environment.state.model_of(service, facts.model)
-        self._attempts = ForwardAttempts(environment, facts, self._subject())
-        self._prompt: _ReadPrompt | None = None
+        self._model = environment.state.model_of(service, request_metadata.model)
+        self._attempts = ForwardAttempts(environment, request_metadata, self._subject())
+        self._prompt: _PendingPrefill | None = None
         # A short prompt is read by the decode worker itself, between the tokens of others.
         shortest = environment.state.configuration.admission.direct_prompt_tokens
-        self._wants_pair = self._is_model and facts.prompt_tokens > shortest
-        self._reads_prompt = self._wants_pair
-        self._hand_over_was_lost = False
+        self._wants_pair = self._is_model and request_metadata.prompt_tokens > shortest
+        self._is_prefill = self._wants_pair
+        self._kv_transfer_was_lost = False
         self._answer = AnswerRelay(
             caller,
-            may_be_taken_up=route.streaming and route.repetition is Repetition.RESUMED,
+            may_be_resumed=route.streaming and route.repetition is Repetition.RESUMED,
         )
 
     async def run(self) -> None:
@@ -130,38 +135,38 @@
         except TimeoutError:
             self._progress.last_failure = FailureKind.TIMED_OUT
             self._give_up("the deadline has passed", 0.0)
-        except DeniedError as given_up:
+        except RejectedDecisionError as given_up:
             self._give_up(str(given_up), given_up.retry_after_seconds)
         finally:
-            self._let_go()
+            self._release_handle()
 
     async def _run(self) -> None:
         for _ in range(MAX_ROUNDS):
             now = self._clock()
-            reads = self._wants_prompt_read(now)
+            reads = self._wants_prefill(now)
             if not reads and not self._may_leave_read_to_decode():
-                raise DeniedError("the prompt can't be read now")
+                raise RejectedDecisionError("the prompt can't be read now")
             chosen = await self._decide(reads)
             if chosen is None:
                 continue
             prefill = chosen.get(Stage.PREFILL)
-            if prefill is not None and not await self._read_prompt(prefill):
+            if prefill is not None and not await self._start_prefill(prefill):
                 continue
             stage = Stage.DECODE if self._is_model else Stage.PLAIN
             if await self._send(chosen[stage]):
                 return
-        raise DeniedError("no worker could be reached")
+        raise RejectedDecisionError("no worker could be reached")
 
     # Decisions
 
-    def _wants_prompt_read(self, now: float) -> bool:
+    def _wants_prefill(self, now: float) -> bool:
         """Whether this round begins with reading the prompt on a worker of its own."""
-        if not self._reads_prompt or self._prompt is not None:
+        if not self._is_prefill or self._prompt is not None:
             return False
         state = self._environment.state
         if not state.selector.eligible(self._service, Stage.PREFILL, self._model):
             return False
-        return self._progress.may_read_prompt(now)
+        return self._progress.may_prefill(now)
 
     def _may_leave_read_to_decode(self) -> bool:
         """Whether a decode worker may read the prompt itself, if it still has to be read.
@@ -169,12 +174,12 @@
         Nothing else is taken up there meanwhile, so a long one is refused as long as prefill
         workers are there: the caller comes back.
         """
-        if self._prompt is not None or not self._wants_pair or self._hand_over_was_lost:
+        if self._prompt is not None or not self._wants_pair or self._kv_transfer_was_lost:
             return True
-        if self._answer.has_begun:
+        if self._answer.has_started:
             # The rest of a stream that broke off: it can't be refused any more.
             return True
-        if self._facts.prompt_tokens <= LONGEST_DIRECT_READ_TOKENS:
+        if self._request_metadata.prompt_tokens <= MAX_DECODE_SIDE_PREFILL_TOKENS:
             return True
         return not self._environment.state.selector.eligible(
             self._service, Stage.PREFILL, self._model
@@ -188,78 +193,82 @@
         reader = self._prompt.chosen.worker.worker_id if self._prompt else ""
         try:
             return await self._attempts.decide(stages, reader)
-        except DeniedError:
+        except RejectedDecisionError:
             if not reads:
                 raise
-            self._reads_prompt = False
+            self._is_prefill = False
             return None
 
     def _subject(self) -> DecisionSubject:
-        key = self._facts.prefix_key
+        key = self._request_metadata.prefix_key
         if not self._route.prefix_affinity:
-            key = request_key(self._facts.request_id)
+            key = request_key(self._request_metadata.request_id)
         return DecisionSubject(
-            request_id=self._facts.request_id,
+            request_id=self._request_metadata.request_id,
             service=self._service,
             model=self._model,
             is_model=self._is_model,
             prefix_key=key,
-            prompt=self._facts.prompt if self._is_model else None,
+            prompt=self._request_metadata.prompt if self._is_model else None,
         )
 
     # Prompt reads
 
-    async def _read_prompt(self, chosen: Chosen) -> bool:
+    async def _start_prefill(self, chosen: Chosen) -> bool:
         """Have the prompt read; False when the round is to be begun anew."""
         seconds = self._progress.prompt_read_seconds(self._clock(), chosen.expected_read_seconds)
         try:
             async with asyncio.timeout(seconds):
                 answer = await self._prompt_answer(chosen)
         except NoConnectionError:
-            return self._prompt_read_failed(chosen, Observed.CONNECT_FAILED)
+            return self._prefill_failed(chosen, Observed.CONNECT_FAILED)
         except BrokenAnswerError:
-            return self._prompt_read_failed(chosen, Observed.CONNECTION_RESET)
+            return self._prefill_failed(chosen, Observed.CONNECTION_RESET)
         except TimeoutError:
-            return self._prompt_read_failed(chosen, Observed.TIMED_OUT)
+            return self._prefill_failed(chosen, Observed.TIMED_OUT)
         if answer is None:
             return False
-        self._prompt = _ReadPrompt(chosen, answer)
+        self._prompt = _PendingPrefill(chosen, answer)
         self._attempts.prompt_read(chosen)
         return True
 
     async def _prompt_answer(self, chosen: Chosen) -> PromptRead | None:
-        order = self._order(chosen, reads_prompt=True)
+        order = self._order(chosen, is_prefill=True)
         address = chosen.address
         connection = await self._open(chosen, order)
         if connection is None:
             return None
-        self._progress.prompt_read_sent()
+        self._progress.prefill_dispatched()
         try:
-            head, facts = await self._own_answer(connection)
-            body = await _whole_body(connection)
+            head, response_metadata = await self._own_answer(connection)
+            body = await _full_body(connection)
         except BaseException:
             connection.close()
             raise
         self._environment.pool.release(address, connection)
-        read = self._environment.dialect.read_prompt_read(body) if head.status == 200 else None
+        read = (
+            self._environment.protocol_mapping.read_prompt_read(body)
+            if head.status == 200
+            else None
+        )
         if read is None:
-            self._prompt_read_failed(chosen, self._refusal_of(head, facts), head.status)
+            self._prefill_failed(chosen, self._refusal_of(head, response_metadata), head.status)
         return read
 
-    def _prompt_read_failed(
+    def _prefill_failed(
         self, chosen: Chosen, observed: Observed, status: int | None = None
     ) -> bool:
         if observed is not Observed.CONNECT_FAILED:
-            self._progress.prompt_read_failed(self._clock())
+            self._progress.prefill_failed(self._clock())
         self._attempts.failed(chosen, observed, status)
         self._attempts.end_all(Observed.GATEWAY_FAULT)
         if not self._progress.has_workers_left():
             # A decode worker can read the prompt itself, without a further worker.
-            self._reads_prompt = False
+            self._is_prefill = False
         return False
 
-    def _refusal_of(self, head: AnswerHead, facts: AnswerFacts) -> Observed:
-        if facts.promises_not_run and head.status == 421:
+    def _refusal_of(self, head: AnswerHead, response_metadata: ResponseMetadata) -> Observed:
+        if response_metadata.guarantees_not_executed and head.status == 421:
             return Observed.GATEWAY_FAULT
         return Observed.HTTP_STATUS
 
@@ -270,7 +279,7 @@
         worker_id = chosen.worker.worker_id
         if not self._progress.may_send(worker_id, self._clock()):
             self._attempts.ended(chosen, Observed.GATEWAY_FAULT)
-            raise DeniedError("no further attempt is allowed")
+            raise RejectedDecisionError("no further attempt is allowed")
         try:
             connection = await self._open(chosen, self._order(chosen))
         except NoConnectionError:
@@ -291,37 +300,37 @@
         sent_at = self._clock()
         try:
             async with asyncio.timeout(self._progress.first_answer_seconds(sent_at)):
-                head, facts = await self._own_answer(connection)
+                head, response_metadata = await self._own_answer(connection)
                 first = await connection.read_body()
         except TimeoutError:
             connection.close()
             return self._order_failed(chosen, FailureKind.TIMED_OUT, Observed.TIMED_OUT)
         delay_seconds = self._clock() - sent_at
         self._environment.decisions.observe_delay(
-            chosen.worker.worker_id, self._facts.request_id, delay_seconds
+            chosen.worker.worker_id, self._request_metadata.request_id, delay_seconds
         )
-        if facts.promises_not_run:
+        if response_metadata.guarantees_not_executed:
             await self._drop(chosen, connection, first)
-            return self._refused(chosen, head, facts)
-        self._handed_over()
+            return self._refused(chosen, head, response_metadata)
+        self._kv_transferred()
         if self._is_model:
             self._attempts.prompt_read(chosen)
-        if not self._may_pass_on(head, facts):
+        if not self._may_pass_on(head, response_metadata):
             connection.close()
             return self._order_failed(
                 chosen, FailureKind.BROKEN, Observed.MALFORMED_PROTOCOL, head.status
             )
-        await self._pass_on(chosen, connection, head, first, facts.weights_version)
+        await self._pass_on(chosen, connection, head, first, response_metadata.weights_version)
         return True
 
-    def _may_pass_on(self, head: AnswerHead, facts: AnswerFacts) -> bool:
+    def _may_pass_on(self, head: AnswerHead, response_metadata: ResponseMetadata) -> bool:
         """Whether an answer may reach the caller as it is."""
-        if head.status in UNANSWERABLE_PROMISES or facts.is_encoded:
+        if head.status in UNANSWERABLE_GUARANTEES or response_metadata.is_encoded:
             return False
-        if self._answer.has_begun:
-            return head.status == 200 and facts.is_signed
+        if self._answer.has_started:
+            return head.status == 200 and response_metadata.is_signed
         if 200 <= head.status < 300:
-            return facts.is_signed
+            return response_metadata.is_signed
         may_repeat = self._route.repetition is not Repetition.NEVER
         return not (head.status >= 500 and may_repeat and self._progress.has_workers_left())
 
@@ -334,8 +343,8 @@
         weights_version: int | None,
     ) -> None:
         """Pass an answer on as it comes; from here on nothing else can be answered."""
-        dialect = self._environment.dialect
-        headers = dialect.answer_headers(head.headers, keep_signature=True)
+        protocol_mapping = self._environment.protocol_mapping
+        headers = protocol_mapping.answer_headers(head.headers, keep_signature=True)
         self._answer.begin(head.status, tuple(headers), weights_version)
         part = first
         while part is not None:
@@ -349,17 +358,19 @@
             self._attempts.ended(chosen, Observed.SUCCESS)
         self._environment.metrics.answered(self._route.name, str(head.status))
 
-    def _refused(self, chosen: Chosen, head: AnswerHead, facts: AnswerFacts) -> bool:
+    def _refused(
+        self, chosen: Chosen, head: AnswerHead, response_metadata: ResponseMetadata
+    ) -> bool:
         """Take a worker's promise that it did not run the request."""
-        is_full = facts.load is not None and facts.load.is_full
+        is_full = response_metadata.load is not None and response_metadata.load.is_full
         had_source = chosen.stage is Stage.DECODE and self._prompt is not None
         if had_source and not is_full:
             # The KV cache could not be had. The worker itself can serve, and reads the prompt.
-            self._hand_over_failed()
-            self._hand_over_was_lost = True
-            self._reads_prompt = False
+            self._kv_transfer_failed()
+            self._kv_transfer_was_lost = True
+            self._is_prefill = False
             return self._order_failed(
-                chosen, FailureKind.REFUSED, Observed.HAND_OVER_UNDECIDED, tries_again=True
+                chosen, FailureKind.REFUSED, Observed.KV_TRANSFER_UNDECIDED, is_retried=True
             )
         observed = Observed.GATEWAY_FAULT if head.status == 421 else Observed.HTTP_STATUS
         status = 429 if observed is Observed.HTTP_STATUS else None
@@ -372,45 +383,47 @@
         observed: Observed,
         status: int | None = None,
         *,
-        tries_again: bool = False,
+        is_retried: bool = False,
     ) -> bool:
         self._progress.failed(kind)
-        if tries_again:
+        if is_retried:
             self._attempts.ended(chosen, observed, status)
         else:
             self._attempts.failed(chosen, observed, status)
         if kind is not FailureKind.REFUSED and kind is not FailureKind.NOT_SENT:
             # Whatever was handed over is gone, or may be.
-            self._handed_over()
+            self._kv_transferred()
             self._prompt = None
-            self._reads_prompt = self._wants_pair and self._progress.has_workers_left()
-        if self._answer.has_begun and not self._can_go_on():
+            self._is_prefill = self._wants_pair and self._progress.has_workers_left()
+        if self._answer.has_started and not self._can_go_on():
             self._answer.close()
-            raise CallerGoneError("the answer was broken off")
+            raise CallerDisconnectedError("the answer was broken off")
         return False
 
     def _can_go_on(self) -> bool:
         """Whether another worker can go on with the answer that has begun."""
         return self._answer.broke_off() and self._progress.has_workers_left()
 
-    def _order(self, chosen: Chosen, *, reads_prompt: bool = False) -> Order:
+    def _order(self, chosen: Chosen, *, is_prefill: bool = False) -> Order:
         source = ""
         version = None
-        if self._prompt is not None and not reads_prompt:
+        if self._prompt is not None and not is_prefill:
             address = self._prompt.chosen.address
-            source = self._environment.dialect.cache_source(address, self._prompt.read.handle)
+            source = self._environment.protocol_mapping.cache_source(
+                address, self._prompt.read.handle
+            )
             version = self._prompt.read.version
-        if version is None and not reads_prompt:
+        if version is None and not is_prefill:
             version = self._answer.weights_version
         return Order(
             worker_id=chosen.worker.worker_id,
             deadline_seconds=self._progress.time_left(self._clock()),
             # Only prompt reads go by rank: at a decode worker the urgent preempt running streams.
-            priority=self._route.priority if reads_prompt else None,
-            reads_prompt=reads_prompt,
+            priority=self._route.priority if is_prefill else None,
+            is_prefill=is_prefill,
             cache_source=source,
             expected_version=version,
-            last_event_id="" if reads_prompt else self._answer.last_event_id,
+            last_event_id="" if is_prefill else self._answer.last_event_id,
         )
 
     async def _open(self, chosen: Chosen, order: Order) -> UpstreamConnection | None:
@@ -427,7 +440,7 @@
             environment.pool.release_unused(chosen.address, connection)
             self._send_refused(chosen, refusal)
             return None
-        headers = environment.dialect.order_headers(self._request.headers, order)
+        headers = environment.protocol_mapping.order_headers(self._request.headers, order)
         headers = [one for one in headers if one[0] != b"content-length"]
         if self._request.body:
             headers.append((b"content-length", b"%d" % len(self._request.body)))
@@ -439,15 +452,21 @@
         if chosen.stage is Stage.PREFILL:
             self._attempts.end_all(Observed.GATEWAY_FAULT)
         if refusal is SendRefusal.NOT_FRESH:
-            raise DeniedError("this router holds no lease to serve", NO_LEASE_RETURN_SECONDS)
+            raise RejectedDecisionError(
+                "this router holds no lease to serve", NO_LEASE_RETURN_SECONDS
+            )
 
-    async def _own_answer(self, connection: UpstreamConnection) -> tuple[AnswerHead, AnswerFacts]:
+    async def _own_answer(
+        self, connection: UpstreamConnection
+    ) -> tuple[AnswerHead, ResponseMetadata]:
         """Return the head of the answer that belongs to this request, skipping foreign ones."""
         while True:
             head = await connection.read_head()
-            facts = self._environment.dialect.read_answer(head.status, head.headers)
-            if facts.request_id in {"", self._facts.request_id}:
-                return head, facts
+            response_metadata = self._environment.protocol_mapping.read_answer(
+                head.status, head.headers
+            )
+            if response_metadata.request_id in {"", self._request_metadata.request_id}:
+                return head, response_metadata
             while await connection.read_body() is not None:
                 pass
             connection.skip_foreign_answer()
@@ -468,60 +487,60 @@
     # Ends
 
     def _give_up(self, reason: str, retry_after_seconds: float) -> None:
-        if self._answer.has_begun:
+        if self._answer.has_started:
             self._answer.close()
             self._environment.metrics.answered(self._route.name, "broken_off")
             return
         final = self._progress.final_status()
         self._environment.metrics.answered(self._route.name, final.value)
         headers = [(b"content-type", b"text/plain")]
-        if final is FinalStatus.NOT_RUN:
+        if final is FinalOutcome.NOT_RUN:
             share = self._environment.random.random()
             seconds = RETURN_TIME.seconds(share, retry_after_seconds)
             headers.append((b"retry-after", b"%.2f" % seconds))
         self._caller.send_answer(_STATUS_BY_FINAL[final], headers, reason.encode())
 
-    def _let_go(self) -> None:
+    def _release_handle(self) -> None:
         """Report what still runs, and free a KV cache that nobody has taken up."""
         timed_out = self._progress.last_failure is FailureKind.TIMED_OUT
         self._attempts.end_all(Observed.TIMED_OUT if timed_out else Observed.CLIENT_CANCELLED)
         self._drop_prompt()
 
-    def _handed_over(self) -> None:
+    def _kv_transferred(self) -> None:
         """Report that the KV cache of the prompt read was taken up."""
         if self._prompt is not None:
             self._attempts.ended(self._prompt.chosen, Observed.SUCCESS)
 
-    def _hand_over_failed(self) -> None:
+    def _kv_transfer_failed(self) -> None:
         """Charge the worker that has read the prompt: a decode worker with room could not fetch it.
 
         A link that fails is charged there too; when several decode workers fetch from it again,
         its first success clears what was counted.
         """
         if self._prompt is not None:
-            self._attempts.ended(self._prompt.chosen, Observed.HAND_OVER_CHARGED)
+            self._attempts.ended(self._prompt.chosen, Observed.KV_TRANSFER_CHARGED)
         self._drop_prompt()
 
     def _drop_prompt(self) -> None:
         prompt, self._prompt = self._prompt, None
-        if prompt is not None and not self._answer.has_begun:
+        if prompt is not None and not self._answer.has_started:
             self._environment.tasks.spawn(self._release(prompt))
 
-    async def _release(self, prompt: _ReadPrompt) -> None:
+    async def _release(self, prompt: _PendingPrefill) -> None:
         address = prompt.chosen.address
-        target = self._environment.dialect.release_target(prompt.read.handle)
+        target = self._environment.protocol_mapping.release_target(prompt.read.handle)
         try:
             async with asyncio.timeout(RELEASE_TIMEOUT_SECONDS):
                 connection = await self._environment.pool.connection(address, 0)
                 connection.send(b"DELETE", target, [(b"host", address.encode())], b"")
                 await connection.read_head()
-                await _whole_body(connection)
+                await _full_body(connection)
         except (UpstreamError, TimeoutError):
             return
         self._environment.pool.release(address, connection)
 
 
-async def _whole_body(connection: UpstreamConnection) -> bytes:
+async def _full_body(connection: UpstreamConnection) -> bytes:
     body = bytearray()
     while (part := await connection.read_body()) is not None:
         body += part
--- a/src/orchidpath/router/forward_server.py
+++ b/src/orchidpath/router/proxy/proxy_server.py
@@ -13,8 +13,8 @@
 from orchidpath.common.clock import Clock
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.common.logs import get_logger
-from orchidpath.router.forward_dialect import Header
-from orchidpath.router.forward_messages import AnswerHead, ForwardedRequest
+from orchidpath.router.proxy.protocol_mapping import Header
+from orchidpath.router.proxy.proxy_messages import AnswerHead, ForwardedRequest
 from orchidpath.wire.configuration import EdgeLimits
 
 LISTEN_BACKLOG = 512
@@ -25,7 +25,7 @@
 TIMEOUT_STATUS = 408
 
 
-class CallerGoneError(OrchidpathError):
+class CallerDisconnectedError(OrchidpathError):
     """The caller's connection is closed, so nothing can be answered."""
 
 
@@ -136,7 +136,7 @@
         try:
             while await self._serve_one() and not self._server.is_stopped:
                 self._http.start_next_cycle()
-        except CallerGoneError:
+        except CallerDisconnectedError:
             pass
         except _RefusedRequestError as refused:
             self._refuse(refused)
@@ -243,7 +243,7 @@
 
     def _write(self, data: bytes | None) -> None:
         if self._transport is None or self._transport.is_closing():
-            raise CallerGoneError("the caller has closed the connection")
+            raise CallerDisconnectedError("the caller has closed the connection")
         if data:
             self._transport.write(data)
 
--- a/src/orchidpath/router/answer_relay.py
+++ b/src/orchidpath/router/proxy/response_relay.py
@@ -5,10 +5,10 @@
 """
 
 from orchidpath.forwarding.resumable_stream import ResumableStream, StitchedStreamError
-from orchidpath.router.forward_dialect import Header
-from orchidpath.router.forward_messages import AnswerHead
-from orchidpath.router.forward_server import CallerConnection
-from orchidpath.router.upstream import BrokenAnswerError
+from orchidpath.router.proxy.protocol_mapping import Header
+from orchidpath.router.proxy.proxy_messages import AnswerHead
+from orchidpath.router.proxy.proxy_server import CallerConnection
+from orchidpath.router.proxy.upstream import BrokenAnswerError
 
 
 class AnswerRelay:
@@ -22,16 +22,16 @@
         Whether another worker can go on with it where its worker breaks off.
     """
 
-    def __init__(self, caller: CallerConnection, *, may_be_taken_up: bool) -> None:
+    def __init__(self, caller: CallerConnection, *, may_be_resumed: bool) -> None:
         self._caller = caller
-        self._stream = ResumableStream() if may_be_taken_up else None
-        self.has_begun = False
+        self._stream = ResumableStream() if may_be_resumed else None
+        self.has_started = False
         self.weights_version: int | None = None
 
     @property
     def last_event_id(self) -> str:
         """Event after which another worker is to go on; empty before the first."""
-        return self._stream.last_event_id if self._stream is not None and self.has_begun else ""
+        return self._stream.last_event_id if self._stream is not None and self.has_started else ""
 
     def begin(
         self, status: int, headers: tuple[Header, ...], weights_version: int | None = None
@@ -47,11 +47,11 @@
         weights_version
             Version of the weights that began it, if the worker tells it.
         """
-        if self.has_begun:
+        if self.has_started:
             return
         if status != 200 or any(name == b"content-length" for name, _ in headers):
             self._stream = None
-        self.has_begun = True
+        self.has_started = True
         self.weights_version = weights_version
         self._caller.send_head(AnswerHead(status=status, headers=headers))
 
@@ -83,7 +83,7 @@
         if self._stream is None:
             return False
         self._stream.broke_off()
-        return self._stream.can_be_taken_up
+        return self._stream.can_be_resumed
 
     def close(self) -> None:
         """Close the caller's connection in the middle of the answer, so that it looks broken."""
--- a/src/orchidpath/router/upstream.py
+++ b/src/orchidpath/router/proxy/upstream.py
@@ -16,8 +16,8 @@
 from orchidpath.common.addresses import parse_address
 from orchidpath.common.clock import Clock
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.router.forward_dialect import Header
-from orchidpath.router.forward_messages import AnswerHead
+from orchidpath.router.proxy.protocol_mapping import Header
+from orchidpath.router.proxy.proxy_messages import AnswerHead
 
 CONNECT_TIMEOUT_SECONDS = 0.5
 """A worker that takes longer to accept a connection is taken as unreachable."""
@@ -25,7 +25,7 @@
 LONGEST_REST_SECONDS = 4.0
 """A connection to a worker that says nothing of it rests no longer; then it is closed."""
 
-LONGEST_TOLD_REST_SECONDS = 30.0
+MAX_KEEP_ALIVE_SECONDS = 30.0
 """The same where a worker says how long it keeps connections."""
 
 REST_MARGIN_SECONDS = 1.0
@@ -143,7 +143,7 @@
                 continue
             if not isinstance(event, h11.Response):
                 raise BrokenAnswerError(f"{type(event).__name__} instead of an answer")
-            self._note_keep_alive(event)
+            self._record_keep_alive(event)
             return AnswerHead(
                 status=event.status_code,
                 headers=tuple((bytes(name), bytes(value)) for name, value in event.headers),
@@ -240,7 +240,7 @@
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _note_keep_alive(self, answer: h11.Response) -> None:
+    def _record_keep_alive(self, answer: h11.Response) -> None:
         for name, value in answer.headers:
             if name == b"keep-alive":
                 self._rest_seconds = _rest_seconds(value)
@@ -363,5 +363,5 @@
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.strip().isdigit():
-            return min(max(int(number) - REST_MARGIN_SECONDS, 0.0), LONGEST_TOLD_REST_SECONDS)
+            return min(max(int(number) - REST_MARGIN_SECONDS, 0.0), MAX_KEEP_ALIVE_SECONDS)
     return LONGEST_REST_SECONDS
--- a/src/orchidpath/router/routing_state.py
+++ b/src/orchidpath/router/routing_state.py
@@ -8,12 +8,12 @@
 
 from orchidpath.circuit.fallback import FallbackCircuits
 from orchidpath.circuit.throttle import ThrottleDetector
-from orchidpath.forwarding.table import ForwardTable
-from orchidpath.router.decisions import FleetAccess
+from orchidpath.forwarding.forward_route_table import ForwardTable
+from orchidpath.router.fleet_link.fleet_access import FleetAccess
 from orchidpath.routing.admission import AdmissionController
-from orchidpath.routing.handover import HandoverLedger
+from orchidpath.routing.kv_transfer_evidence import TransferEvidenceTable
 from orchidpath.routing.pairing import PairSelector
-from orchidpath.routing.request_events import SendRefusal
+from orchidpath.routing.request.events import SendRefusal
 from orchidpath.routing.retry_budget import RetryBudget
 from orchidpath.routing.route_table import RouteTable
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
@@ -54,8 +54,8 @@
         self.forward_routes = ForwardTable(empty)
         self._services: dict[str, Service] = {}
         self.admission = AdmissionController(empty.admission)
-        self.handover = HandoverLedger()
-        self.selector = PairSelector(self.handover.avoidance, zone=zone)
+        self.kv_transfer_evidence = TransferEvidenceTable()
+        self.selector = PairSelector(self.kv_transfer_evidence.avoidance, zone=zone)
         self.fallback = FallbackCircuits(empty.circuit, random)
         self.throttle = ThrottleDetector(empty.circuit, random)
 
@@ -98,7 +98,7 @@
         if not self.fallback.take_view(circuits, now):
             return
         for capacity in circuits.capacities:
-            self.throttle.note_open(capacity.failure_domain, capacity.duration_seconds, now)
+            self.throttle.record_open(capacity.failure_domain, capacity.duration_seconds, now)
 
     def worker(self, worker_id: str) -> WorkerRecord | None:
         """Return a worker of the adopted view."""
@@ -165,7 +165,7 @@
 
     def _is_usable(self, worker_id: str, incarnation: str, stage: Stage) -> bool:
         worker = self._workers.get(worker_id)
-        if worker is None or worker.status is not WorkerStatus.READY or worker.held:
+        if worker is None or worker.status is not WorkerStatus.READY or worker.cordoned:
             return False
         if worker.stage is not stage or worker.incarnation != incarnation:
             return False
--- a/src/orchidpath/routing/admission.py
+++ b/src/orchidpath/routing/admission.py
@@ -27,7 +27,7 @@
 MAXIMUM_RETRY_AFTER_SECONDS = 30.0
 """Callers are never told to stay away for longer than this."""
 
-PROMISED_TURNOVERS = 2
+MAX_QUEUE_TURNOVERS = 2
 """Places are promised at most this many mean durations ahead: until then all have been freed."""
 
 
@@ -61,7 +61,7 @@
 
     requests: int = 0
     cost_tokens: int = 0
-    promised_until: float = -math.inf
+    reserved_until: float = -math.inf
 
 
 class _InFlight(msgspec.Struct, frozen=True):
@@ -257,11 +257,11 @@
         """Promise the next free places in turn, so that rejected callers come back spread out."""
         duration = self._durations.mean_seconds(now)
         wait = max(completions, 1.0) * duration / max(load.requests, 1)
-        promised = max(load.promised_until, now) + wait
+        promised = max(load.reserved_until, now) + wait
         # Bounded, so that one caller who asks too often can't push the others' time out for long.
-        latest = now + max(PROMISED_TURNOVERS * duration, wait)
-        load.promised_until = min(promised, latest)
-        retry_after = _bounded_retry_after(load.promised_until - now)
+        latest = now + max(MAX_QUEUE_TURNOVERS * duration, wait)
+        load.reserved_until = min(promised, latest)
+        retry_after = _bounded_retry_after(load.reserved_until - now)
         return Rejected(reason=reason, retry_after_seconds=retry_after)
 
 
--- a/src/orchidpath/routing/decision_log.py
+++ b/src/orchidpath/routing/decision_log.py
@@ -1,8 +1,8 @@
 """Lines of a router's decision log: what was decided on which state, and how it went; pure.
 
 One JSON object a line, told apart by ``type``. ``at_seconds`` is the router's monotonic clock: it
-orders the lines and is the virtual time of a replay (:mod:`orchidpath.tools.replay`). ``time`` is
-the wall clock and only for people. No prompt, body or tenant is logged.
+orders the lines and is the virtual time of a replay (:mod:`orchidpath.tools.decision_replay`).
+``time`` is the wall clock and only for people. No prompt, body or tenant is logged.
 
 The log of one router holds its own decisions and reports. It does not hold other routers' reports,
 nor the neutral reports about a leader's answer that came too late to be used.
@@ -14,7 +14,13 @@
 
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.wire.configuration import CircuitPolicy
-from orchidpath.wire.messages import AttemptEffect, CandidateState, Choice, Denial, Leg
+from orchidpath.wire.messages import (
+    AttemptEffect,
+    CandidateState,
+    Choice,
+    Rejection,
+    StageCandidates,
+)
 from orchidpath.wire.records import Stage
 
 MAX_LINE_BYTES = 1024 * 1024
@@ -96,12 +102,12 @@
     attempt_id: str
     service: str
     configuration_version: int
-    legs: tuple[Leg, ...]
+    per_stage: tuple[StageCandidates, ...] = msgspec.field(name="legs")
     decided_by: DecidedBy
     term: int = 0
     states: tuple[CandidateState, ...] = ()
     choices: tuple[Choice, ...] = ()
-    denial: Denial = Denial.NONE
+    rejection: Rejection = msgspec.field(default=Rejection.NONE, name="denial")
     retry_after_seconds: float = 0.0
 
 
--- a/src/orchidpath/routing/freshness.py
+++ b/src/orchidpath/routing/freshness.py
@@ -23,7 +23,7 @@
 )
 from orchidpath.wire.records import FleetView, RouterRecord, WorkerRecord, WorkerStatus
 
-LEADER_SILENCE_SECONDS = 0.7
+LEADER_TIMEOUT_SECONDS = 0.7
 """Without an answer of the leader for this long, the witnesses are asked as well."""
 
 ACKNOWLEDGE_SECONDS = 0.01
@@ -35,7 +35,7 @@
 FIRST_ACKNOWLEDGE_PERIOD_SECONDS = 0.05
 """The same for a router that holds no lease."""
 
-ASK_AGAIN_SECONDS = 0.25
+WITNESS_QUERY_RETRY_SECONDS = 0.25
 """A router that lacks a revision asks for it once in this time, and not while it gets others."""
 
 REMEMBERED_SENDS = 16
@@ -144,7 +144,7 @@
         self._next_heartbeat_at = now
         self._last_heartbeat_at = float("-inf")
         self._adopted_at = float("-inf")
-        self._asked_at = float("-inf")
+        self._queried_at = float("-inf")
         self._was_fresh = False
 
     @property
@@ -198,8 +198,8 @@
         self._next_heartbeat_at = now + ROUTER_HEARTBEAT_SECONDS
         self._last_heartbeat_at = now
         effects: list[FreshnessEffect] = [SendToLeader(self._heartbeat_message(now))]
-        if now - self._leader_answered_at > LEADER_SILENCE_SECONDS:
-            effects.extend(self._ask_witnesses(now))
+        if now - self._leader_answered_at > LEADER_TIMEOUT_SECONDS:
+            effects.extend(self._query_witnesses(now))
         return effects
 
     def receive_heartbeat_reply(
@@ -217,7 +217,7 @@
         behind = reply.revision > self.revision
         if behind and FreshnessGuard.ADOPT_BEFORE_LEASE not in self._disabled:
             # Most likely the push is on its way; asking at once would double every change.
-            is_getting_others = now - self._adopted_at < ASK_AGAIN_SECONDS
+            is_getting_others = now - self._adopted_at < WITNESS_QUERY_RETRY_SECONDS
             return [] if is_getting_others else self._ask(now)
         if reply.registered:
             self._leader_lease_from = max(self._leader_lease_from, sent_at)
@@ -226,8 +226,8 @@
     def receive_update(self, update: FleetUpdate, now: float) -> list[FreshnessEffect]:
         """Adopt a newer view; anything not above the adopted revision is ignored."""
         self._known_revision = max(self._known_revision, update.revision)
-        going_back = update.revision <= self.revision
-        if going_back and FreshnessGuard.NEVER_BACK not in self._disabled:
+        moves_back = update.revision <= self.revision
+        if moves_back and FreshnessGuard.NEVER_BACK not in self._disabled:
             return []
         view = self._apply(update)
         if view is None:
@@ -250,7 +250,7 @@
             return []
         update = None
         if query.adopted_revision < self.revision:
-            update = whole_update(self._view)
+            update = full_update(self._view)
         reply = FreshnessReply(
             witness_id=self._record.router_id,
             sequence=query.sequence,
@@ -288,9 +288,9 @@
         return max(ACKNOWLEDGE_SECONDS, earliest - now)
 
     def _ask(self, now: float) -> list[FreshnessEffect]:
-        if now - self._asked_at < ASK_AGAIN_SECONDS:
+        if now - self._queried_at < WITNESS_QUERY_RETRY_SECONDS:
             return []
-        self._asked_at = now
+        self._queried_at = now
         return [SendToLeader(FleetUpdateRequest(adopted_revision=self.revision))]
 
     def _has_leader_lease(self, now: float) -> bool:
@@ -340,7 +340,7 @@
             adopted_revision=self.revision,
         )
 
-    def _ask_witnesses(self, now: float) -> list[FreshnessEffect]:
+    def _query_witnesses(self, now: float) -> list[FreshnessEffect]:
         if self._view is None:
             return []
         query = self._query(now)
@@ -359,7 +359,7 @@
         return apply_delta(self._view, update)
 
 
-def whole_update(view: FleetView) -> FleetUpdate:
+def full_update(view: FleetView) -> FleetUpdate:
     """Make an update that carries the whole view."""
     return FleetUpdate(
         revision=view.revision, configuration_version=view.configuration_version, view=view
--- a/src/orchidpath/routing/handover.py
+++ b/src/orchidpath/routing/kv_transfer_evidence.py
@@ -45,7 +45,7 @@
 """Pairs avoided at once; the one avoided longest ago is dropped first."""
 
 
-class HandoverEvidence(StrEnum):
+class TransferEvidence(StrEnum):
     """What the decode worker reported about a failed hand-over."""
 
     UNREACHABLE = "unreachable"
@@ -54,13 +54,13 @@
     """The transfer was cut, stalled or malformed."""
     HANDLE_DENIED = "handle_denied"
     """The prefill worker answered that it does not know the handle."""
-    HANDLE_LAPSED = "handle_lapsed"
+    HANDLE_EXPIRED = "handle_lapsed"
     """The handle was older than its time to live."""
     HANDLE_MISMATCH = "handle_mismatch"
     """The handle was made for another request, attempt or incarnation."""
 
 
-class HandoverVerdict(StrEnum):
+class TransferVerdict(StrEnum):
     """Who is charged for a failed hand-over."""
 
     PREFILL_SIDE = "prefill_side"
@@ -69,16 +69,16 @@
     NEUTRAL = "neutral"
 
 
-class HandoverFailure(msgspec.Struct, frozen=True, kw_only=True):
+class TransferFailure(msgspec.Struct, frozen=True, kw_only=True):
     """One failed hand-over; ``handle_expires_at`` is when the handle was due to lapse."""
 
     prefill_worker_id: str
     decode_worker_id: str
-    evidence: HandoverEvidence
+    evidence: TransferEvidence
     handle_expires_at: float = math.inf
 
 
-class HandoverCharge(msgspec.Struct, frozen=True, kw_only=True):
+class TransferCharge(msgspec.Struct, frozen=True, kw_only=True):
     """What each worker of the pair is reported with."""
 
     prefill_effect: AttemptEffect
@@ -86,32 +86,32 @@
 
 
 _CHARGES = {
-    HandoverVerdict.PREFILL_SIDE: HandoverCharge(
+    TransferVerdict.PREFILL_SIDE: TransferCharge(
         prefill_effect=AttemptEffect.TRANSIENT, decode_effect=AttemptEffect.GATEWAY
     ),
-    HandoverVerdict.DECODE_SIDE: HandoverCharge(
+    TransferVerdict.DECODE_SIDE: TransferCharge(
         prefill_effect=AttemptEffect.GATEWAY, decode_effect=AttemptEffect.TRANSIENT
     ),
-    HandoverVerdict.LINK: HandoverCharge(
+    TransferVerdict.LINK: TransferCharge(
         prefill_effect=AttemptEffect.GATEWAY, decode_effect=AttemptEffect.GATEWAY
     ),
-    HandoverVerdict.NEUTRAL: HandoverCharge(
+    TransferVerdict.NEUTRAL: TransferCharge(
         prefill_effect=AttemptEffect.GATEWAY, decode_effect=AttemptEffect.GATEWAY
     ),
 }
 
 
-def charge_of(verdict: HandoverVerdict) -> HandoverCharge:
+def charge_of(verdict: TransferVerdict) -> TransferCharge:
     """Return the effects to report for a verdict.
 
     Parameters
     ----------
-    verdict : HandoverVerdict
+    verdict : TransferVerdict
         Verdict of the ledger.
 
     Returns
     -------
-    HandoverCharge
+    TransferCharge
         ``TRANSIENT`` for the side at fault and the neutral ``GATEWAY`` for the other one.
     """
     return _CHARGES[verdict]
@@ -220,7 +220,7 @@
         return self._times.get(worker_id, -math.inf)
 
 
-class HandoverLedger:
+class TransferEvidenceTable:
     """Keeps the recent evidence about hand-overs and gives a verdict on each failed one.
 
     Memory is bounded: at most ``MAXIMUM_WORKERS`` workers with ``MAXIMUM_PEERS`` peers each.
@@ -276,43 +276,43 @@
         self._last_success.record(prefill_worker_id, now)
         self._last_success.record(decode_worker_id, now)
 
-    def record_failure(self, failure: HandoverFailure, now: float) -> HandoverVerdict:
+    def record_failure(self, failure: TransferFailure, now: float) -> TransferVerdict:
         """Judge one failed hand-over.
 
         Parameters
         ----------
-        failure : HandoverFailure
+        failure : TransferFailure
             The pair and what the decode worker reported.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
-        HandoverVerdict
+        TransferVerdict
             Whom to charge. ``LINK`` has also put the pair among the avoided ones.
         """
         if _is_neutral(failure, now):
-            return HandoverVerdict.NEUTRAL
+            return TransferVerdict.NEUTRAL
         prefill, decode = failure.prefill_worker_id, failure.decode_worker_id
-        if failure.evidence is HandoverEvidence.HANDLE_DENIED or self._is_unreachable(prefill, now):
+        if failure.evidence is TransferEvidence.HANDLE_DENIED or self._is_unreachable(prefill, now):
             # Certain evidence against the prefill worker must not count against the decode worker
             # later, so it is not recorded as a failure of the pair.
-            return HandoverVerdict.PREFILL_SIDE
+            return TransferVerdict.PREFILL_SIDE
         self._prefill_failures.record(prefill, decode, now)
         self._decode_failures.record(decode, prefill, now)
         verdict = self._weigh(prefill, decode, now)
-        if verdict is HandoverVerdict.LINK:
+        if verdict is TransferVerdict.LINK:
             self.avoidance.avoid(prefill, decode, now + PAIR_AVOIDANCE_SECONDS)
         return verdict
 
-    def _weigh(self, prefill: str, decode: str, now: float) -> HandoverVerdict:
+    def _weigh(self, prefill: str, decode: str, now: float) -> TransferVerdict:
         prefill_suspect = self._is_suspect(prefill, self._prefill_failures, now)
         decode_suspect = self._is_suspect(decode, self._decode_failures, now)
         if prefill_suspect and not decode_suspect:
-            return HandoverVerdict.PREFILL_SIDE
+            return TransferVerdict.PREFILL_SIDE
         if decode_suspect and not prefill_suspect:
-            return HandoverVerdict.DECODE_SIDE
-        return HandoverVerdict.LINK
+            return TransferVerdict.DECODE_SIDE
+        return TransferVerdict.LINK
 
     def _is_suspect(self, worker_id: str, failures: _PeerTimes, now: float) -> bool:
         """Say whether a worker failed with several peers since it last worked with any."""
@@ -323,8 +323,8 @@
         return now - self._last_unreachable.latest(prefill_worker_id) <= REACHABILITY_WINDOW_SECONDS
 
 
-def _is_neutral(failure: HandoverFailure, now: float) -> bool:
-    if failure.evidence is HandoverEvidence.HANDLE_DENIED:
+def _is_neutral(failure: TransferFailure, now: float) -> bool:
+    if failure.evidence is TransferEvidence.HANDLE_DENIED:
         # A prefill worker forgets a lapsed handle; denying it then is no fault.
         return now >= failure.handle_expires_at
-    return failure.evidence in (HandoverEvidence.HANDLE_LAPSED, HandoverEvidence.HANDLE_MISMATCH)
+    return failure.evidence in (TransferEvidence.HANDLE_EXPIRED, TransferEvidence.HANDLE_MISMATCH)
--- a/src/orchidpath/routing/pairing.py
+++ b/src/orchidpath/routing/pairing.py
@@ -18,9 +18,9 @@
 
 import msgspec
 
-from orchidpath.routing.handover import PairAvoidance
+from orchidpath.routing.kv_transfer_evidence import PairAvoidance
 from orchidpath.routing.ring import HashRing, prefix_key, request_key
-from orchidpath.wire.messages import Leg
+from orchidpath.wire.messages import StageCandidates
 from orchidpath.wire.records import FleetView, Stage, WorkerRecord, WorkerStatus
 
 CANDIDATE_LIMIT = 8
@@ -160,12 +160,12 @@
         self._load_bound_factor = admission.load_bound_factor
         self._load_bound_minimum = max(MINIMUM_LOAD_BOUND, admission.load_bound_minimum + 1)
         for worker in view.workers:
-            if worker.status is WorkerStatus.READY and not worker.held:
+            if worker.status is WorkerStatus.READY and not worker.cordoned:
                 self._workers.setdefault((worker.service, worker.stage), []).append(worker)
 
-    def model_legs(
+    def model_candidates(
         self, query: ModelQuery, in_flight: Mapping[str, int], now: float
-    ) -> tuple[Leg, ...]:
+    ) -> tuple[StageCandidates, ...]:
         """Return the legs of a decision about a chat completion.
 
         Parameters
@@ -179,17 +179,19 @@
 
         Returns
         -------
-        tuple[Leg, ...]
+        tuple[StageCandidates, ...]
             Prefill and decode, or decode alone when the prompt was already read. A leg without
             candidates means that no worker is eligible.
         """
         if query.prefill_worker_id:
-            return (self.decode_leg(query, query.prefill_worker_id, in_flight, now),)
-        prefill = self.prefill_leg(query, in_flight)
+            return (self.decode_candidates(query, query.prefill_worker_id, in_flight, now),)
+        prefill = self.prefill_candidates(query, in_flight)
         first_prefill = prefill.candidates[0] if prefill.candidates else ""
-        return (prefill, self.decode_leg(query, first_prefill, in_flight, now))
+        return (prefill, self.decode_candidates(query, first_prefill, in_flight, now))
 
-    def prefill_leg(self, query: ModelQuery, in_flight: Mapping[str, int]) -> Leg:
+    def prefill_candidates(
+        self, query: ModelQuery, in_flight: Mapping[str, int]
+    ) -> StageCandidates:
         """Order prefill workers by the ring, from the prompt's key on, within the load bound.
 
         Parameters
@@ -201,7 +203,7 @@
 
         Returns
         -------
-        Leg
+        StageCandidates
             The worker that should hold the prefix first.
         """
         pool = self._pool(query.service, Stage.PREFILL, query.model)
@@ -214,11 +216,11 @@
                 in_flight.get(worker_id, 0) + 1 > bound,
             ),
         )
-        return self._leg(Stage.PREFILL, ordered, query.tried_prefill)
+        return self._stage_candidates(Stage.PREFILL, ordered, query.tried_prefill)
 
-    def decode_leg(
+    def decode_candidates(
         self, query: ModelQuery, prefill_worker_id: str, in_flight: Mapping[str, int], now: float
-    ) -> Leg:
+    ) -> StageCandidates:
         """Order decode workers by the cost of the link from a prefill worker, then by load.
 
         Avoided pairs come last, then workers over the load bound, then those in another zone than
@@ -239,7 +241,7 @@
 
         Returns
         -------
-        Leg
+        StageCandidates
             The cheapest decode worker first.
         """
         pool = self._pool(query.service, Stage.DECODE, query.model)
@@ -262,7 +264,7 @@
             # Whoever decides may choose another prefill worker, and wants a decode worker near it.
             free = [worker_id for worker_id in ordered if not any(cost(worker_id)[:3])]
             ordered = [*self._spread_over_zones(free), *ordered[len(free) :]]
-        return self._leg(Stage.DECODE, ordered, query.tried_decode)
+        return self._stage_candidates(Stage.DECODE, ordered, query.tried_decode)
 
     def _spread_over_zones(self, ordered: Sequence[str]) -> list[str]:
         """Put the best of every other zone among the first candidates, after half of the best."""
@@ -274,7 +276,7 @@
         by_turns = [one for group in zip_longest(*by_zone.values()) for one in group]
         return [*ordered[:kept], *(one for one in by_turns if one is not None), *nearest]
 
-    def plain_leg(self, query: PlainQuery, in_flight: Mapping[str, int]) -> Leg:
+    def plain_candidates(self, query: PlainQuery, in_flight: Mapping[str, int]) -> StageCandidates:
         """Order the workers of a plain service: the least loaded of a few first, near ones before.
 
         Two are drawn anywhere and two in the router's own zone. One of another zone goes first only
@@ -290,7 +292,7 @@
 
         Returns
         -------
-        Leg
+        StageCandidates
             The chosen few by their load, then ring order by request id; tried ones come last.
         """
         pool = self._pool(query.service, Stage.PLAIN, "")
@@ -308,7 +310,7 @@
 
         first = sorted(drawn, key=cost)
         ordered = dict.fromkeys((*first, *untried, *anywhere))
-        return self._leg(Stage.PLAIN, ordered, query.tried)
+        return self._stage_candidates(Stage.PLAIN, ordered, query.tried)
 
     def eligible(self, service: str, stage: Stage, model: str = "") -> tuple[str, ...]:
         """Return the eligible workers of a service and stage, sorted.
@@ -329,9 +331,11 @@
         """
         return self._pool(service, stage, model).worker_ids
 
-    def _leg(self, stage: Stage, ordered: Iterable[str], tried: tuple[str, ...]) -> Leg:
+    def _stage_candidates(
+        self, stage: Stage, ordered: Iterable[str], tried: tuple[str, ...]
+    ) -> StageCandidates:
         candidates = tuple(ordered)[: self._candidate_limit]
-        return Leg(stage=stage, candidates=candidates, tried=tried)
+        return StageCandidates(stage=stage, candidates=candidates, tried=tried)
 
     def _pool(self, service: str, stage: Stage, model: str) -> _Pool:
         pool_key = (service, stage, "" if stage is Stage.PLAIN else model)
--- a/src/orchidpath/routing/request_reports.py
+++ b/src/orchidpath/routing/request/attempt_reports.py
@@ -8,25 +8,25 @@
 
 import msgspec
 
-from orchidpath.routing.handover import HandoverCharge, HandoverEvidence
-from orchidpath.routing.request_events import Report
-from orchidpath.routing.request_guards import NO_GUARD_DISABLED, Guard
+from orchidpath.routing.kv_transfer_evidence import TransferCharge, TransferEvidence
+from orchidpath.routing.request.events import Report
+from orchidpath.routing.request.guards import NO_GUARD_DISABLED, Guard
 from orchidpath.wire.backend import ErrorBody, ErrorCode
 from orchidpath.wire.messages import AttemptEffect, AttemptReport, Choice
 from orchidpath.wire.records import Stage
 
 _HANDOVER_EVIDENCE = MappingProxyType(
     {
-        ErrorCode.HANDLE_LAPSED: HandoverEvidence.HANDLE_LAPSED,
-        ErrorCode.HANDLE_MISMATCH: HandoverEvidence.HANDLE_MISMATCH,
-        ErrorCode.UPSTREAM_REFUSED: HandoverEvidence.HANDLE_DENIED,
-        ErrorCode.UPSTREAM_FAILED: HandoverEvidence.TRANSFER_FAILED,
+        ErrorCode.HANDLE_EXPIRED: TransferEvidence.HANDLE_EXPIRED,
+        ErrorCode.HANDLE_MISMATCH: TransferEvidence.HANDLE_MISMATCH,
+        ErrorCode.UPSTREAM_REFUSED: TransferEvidence.HANDLE_DENIED,
+        ErrorCode.UPSTREAM_FAILED: TransferEvidence.TRANSFER_FAILED,
     }
 )
 """What a decode worker's error code says about its hand-over (backend protocol)."""
 
 
-def handover_evidence(error: ErrorBody | None) -> HandoverEvidence | None:
+def transfer_evidence(error: ErrorBody | None) -> TransferEvidence | None:
     """Return what a decode worker's error says about the hand-over; None when nothing."""
     return _HANDOVER_EVIDENCE.get(error.code) if error is not None else None
 
@@ -49,7 +49,7 @@
         return self.choices[stage].worker_id
 
 
-class ReportBook:
+class ReportBuffer:
     """Makes the reports of one request.
 
     Parameters
@@ -110,8 +110,8 @@
             reports.extend(self.report(attempt, stage, effect, reason))
         return reports
 
-    def report_handover(
-        self, attempt: AttemptRecord, charge: HandoverCharge, reason: str
+    def report_kv_transfer(
+        self, attempt: AttemptRecord, charge: TransferCharge, reason: str
     ) -> list[Report]:
         """Report both workers of a pair whose hand-over failed."""
         return [
--- a/src/orchidpath/routing/request_core.py
+++ b/src/orchidpath/routing/request/core.py
@@ -1,7 +1,7 @@
-"""State of one request and the steps that its transitions share; see :mod:`.attempt`.
+"""State of one request and the steps that its transitions share; see :mod:`.request_machine`.
 
 Steps return instructions and leave the request in the phase that follows. Nothing here looks at
-events; which step follows which event is decided in :mod:`.attempt`.
+events; which step follows which event is decided in :mod:`.request_machine`.
 """
 
 import math
@@ -12,21 +12,29 @@
 import msgspec
 
 from orchidpath.circuit.classification import AttemptObservation, Observed, classify
-from orchidpath.routing import request_events as events
-from orchidpath.routing.backoff import full_jitter
-from orchidpath.routing.handover import HandoverFailure, HandoverLedger, charge_of
-from orchidpath.routing.request_decode import DecodeProgress
-from orchidpath.routing.request_errors import (
+from orchidpath.routing.kv_transfer_evidence import (
+    TransferEvidenceTable,
+    TransferFailure,
+    charge_of,
+)
+from orchidpath.routing.request import events
+from orchidpath.routing.request.attempt_reports import (
+    AttemptRecord,
+    ReportBuffer,
+    transfer_evidence,
+)
+from orchidpath.routing.request.decode import DecodeProgress
+from orchidpath.routing.request.dispatch_log import DispatchLog
+from orchidpath.routing.request.errors import (
     GiveUp,
     no_candidates,
     out_of_budget,
     stream_broken,
 )
-from orchidpath.routing.request_events import RequestInstruction, RequestPlan
-from orchidpath.routing.request_guards import NO_GUARD_DISABLED, Guard
-from orchidpath.routing.request_orders import OrderLedger
-from orchidpath.routing.request_reports import AttemptRecord, ReportBook, handover_evidence
-from orchidpath.routing.request_retries import RetryState
+from orchidpath.routing.request.events import RequestInstruction, RequestPlan
+from orchidpath.routing.request.guards import NO_GUARD_DISABLED, Guard
+from orchidpath.routing.request.retries import RetryState
+from orchidpath.routing.retry_backoff import full_jitter
 from orchidpath.routing.retry_budget import RetryBudget
 from orchidpath.wire.backend import ErrorBody, Ran
 from orchidpath.wire.messages import AttemptEffect
@@ -47,7 +55,7 @@
 
     NEW = "new"
     DECIDING = "deciding"
-    READING_PROMPT = "reading_prompt"
+    PREFILLING = "reading_prompt"
     DECODING = "decoding"
     STREAMING = "streaming"
     CALLING = "calling"
@@ -60,7 +68,7 @@
     """What the requests of one router share; the budget is that of the request's service."""
 
     retry_budget: RetryBudget
-    handover: HandoverLedger
+    kv_transfer_evidence: TransferEvidenceTable
     random: Random
 
 
@@ -87,8 +95,8 @@
         self._shared = shared
         self._disabled = disabled_guards
         self._phase = Phase.NEW
-        self._orders = OrderLedger(plan.route)
-        self._reports = ReportBook(plan.request_id, disabled_guards)
+        self._orders = DispatchLog(plan.route)
+        self._reports = ReportBuffer(plan.request_id, disabled_guards)
         self._retries = RetryState(plan, disabled_guards)
         self._attempt_id = ""
         self._attempt: AttemptRecord | None = None
@@ -115,7 +123,11 @@
         self._decode = self._new_decode()
         self._handle_expires_at = math.inf
         self._phase = Phase.DECIDING
-        return [events.AskDecision(attempt_id=self._attempt_id, legs=self._retries.legs(now))]
+        return [
+            events.RequestDecision(
+                attempt_id=self._attempt_id, per_stage=self._retries.per_stage(now)
+            )
+        ]
 
     def _new_decode(self) -> DecodeProgress:
         return DecodeProgress(
@@ -125,7 +137,7 @@
     def _record_order(self, stage: Stage, now: float) -> str:
         # In doubt from here on: the shell may have written bytes when it fails.
         worker_id = self._current().worker(stage)
-        self._retries.note_order(stage, worker_id)
+        self._retries.record_dispatch(stage, worker_id)
         self._orders.add(self._attempt_id, worker_id, stage)
         self._sent_at = now
         return worker_id
@@ -134,16 +146,16 @@
         self, stage: Stage, effect: AttemptEffect, error: ErrorBody | None, reason: str, now: float
     ) -> Sequence[RequestInstruction]:
         attempt = self._current()
-        evidence = handover_evidence(error) if stage is Stage.DECODE else None
-        if evidence is not None and not self._decode.is_handed_over:
-            failure = HandoverFailure(
+        evidence = transfer_evidence(error) if stage is Stage.DECODE else None
+        if evidence is not None and not self._decode.is_kv_transferred:
+            failure = TransferFailure(
                 prefill_worker_id=attempt.worker(Stage.PREFILL),
                 decode_worker_id=attempt.worker(Stage.DECODE),
                 evidence=evidence,
                 handle_expires_at=self._handle_expires_at,
             )
-            verdict = self._shared.handover.record_failure(failure, now)
-            return self._reports.report_handover(attempt, charge_of(verdict), reason)
+            verdict = self._shared.kv_transfer_evidence.record_failure(failure, now)
+            return self._reports.report_kv_transfer(attempt, charge_of(verdict), reason)
         failed = self._reports.report(attempt, stage, effect, reason)
         if stage is Stage.DECODE:
             return [*failed, *self._reports.report_rest(attempt, AttemptEffect.SUCCESS, "read")]
@@ -152,7 +164,7 @@
     def _neutral(self, attempt: AttemptRecord, reason: str) -> Sequence[RequestInstruction]:
         return self._reports.report_rest(attempt, AttemptEffect.GATEWAY, reason)
 
-    def _await_promise(self, now: float) -> RequestInstruction:
+    def _await_not_executed_guarantee(self, now: float) -> RequestInstruction:
         seconds = min(CANCEL_TIMEOUT_SECONDS, max(self._plan.deadline - now, 0.0))
         return self._timer(events.TimerKind.CANCEL, seconds, Phase.CANCELLING)
 
@@ -162,8 +174,8 @@
         order = self._orders.current
         if order is not None and self._orders.is_in_doubt():
             workers.append(order.worker_id)
-        unused_read = order is not None and order.stage is Stage.DECODE
-        if unused_read and not self._decode.is_handed_over:
+        unused_prefill = order is not None and order.stage is Stage.DECODE
+        if unused_prefill and not self._decode.is_kv_transferred:
             workers.append(self._current().worker(Stage.PREFILL))
         return [
             events.Cancel(
@@ -174,14 +186,14 @@
             for worker_id in workers
         ]
 
-    def _may_send_again(self) -> bool:
-        if Guard.PROMISE_BEFORE_RESEND in self._disabled:
+    def _may_dispatch_again(self) -> bool:
+        if Guard.GUARANTEE_BEFORE_RETRY in self._disabled:
             return True
-        return self._orders.may_send_again()
+        return self._orders.may_dispatch_again()
 
-    def _try_again(self, wait_seconds: float, now: float) -> list[RequestInstruction]:
+    def _start_retry(self, wait_seconds: float, now: float) -> list[RequestInstruction]:
         """Retry if every bound allows it, otherwise answer at once (paper, bounded retries)."""
-        if not self._may_send_again() or not self._retries.attempts_left():
+        if not self._may_dispatch_again() or not self._retries.attempts_left():
             return self._reject(self._give_up)
         if not self._retries.fits(wait_seconds, now):
             return self._reject(self._give_up)
--- a/src/orchidpath/routing/request_decode.py
+++ b/src/orchidpath/routing/request/decode.py
@@ -7,7 +7,7 @@
 from types import MappingProxyType
 
 from orchidpath.circuit.classification import Observed
-from orchidpath.routing.request_guards import NO_GUARD_DISABLED, Guard
+from orchidpath.routing.request.guards import NO_GUARD_DISABLED, Guard
 from orchidpath.routing.stream import StreamValidator, StreamVerdict
 from orchidpath.wire.backend import DecodeFrame, FrameKind
 
@@ -50,7 +50,7 @@
         self._disabled = disabled_guards
         self._buffer: list[DecodeFrame] = []
         self.is_committed = False
-        self.is_handed_over = False
+        self.is_kv_transferred = False
         self.has_content = False
 
     def check(self, frame: DecodeFrame) -> StreamVerdict:
@@ -70,9 +70,9 @@
             Whether it is the first one that proves the hand-over of the KV cache.
         """
         self.has_content = self.has_content or frame.kind is FrameKind.CONTENT
-        if self.is_handed_over or frame.kind not in _AFTER_HANDOVER:
+        if self.is_kv_transferred or frame.kind not in _AFTER_HANDOVER:
             return False
-        self.is_handed_over = True
+        self.is_kv_transferred = True
         return True
 
     def frames_to_relay(self, frame: DecodeFrame) -> tuple[DecodeFrame, ...]:
--- a/src/orchidpath/routing/request_orders.py
+++ b/src/orchidpath/routing/request/dispatch_log.py
@@ -14,20 +14,20 @@
 from orchidpath.wire.records import Stage
 
 
-class OrderState(StrEnum):
+class DispatchState(StrEnum):
     """What is known about one order."""
 
     IN_DOUBT = "in_doubt"
     """Bytes of it may have left and nothing is known of its fate."""
     NEVER_LEFT = "never_left"
     """No byte of it left this router."""
-    PROMISED_NOT_RUN = "promised_not_run"
+    NOT_EXECUTED_GUARANTEED = "promised_not_run"
     """Its worker promised that it did not run and never will."""
     COMPLETED = "completed"
     """It ran to its end."""
 
 
-_CANNOT_RUN = frozenset({OrderState.NEVER_LEFT, OrderState.PROMISED_NOT_RUN})
+_CANNOT_RUN = frozenset({DispatchState.NEVER_LEFT, DispatchState.NOT_EXECUTED_GUARANTEED})
 
 
 class Order(msgspec.Struct, kw_only=True):
@@ -36,10 +36,10 @@
     attempt_id: str
     worker_id: str
     stage: Stage
-    state: OrderState = OrderState.IN_DOUBT
+    state: DispatchState = DispatchState.IN_DOUBT
 
 
-class OrderLedger:
+class DispatchLog:
     """Every order of one request; an order is in doubt from the moment it is handed to the shell.
 
     Parameters
@@ -61,18 +61,18 @@
         """Record an order before it is handed over for sending."""
         self._orders.append(Order(attempt_id=attempt_id, worker_id=worker_id, stage=stage))
 
-    def settle(self, state: OrderState) -> None:
+    def settle(self, state: DispatchState) -> None:
         """Record the fate of the newest order; an order once settled is not changed."""
         current = self.current
-        if current is not None and current.state is OrderState.IN_DOUBT:
+        if current is not None and current.state is DispatchState.IN_DOUBT:
             current.state = state
 
     def is_in_doubt(self) -> bool:
         """Whether the newest order may still be running."""
         current = self.current
-        return current is not None and current.state is OrderState.IN_DOUBT
+        return current is not None and current.state is DispatchState.IN_DOUBT
 
-    def may_send_again(self) -> bool:
+    def may_dispatch_again(self) -> bool:
         """Whether a further attempt cannot make a call run twice that must not.
 
         A prompt read counts as running too, whether it completed or is in doubt, unless the route
@@ -88,7 +88,7 @@
             return True
         return not any(self._bars_a_retry(order) for order in self._orders)
 
-    def would_a_promise_help(self) -> bool:
+    def would_guarantee_allow_retry(self) -> bool:
         """Whether a promise about the newest order would allow a further attempt."""
         if self._route.repeatable:
             return True
--- a/src/orchidpath/routing/request_errors.py
+++ b/src/orchidpath/routing/request/errors.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from orchidpath.wire.backend import ErrorBody, ErrorCode, Ran
-from orchidpath.wire.messages import AttemptEffect, DecisionReply, Denial
+from orchidpath.wire.messages import AttemptEffect, DecisionReply, Rejection
 
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
 """Told to a caller when nothing better is known (paper, ``retryAfterSeconds``)."""
@@ -40,18 +40,18 @@
     }
 )
 
-_DENIAL_CODES = MappingProxyType(
+_REJECTION_CODES = MappingProxyType(
     {
         # Paper: every circuit open is 503 deployments_in_cooldown; shared capacity is 429.
-        Denial.CIRCUITS_OPEN: ErrorCode.ALL_CIRCUITS_OPEN,
-        Denial.SHARED_CAPACITY: ErrorCode.RATE_LIMITED,
+        Rejection.CIRCUITS_OPEN: ErrorCode.ALL_CIRCUITS_OPEN,
+        Rejection.SHARED_CAPACITY: ErrorCode.RATE_LIMITED,
     }
 )
 
-_DENIAL_MESSAGES = MappingProxyType(
+_REJECTION_MESSAGES = MappingProxyType(
     {
-        Denial.CIRCUITS_OPEN: "the circuit of every worker that could serve this is open",
-        Denial.SHARED_CAPACITY: "the workers' shared capacity is used up",
+        Rejection.CIRCUITS_OPEN: "the circuit of every worker that could serve this is open",
+        Rejection.SHARED_CAPACITY: "the workers' shared capacity is used up",
     }
 )
 
@@ -67,8 +67,8 @@
 
 def denied(reply: DecisionReply) -> GiveUp:
     """Return how to give up when a decision names no worker."""
-    code = _DENIAL_CODES.get(reply.denial, ErrorCode.NO_WORKER)
-    message = _DENIAL_MESSAGES.get(reply.denial, "no worker may be tried for this request")
+    code = _REJECTION_CODES.get(reply.rejection, ErrorCode.NO_WORKER)
+    message = _REJECTION_MESSAGES.get(reply.rejection, "no worker may be tried for this request")
     after = reply.retry_after_seconds or DEFAULT_RETRY_AFTER_SECONDS
     return GiveUp(code=code, message=message, retry_after_seconds=after)
 
--- a/src/orchidpath/routing/request_events.py
+++ b/src/orchidpath/routing/request/events.py
@@ -1,4 +1,4 @@
-"""Events into and instructions out of the request state machine (:mod:`.attempt`).
+"""Events into and instructions out of the request state machine (:mod:`.request_machine`).
 
 All of them are plain values: the machine decides, the router's shell sends, reads and waits.
 """
@@ -86,14 +86,14 @@
 class AttemptFailed(msgspec.Struct, frozen=True, kw_only=True):
     """The exchange of the attempt's current order failed.
 
-    ``order_left`` is false only if no byte of the order left this router. ``error`` is the back
+    ``dispatch_left`` is false only if no byte of the order left this router. ``error`` is the back
     end's own answer; it is a promise only if ``echoed_attempt_id`` is this attempt's.
     """
 
     attempt_id: str
     observation: AttemptObservation
     reason: str
-    order_left: bool
+    dispatch_left: bool
     echoed_attempt_id: str = ""
     error: ErrorBody | None = None
 
@@ -144,7 +144,7 @@
     """The request's deadline has passed."""
 
 
-class ClientGone(msgspec.Struct, frozen=True):
+class ClientDisconnected(msgspec.Struct, frozen=True):
     """The caller closed its connection, or reads nothing any more."""
 
 
@@ -162,11 +162,11 @@
     | CancelAnswered
     | TimerElapsed
     | DeadlinePassed
-    | ClientGone
+    | ClientDisconnected
 )
 
 
-class LegTried(msgspec.Struct, frozen=True, kw_only=True):
+class StageTried(msgspec.Struct, frozen=True, kw_only=True):
     """Workers of one stage that this request has used in this pass, or must not use again."""
 
     stage: Stage
@@ -174,11 +174,11 @@
     excluded: tuple[str, ...]
 
 
-class AskDecision(msgspec.Struct, frozen=True, kw_only=True):
+class RequestDecision(msgspec.Struct, frozen=True, kw_only=True):
     """List the candidates, ask for fresh circuits, and register the attempt."""
 
     attempt_id: str
-    legs: tuple[LegTried, ...]
+    per_stage: tuple[StageTried, ...]
 
 
 class SendPrefill(msgspec.Struct, frozen=True, kw_only=True):
@@ -262,7 +262,7 @@
 
 
 RequestInstruction = (
-    AskDecision
+    RequestDecision
     | SendPrefill
     | SendDecode
     | SendCall
--- a/src/orchidpath/routing/request_guards.py
+++ b/src/orchidpath/routing/request/guards.py
@@ -6,10 +6,10 @@
 class Guard(StrEnum):
     """Safety rules that a test may turn off to see that its checks catch what they hold."""
 
-    PROMISE_BEFORE_RESEND = "promise_before_resend"
-    ECHO_CHECKED_PROMISE = "echo_checked_promise"
-    PROMISE_OF_THE_ORDERED_WORKER = "promise_of_the_ordered_worker"
-    PROMISE_OF_THE_SAME_INCARNATION = "promise_of_the_same_incarnation"
+    GUARANTEE_BEFORE_RETRY = "promise_before_resend"
+    ECHO_CHECKED_GUARANTEE = "echo_checked_promise"
+    GUARANTEE_OF_THE_DISPATCHED_WORKER = "promise_of_the_ordered_worker"
+    GUARANTEE_OF_THE_SAME_INCARNATION = "promise_of_the_same_incarnation"
     NO_RETRY_AFTER_COMMIT = "no_retry_after_commit"
     ONLY_CONTENT_COMMITS = "only_content_commits"
     EXPLICIT_TERMINAL = "explicit_terminal"
--- a/src/orchidpath/routing/attempt.py
+++ b/src/orchidpath/routing/request/request_machine.py
@@ -18,23 +18,23 @@
 from typing import Any
 
 from orchidpath.circuit.classification import AttemptObservation, Observed, classify
-from orchidpath.routing import request_events as events
-from orchidpath.routing.request_core import Phase, RequestCore
-from orchidpath.routing.request_decode import OBSERVED_BY_VERDICT
-from orchidpath.routing.request_errors import (
+from orchidpath.routing.request import events
+from orchidpath.routing.request.attempt_reports import AttemptRecord
+from orchidpath.routing.request.core import Phase, RequestCore
+from orchidpath.routing.request.decode import OBSERVED_BY_VERDICT
+from orchidpath.routing.request.dispatch_log import DispatchState
+from orchidpath.routing.request.errors import (
     DEADLINE_PASSED,
     denied,
     failed_attempt,
     no_candidates,
     not_fresh,
 )
-from orchidpath.routing.request_events import RequestInstruction
-from orchidpath.routing.request_guards import Guard
-from orchidpath.routing.request_orders import OrderState
-from orchidpath.routing.request_reports import AttemptRecord
+from orchidpath.routing.request.events import RequestInstruction
+from orchidpath.routing.request.guards import Guard
 from orchidpath.routing.stream import StreamVerdict
 from orchidpath.wire.backend import CacheHandle, DecodeFrame, ErrorBody, ErrorCode, FrameKind, Ran
-from orchidpath.wire.messages import AttemptEffect, Denial
+from orchidpath.wire.messages import AttemptEffect, Rejection
 from orchidpath.wire.records import Stage
 
 _WAIT_BEFORE_RETRY = frozenset({AttemptEffect.TRANSIENT, AttemptEffect.THROTTLE})
@@ -93,11 +93,14 @@
 
     def _decided(self, event: events.DecisionMade, now: float) -> list[RequestInstruction]:
         attempt = AttemptRecord.of(event.attempt_id, event.reply.choices)
-        if event.reply.denial is not Denial.NONE or set(attempt.choices) != self._retries.stages:
+        if (
+            event.reply.rejection is not Rejection.NONE
+            or set(attempt.choices) != self._retries.stages
+        ):
             return [*self._neutral(attempt, "not used"), *self._reject(denied(event.reply))]
         self._attempt = attempt
         if self._plan.is_model:
-            self._phase = Phase.READING_PROMPT
+            self._phase = Phase.PREFILLING
             worker_id = self._record_order(Stage.PREFILL, now)
             return [events.SendPrefill(worker_id=worker_id, attempt_id=self._attempt_id)]
         self._phase = Phase.CALLING
@@ -124,19 +127,19 @@
     # Orders
 
     def _send_refused(self, event: events.SendRefused, now: float) -> list[RequestInstruction]:
-        self._orders.settle(OrderState.NEVER_LEFT)
+        self._orders.settle(DispatchState.NEVER_LEFT)
         instructions = [*self._cancels(), *self._neutral(self._current(), event.refusal.value)]
         if event.refusal is events.SendRefusal.NOT_FRESH:
             return [*instructions, *self._reject(not_fresh(event.retry_after_seconds))]
         self._give_up = failed_attempt(AttemptEffect.GATEWAY, "the worker is unavailable", None)
-        return [*instructions, *self._try_again(0.0, now)]
+        return [*instructions, *self._start_retry(0.0, now)]
 
     def _prompt_read(self, event: events.PrefillSucceeded, now: float) -> list[RequestInstruction]:
         if not self._is_own_handle(event.request_id, event.handle):
             return self._crossed(Stage.PREFILL, now)
-        self._orders.settle(OrderState.COMPLETED)
+        self._orders.settle(DispatchState.COMPLETED)
         self._handle_expires_at = now + event.handle.expires_in_seconds
-        self._shared.handover.record_reached(self._current().worker(Stage.PREFILL))
+        self._shared.kv_transfer_evidence.record_reached(self._current().worker(Stage.PREFILL))
         self._phase = Phase.DECODING
         worker_id = self._record_order(Stage.DECODE, now)
         order = events.SendDecode(
@@ -162,7 +165,7 @@
             return self._error_frame(event.frame, now)
         reports: Sequence[RequestInstruction] = ()
         if self._decode.note(event.frame):
-            reports = self._handed_over(now)
+            reports = self._kv_transferred(now)
         relayed = self._relay(event.frame)
         if verdict is not StreamVerdict.COMPLETE:
             return [*reports, *relayed]
@@ -178,10 +181,10 @@
         self._phase = Phase.STREAMING
         return (events.Commit(), events.Relay(frames=frames))
 
-    def _handed_over(self, now: float) -> Sequence[RequestInstruction]:
+    def _kv_transferred(self, now: float) -> Sequence[RequestInstruction]:
         attempt = self._current()
         prefill, decode = attempt.worker(Stage.PREFILL), attempt.worker(Stage.DECODE)
-        self._shared.handover.record_success(prefill, decode, now)
+        self._shared.kv_transfer_evidence.record_success(prefill, decode, now)
         return self._reports.report(attempt, Stage.PREFILL, AttemptEffect.SUCCESS, "handed over")
 
     def _called(self, event: events.CallReplied, now: float) -> list[RequestInstruction]:
@@ -191,7 +194,7 @@
         return [events.Commit(), *self._complete(event.body)]
 
     def _complete(self, body: bytes | None) -> Sequence[RequestInstruction]:
-        self._orders.settle(OrderState.COMPLETED)
+        self._orders.settle(DispatchState.COMPLETED)
         self._phase = Phase.ENDED
         reports = self._reports.report_rest(self._current(), AttemptEffect.SUCCESS, "completed")
         return [*reports, events.Finish(body=body)]
@@ -215,28 +218,30 @@
         error = frame.error
         code = error.code if error is not None else None
         reason = error.message if error is not None else "an error frame without an error"
-        self._take_promise(error, frame.attempt_id)
+        self._accept_not_executed_guarantee(error, frame.attempt_id)
         observation = AttemptObservation(observed=Observed.REFUSED, error_code=code)
         return self._fail(Stage.DECODE, observation, reason, error, now)
 
     def _attempt_failed(self, event: events.AttemptFailed, now: float) -> list[RequestInstruction]:
         order = self._orders.current
         assert order is not None
-        if event.order_left:
-            self._take_promise(event.error, event.echoed_attempt_id)
+        if event.dispatch_left:
+            self._accept_not_executed_guarantee(event.error, event.echoed_attempt_id)
         else:
-            self._orders.settle(OrderState.NEVER_LEFT)
-        if order.stage is Stage.PREFILL and not event.order_left:
-            self._shared.handover.record_unreachable(order.worker_id, now)
+            self._orders.settle(DispatchState.NEVER_LEFT)
+        if order.stage is Stage.PREFILL and not event.dispatch_left:
+            self._shared.kv_transfer_evidence.record_unreachable(order.worker_id, now)
         return self._fail(order.stage, event.observation, event.reason, event.error, now)
 
-    def _take_promise(self, error: ErrorBody | None, echoed_attempt_id: str) -> None:
+    def _accept_not_executed_guarantee(
+        self, error: ErrorBody | None, echoed_attempt_id: str
+    ) -> None:
         """Settle the order if the error promises that this very attempt did not run."""
         if error is None or error.ran is not Ran.NO or self._decode.has_content:
             return
         named = {echoed_attempt_id, error.attempt_id or echoed_attempt_id}
-        if named == {self._attempt_id} or Guard.ECHO_CHECKED_PROMISE in self._disabled:
-            self._orders.settle(OrderState.PROMISED_NOT_RUN)
+        if named == {self._attempt_id} or Guard.ECHO_CHECKED_GUARANTEE in self._disabled:
+            self._orders.settle(DispatchState.NOT_EXECUTED_GUARANTEED)
 
     def _fail(
         self,
@@ -250,7 +255,7 @@
         retry_after_seconds = error.retry_after_seconds if error is not None else None
         self._give_up = failed_attempt(effect, reason, retry_after_seconds)
         worker_id = self._current().worker(stage)
-        self._retries.note_failure(worker_id, effect, retry_after_seconds, now)
+        self._retries.record_attempt_failure(worker_id, effect, retry_after_seconds, now)
         instructions: list[RequestInstruction] = [
             events.AbortExchange(attempt_id=self._attempt_id),
             *self._charge(stage, effect, error, reason, now),
@@ -259,15 +264,15 @@
         # Nothing may be sent again once content has reached the caller (paper, commit rule).
         if self._phase is Phase.STREAMING and Guard.NO_RETRY_AFTER_COMMIT not in self._disabled:
             return [*instructions, self._break_stream(reason)]
-        in_doubt = self._orders.is_in_doubt() and not self._may_send_again()
-        if in_doubt and self._orders.would_a_promise_help():
-            return [*instructions, self._await_promise(now)]
-        is_lapse = error is not None and error.code is ErrorCode.HANDLE_LAPSED
+        in_doubt = self._orders.is_in_doubt() and not self._may_dispatch_again()
+        if in_doubt and self._orders.would_guarantee_allow_retry():
+            return [*instructions, self._await_not_executed_guarantee(now)]
+        is_handle_expiry = error is not None and error.code is ErrorCode.HANDLE_EXPIRED
         wait_seconds = 0.0
-        if effect in _WAIT_BEFORE_RETRY or is_lapse:
+        if effect in _WAIT_BEFORE_RETRY or is_handle_expiry:
             # Handles lapse all at once: without the jitter the re-reads would come at once, too.
             wait_seconds = self._jitter()
-        return [*instructions, *self._try_again(wait_seconds, now)]
+        return [*instructions, *self._start_retry(wait_seconds, now)]
 
     # Cancellation
 
@@ -278,15 +283,15 @@
         assert order is not None
         # The prefill worker's answer about the same attempt says nothing about the decode.
         is_ordered_worker = event.worker_id == order.worker_id
-        if not is_ordered_worker and Guard.PROMISE_OF_THE_ORDERED_WORKER not in self._disabled:
+        if not is_ordered_worker and Guard.GUARANTEE_OF_THE_DISPATCHED_WORKER not in self._disabled:
             return []
         if event.ran is not Ran.NO or not self._may_know(event):
             return self._reject(self._give_up)
-        self._orders.settle(OrderState.PROMISED_NOT_RUN)
-        return self._try_again(self._jitter(), now)
+        self._orders.settle(DispatchState.NOT_EXECUTED_GUARANTEED)
+        return self._start_retry(self._jitter(), now)
 
     def _may_know(self, event: events.CancelAnswered) -> bool:
-        if Guard.PROMISE_OF_THE_SAME_INCARNATION in self._disabled:
+        if Guard.GUARANTEE_OF_THE_SAME_INCARNATION in self._disabled:
             return True
         return event.is_same_incarnation
 
@@ -311,7 +316,9 @@
         charged = self._charge_deadline(now)
         return [*charged, *self._drop("deadline passed"), *self._reject(DEADLINE_PASSED)]
 
-    def _client_gone(self, _event: events.ClientGone, _now: float) -> list[RequestInstruction]:
+    def _client_disconnected(
+        self, _event: events.ClientDisconnected, _now: float
+    ) -> list[RequestInstruction]:
         instructions = self._drop("client gone")
         self._phase = Phase.ENDED
         return instructions
@@ -324,9 +331,9 @@
     (Phase.NEW, events.AdmissionRejected): RequestMachine._shed,
     (Phase.DECIDING, events.DecisionMade): RequestMachine._decided,
     (Phase.DECIDING, events.NoCandidates): RequestMachine._no_candidates,
-    (Phase.READING_PROMPT, events.SendRefused): RequestMachine._send_refused,
-    (Phase.READING_PROMPT, events.PrefillSucceeded): RequestMachine._prompt_read,
-    (Phase.READING_PROMPT, events.AttemptFailed): RequestMachine._attempt_failed,
+    (Phase.PREFILLING, events.SendRefused): RequestMachine._send_refused,
+    (Phase.PREFILLING, events.PrefillSucceeded): RequestMachine._prompt_read,
+    (Phase.PREFILLING, events.AttemptFailed): RequestMachine._attempt_failed,
     (Phase.DECODING, events.SendRefused): RequestMachine._send_refused,
     (Phase.DECODING, events.DecodeFrameReceived): RequestMachine._frame,
     (Phase.DECODING, events.DecodeEnded): RequestMachine._decode_ended,
@@ -347,7 +354,7 @@
         if phase is not Phase.ENDED
     },
     **{
-        (phase, events.ClientGone): RequestMachine._client_gone
+        (phase, events.ClientDisconnected): RequestMachine._client_disconnected
         for phase in Phase
         if phase is not Phase.ENDED
     },
--- a/src/orchidpath/routing/request_retries.py
+++ b/src/orchidpath/routing/request/retries.py
@@ -4,15 +4,15 @@
 before any reuse, full jitter, a retry time honoured only when it fits the deadline); design page.
 """
 
-from orchidpath.routing.request_events import LegTried, RequestPlan
-from orchidpath.routing.request_guards import NO_GUARD_DISABLED, Guard
+from orchidpath.routing.request.events import RequestPlan, StageTried
+from orchidpath.routing.request.guards import NO_GUARD_DISABLED, Guard
 from orchidpath.wire.messages import AttemptEffect
 from orchidpath.wire.records import Stage
 
 MAXIMUM_WAIT_SHARE = 0.5
 """A wait before a retry must fit into this share of the time left, so the retry has time to run."""
 
-_NEVER_AGAIN = frozenset({AttemptEffect.REQUEST, AttemptEffect.CONFIGURATION})
+_NOT_RETRIED = frozenset({AttemptEffect.REQUEST, AttemptEffect.CONFIGURATION})
 """After these a worker would answer the same again."""
 
 
@@ -42,25 +42,25 @@
         """Stages for which every attempt needs a worker."""
         return frozenset(self._tried)
 
-    def legs(self, now: float) -> tuple[LegTried, ...]:
+    def per_stage(self, now: float) -> tuple[StageTried, ...]:
         """Return what a decision must know of the attempts so far."""
         waiting = {worker_id for worker_id, until in self._not_before.items() if until > now}
         excluded = tuple(sorted(self._excluded | waiting))
         return tuple(
-            LegTried(stage=stage, tried=tuple(tried), excluded=excluded)
+            StageTried(stage=stage, tried=tuple(tried), excluded=excluded)
             for stage, tried in self._tried.items()
         )
 
-    def note_order(self, stage: Stage, worker_id: str) -> None:
+    def record_dispatch(self, stage: Stage, worker_id: str) -> None:
         """Note that a worker was given an order."""
         if worker_id not in self._tried[stage]:
             self._tried[stage].append(worker_id)
 
-    def note_failure(
+    def record_attempt_failure(
         self, worker_id: str, effect: AttemptEffect, retry_after_seconds: float | None, now: float
     ) -> None:
         """Note how a worker failed and when it asked to be left alone until."""
-        if effect in _NEVER_AGAIN:
+        if effect in _NOT_RETRIED:
             self._excluded.add(worker_id)
         if retry_after_seconds is not None:
             self._not_before[worker_id] = now + retry_after_seconds
--- a/src/orchidpath/simulation/control_node.py
+++ b/src/orchidpath/simulation/control_node.py
@@ -4,35 +4,35 @@
 
 import msgspec
 
-from orchidpath.consensus.core import RaftCore
 from orchidpath.consensus.effects import PersistEntries, PersistHardState, PersistSnapshot
 from orchidpath.consensus.errors import StorageError
 from orchidpath.consensus.files import SimulatedFiles
+from orchidpath.consensus.raft_core import RaftCore
 from orchidpath.consensus.storage import FileLogStorage
 from orchidpath.consensus.types import Guard, Membership, RaftSettings, RestoredState
-from orchidpath.control.confirmation import ConfirmationGuard
-from orchidpath.control.core import ControlCore
-from orchidpath.control.effects import (
+from orchidpath.control.leadership.confirmation import ConfirmationGuard
+from orchidpath.control.leadership.member_manager import MemberPolicy
+from orchidpath.control.replica.control_effects import (
     ControlEffect,
-    OrderAnswered,
     PersistEffect,
     SendToMember,
     SendToNode,
-    SendWorkerOrder,
+    SendWorkerCommand,
+    UpdateAnswered,
 )
-from orchidpath.control.member_manager import MemberPolicy
-from orchidpath.control.runner import is_record, merge_records
+from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.replica_loop import is_record, merge_records
 from orchidpath.simulation.world import SimulatedProcess, World
 from orchidpath.state.commands import SubmitConfiguration
-from orchidpath.wire.backend import WorkerOrder, WorkerOrderReply
+from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 from orchidpath.wire.messages import (
+    ConfigurationUpdateReply,
+    ConfigurationUpdateRequest,
     ControlMembers,
     JoinRequest,
     Message,
-    OrderAnswer,
-    OrderReply,
-    OrderRequest,
-    PlanOrderRequest,
+    PlanActionRequest,
+    UpdateStatus,
     WhoIsControl,
 )
 from orchidpath.wire.records import ControlMember
@@ -42,7 +42,7 @@
 SETTINGS = RaftSettings(snapshot_threshold_entries=60, snapshot_chunk_bytes=4096)
 POLICY = MemberPolicy(target_voters=3, replace_after_seconds=3.0, router_removal_seconds=10.0)
 
-AnswerHandler = Callable[[OrderAnswer, int], None]
+AnswerHandler = Callable[[UpdateStatus, int], None]
 
 
 class ControlNode(SimulatedProcess):
@@ -88,7 +88,7 @@
         self._answers: dict[int, AnswerHandler] = {}
         self._next_key = 0
         self.on_turn: Callable[[ControlNode], None] = lambda _node: None
-        self.on_worker_order: Callable[[ControlNode, WorkerOrder], None] = lambda *_: None
+        self.on_worker_command: Callable[[ControlNode, WorkerCommand], None] = lambda *_: None
 
     @property
     def node_id(self) -> str:
@@ -145,7 +145,7 @@
 
     def on_message(self, sender_id: str, message: Message) -> None:
         """Take a message as the real shell does."""
-        if isinstance(message, OrderReply):
+        if isinstance(message, ConfigurationUpdateReply):
             handler = self._answers.pop(message.correlation, None)
             if handler is not None:
                 handler(message.answer, message.version)
@@ -168,9 +168,9 @@
             return
         address = core.raft.membership.addresses.get(core.raft.leader_id or "", "")
         if not address:
-            self._answers.pop(key)(OrderAnswer.NOT_TAKEN, 0)
+            self._answers.pop(key)(UpdateStatus.REJECTED, 0)
             return
-        request = OrderRequest(
+        request = ConfigurationUpdateRequest(
             correlation=key,
             order_id=order.order_id,
             base_version=order.base_version,
@@ -179,21 +179,21 @@
         )
         self.send(address, request)
 
-    def order_plan(self, order: PlanOrderRequest) -> None:
+    def request_plan_action(self, order: PlanActionRequest) -> None:
         """Take an order about a plan, here or forwarded to the leader; nobody waits for it."""
         core = self.core
         if core is None or self.frozen:
             return
         if core.is_leader:
-            self._post(lambda one: one.order_plan(order.correlation, order, self.now))
+            self._post(lambda one: one.request_plan_action(order.correlation, order, self.now))
             return
         address = core.raft.membership.addresses.get(core.raft.leader_id or "", "")
         if address:
             self.send(address, order)
 
-    def worker_order_answered(self, order: WorkerOrder, reply: WorkerOrderReply) -> None:
+    def worker_command_answered(self, order: WorkerCommand, reply: WorkerCommandReply) -> None:
         """Take a worker's answer to an order that this process sent."""
-        self._post(lambda core: core.worker_order_answered(order, reply, self.now))
+        self._post(lambda core: core.worker_command_answered(order, reply, self.now))
 
     def _new_identity(self) -> str:
         return f"{self.world.random.getrandbits(48):012x}"
@@ -254,12 +254,12 @@
             case SendToNode():
                 address = effect.node_id.partition(".")[0]
                 self.send(address, effect.message, effect.node_id)
-            case OrderAnswered():
+            case UpdateAnswered():
                 handler = self._answers.pop(effect.key, None)
                 if handler is not None:
                     handler(effect.answer, effect.version)
-            case SendWorkerOrder():
-                self.on_worker_order(self, effect.order)
+            case SendWorkerCommand():
+                self.on_worker_command(self, effect.order)
             case _:
                 pass
 
--- a/src/orchidpath/simulation/fault_driver.py
+++ b/src/orchidpath/simulation/fault_driver.py
@@ -202,13 +202,13 @@
     def _lose_disk(self) -> None:
         """Empty one disk, if the fleet is whole: all voters hold everything and run."""
         leader = self._fleet.leader()
-        if leader is None or not self._is_whole(leader):
+        if leader is None or not self._is_complete(leader):
             return
         control = self._pick_control()
         control.lose_disk()
         self._world.schedule(self._random.uniform(0.01, 3.0), control.start)
 
-    def _is_whole(self, leader: ControlNode) -> bool:
+    def _is_complete(self, leader: ControlNode) -> bool:
         """Whether all voters are there, run on their own disks and hold all that is committed."""
         core = leader.core
         if core is None or not core.raft.membership_committed:
@@ -232,7 +232,7 @@
         leader = self._fleet.leader()
         core = leader.core if leader is not None else None
         repaired = core is not None and lost_id not in core.raft.membership.voters
-        if leader is None or not repaired or not self._is_whole(leader):
+        if leader is None or not repaired or not self._is_complete(leader):
             self._world.schedule(0.02, lambda: self._lose_when_repaired(lost_id))
             return
         second = self._pick_control()
@@ -247,7 +247,7 @@
         disks: of three voters, by a single one if the third was cut off at that moment.
         """
         leader = self._fleet.leader()
-        if leader is None or not self._is_whole(leader):
+        if leader is None or not self._is_complete(leader):
             self._world.schedule(0.05, self._lose_disk_in_power_cut)
             return
         behind = self._random.choice(self._voting(but=leader))
@@ -264,7 +264,7 @@
         cut off: of five voters two are left that hold what was confirmed.
         """
         leader = self._fleet.leader()
-        if leader is None or not self._is_whole(leader):
+        if leader is None or not self._is_complete(leader):
             self._world.schedule(0.05, self._lose_two_disks_in_power_cut)
             return
         behind = self._random.choice(self._voting(but=leader))
--- a/src/orchidpath/simulation/fleet_checks.py
+++ b/src/orchidpath/simulation/fleet_checks.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.wire.messages import OrderAnswer
+from orchidpath.wire.messages import UpdateStatus
 
 
 class InvariantError(OrchidpathError):
@@ -16,7 +16,7 @@
     order_id: str
     base_version: int
     sent: int = 0
-    not_taken: int = 0
+    rejected: int = 0
     confirmed_version: int = 0
     taken_version: int = 0
     conflict: bool = False
@@ -30,7 +30,7 @@
         self.order_of_version: dict[int, str] = {}
         self.confirmed_version = 0
         self.confirmed_revision = 0
-        self.confirmed_orders = 0
+        self.confirmed_updates = 0
         self.fresh_checks = 0
         self._router_revision: dict[tuple[str, int], int] = {}
 
@@ -39,24 +39,24 @@
         order = self.orders.setdefault(order_id, OrderHistory(order_id, base_version))
         order.sent += 1
 
-    def answered(self, order_id: str, answer: OrderAnswer, version: int) -> None:
+    def answered(self, order_id: str, answer: UpdateStatus, version: int) -> None:
         """Check the outcome that an operator was told."""
         order = self.orders[order_id]
         match answer:
-            case OrderAnswer.CONFIRMED | OrderAnswer.TAKEN_NOT_CONFIRMED:
+            case UpdateStatus.CONFIRMED | UpdateStatus.ACCEPTED_NOT_CONFIRMED:
                 self._accepted(order, version)
-                if answer is OrderAnswer.CONFIRMED:
+                if answer is UpdateStatus.CONFIRMED:
                     order.confirmed_version = version
-                    self.confirmed_orders += 1
+                    self.confirmed_updates += 1
                     self.confirmed_version = max(self.confirmed_version, version)
-            case OrderAnswer.CONFLICT:
+            case UpdateStatus.CONFLICT:
                 self._check(order.taken_version == 0, f"{order_id} was taken, then refused")
                 order.conflict = True
-            case OrderAnswer.ORDER_ID_REUSED:
+            case UpdateStatus.ORDER_ID_REUSED:
                 raise InvariantError(f"{order_id} was called reused; it was sent again unchanged")
-            case OrderAnswer.NOT_TAKEN:
-                order.not_taken += 1
-            case OrderAnswer.UNKNOWN:
+            case UpdateStatus.REJECTED:
+                order.rejected += 1
+            case UpdateStatus.UNKNOWN:
                 pass
 
     def router_observed(
@@ -109,7 +109,7 @@
                     effective == [order.taken_version],
                     f"{order.order_id} was taken as {order.taken_version}, state has {effective}",
                 )
-            surely_refused = order.conflict or order.not_taken == order.sent
+            surely_refused = order.conflict or order.rejected == order.sent
             if surely_refused and not order.taken_version:
                 self._check(not effective, f"{order.order_id} was refused and took effect")
 
--- a/src/orchidpath/simulation/fleet_simulation.py
+++ b/src/orchidpath/simulation/fleet_simulation.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from orchidpath.consensus.types import Guard, Membership
-from orchidpath.control.confirmation import ConfirmationGuard
+from orchidpath.control.leadership.confirmation import ConfirmationGuard
 from orchidpath.routing.freshness import FreshnessGuard
-from orchidpath.routing.request_guards import Guard as RequestGuard
+from orchidpath.routing.request.guards import Guard as RequestGuard
 from orchidpath.simulation.control_node import ControlNode
 from orchidpath.simulation.fleet_checks import FleetHistory, InvariantError
 from orchidpath.simulation.operators import Operators
-from orchidpath.simulation.path_guards import PathGuard
+from orchidpath.simulation.requests.path_guards import PathGuard
 from orchidpath.simulation.router_node import RouterNode
 from orchidpath.simulation.worker_node import WorkerNode
 from orchidpath.simulation.world import NetworkFaults, World
@@ -160,13 +160,13 @@
         unready = [router.address for router in self.routers if not router.is_fresh()]
         if unready:
             raise InvariantError(f"not serving again: {', '.join(unready)}")
-        before = self.history.confirmed_orders
+        before = self.history.confirmed_updates
         leader = self.leader()
         assert leader is not None and leader.core is not None
         order = self.operators.new_order(leader.core.state.configuration_version)
         self.operators.submit(order)
         self.world.run_until(self.world.time + RECOVERY_SECONDS)
-        if self.history.confirmed_orders == before:
+        if self.history.confirmed_updates == before:
             raise InvariantError("no order is confirmed after the faults ended")
         self._check_final_state()
 
--- a/src/orchidpath/simulation/operators.py
+++ b/src/orchidpath/simulation/operators.py
@@ -7,7 +7,7 @@
 from orchidpath.simulation.world import World
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
-from orchidpath.wire.messages import OrderAnswer
+from orchidpath.wire.messages import UpdateStatus
 
 ANSWER_TIMEOUT_SECONDS = 8.0
 """An operator who hears nothing for this long sends the same order again."""
@@ -15,7 +15,7 @@
 LOST_ANSWER_SHARE = 0.15
 """Share of answers that never reach the operator while faults strike."""
 
-FINAL_ANSWERS = {OrderAnswer.CONFIRMED, OrderAnswer.CONFLICT}
+FINAL_ANSWERS = {UpdateStatus.CONFIRMED, UpdateStatus.CONFLICT}
 
 
 class Operators:
@@ -67,7 +67,7 @@
         self._history.sent(order.order_id, order.base_version)
         answered = False
 
-        def on_answer(answer: OrderAnswer, version: int) -> None:
+        def on_answer(answer: UpdateStatus, version: int) -> None:
             nonlocal answered
             lost = self.answers_get_lost and self._world.random.random() < LOST_ANSWER_SHARE
             if answered or lost:
--- a/src/orchidpath/simulation/plan_simulation.py
+++ b/src/orchidpath/simulation/plan_simulation.py
@@ -16,6 +16,7 @@
 
 import msgspec
 
+from orchidpath.emulators.backend.backend_core import BackendCore
 from orchidpath.placement.planner import make_preview
 from orchidpath.simulation.control_node import ControlNode
 from orchidpath.simulation.fault_driver import FaultDriver
@@ -28,24 +29,23 @@
 )
 from orchidpath.simulation.scenario import Scenario
 from orchidpath.simulation.scenarios import FAULT_TIME_SECONDS
-from orchidpath.standins.backend_core import BackendCore
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.plans import PlanStatus, is_serving
 from orchidpath.wire.backend import (
     ANNOUNCE_PERIOD_SECONDS,
     Announcement,
-    OrderKind,
-    WorkerOrder,
-    WorkerOrderReply,
+    WorkerCommand,
+    WorkerCommandKind,
+    WorkerCommandReply,
 )
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
-from orchidpath.wire.messages import PlanAction, PlanOrderRequest
+from orchidpath.wire.messages import PlanAction, PlanActionRequest
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
 SHAPE = FleetShape(controls=4, routers=6, zones=3, workers=0)
 WORKERS = 9
-MAX_HELD = 2
+MAX_CORDONED = 2
 SERVICE = "chat"
 
 LOST_ORDER_SHARE = 0.15
@@ -60,7 +60,7 @@
 SPLIT_PERIOD_SECONDS = 9.0
 """Time between two changes of the desired split."""
 
-PLAN_ORDER_PERIOD_SECONDS = 1.5
+PLAN_ACTION_PERIOD_SECONDS = 1.5
 """Time between two orders about plans."""
 
 WORKER_FAULT_PERIOD_SECONDS = 6.0
@@ -104,7 +104,7 @@
         self._sequence = 0
         self._restarts = 0
         self._silent = False
-        self._waiting: list[WorkerOrder] = []
+        self._waiting: list[WorkerCommand] = []
         self.core = BackendCore(record, max_in_flight=8)
         simulation.fleet.world.schedule(0.0, self._announce_forever)
 
@@ -125,14 +125,14 @@
         self._waiting.clear()
         self.core = BackendCore(record, max_in_flight=8)
 
-    def obey(self, order: WorkerOrder) -> WorkerOrderReply | None:
+    def obey(self, order: WorkerCommand) -> WorkerCommandReply | None:
         """Take an order and announce what has changed; no answer from a frozen process."""
         if self._silent:
             self._waiting.append(order)
             return None
         before = self.core.record
         reply = self.core.obey(order, handles_outstanding=0)
-        if reply.accepted and order.kind is OrderKind.SET_STAGE:
+        if reply.accepted and order.kind is WorkerCommandKind.SET_STAGE:
             self._simulation.worker_switched(order.worker_id)
         if self.core.record != before:
             self._announce()
@@ -175,7 +175,7 @@
         self._numbers = itertools.count(1)
         self._random = self.fleet.world.random
         for control in self.fleet.controls:
-            control.on_worker_order = self._carry_order
+            control.on_worker_command = self._carry_order
         self.workers = {
             f"w{number}": PlanWorker(self, _first_record(number)) for number in range(WORKERS)
         }
@@ -187,9 +187,9 @@
         driver = FaultDriver(self.fleet)
         driver.begin(scenario)
         world.repeat(SPLIT_PERIOD_SECONDS, self._change_split)
-        world.repeat(PLAN_ORDER_PERIOD_SECONDS, self._order_about_plan)
+        world.repeat(PLAN_ACTION_PERIOD_SECONDS, self._order_about_plan)
         world.repeat(WORKER_FAULT_PERIOD_SECONDS, self._disturb_worker)
-        world.repeat(0.05, self._check_held)
+        world.repeat(0.05, self._check_cordoned)
         world.run_until(world.time + FAULT_TIME_SECONDS)
         driver.stop()
         self.active = False
@@ -247,7 +247,7 @@
     def _check_settled(self, wanted_prefill: int) -> None:
         state = self._state()
         for worker in state.workers():
-            if worker.held or worker.status is not WorkerStatus.READY:
+            if worker.cordoned or worker.status is not WorkerStatus.READY:
                 raise InvariantError(f"left behind: {worker.worker_id} {worker.status}")
             if self.workers[worker.worker_id].core.record.stage is not worker.stage:
                 raise InvariantError(f"{worker.worker_id} has another part than is agreed")
@@ -264,19 +264,19 @@
             raise InvariantError("no leader after the faults ended")
         return leader.core.state
 
-    def _check_held(self) -> None:
+    def _check_cordoned(self) -> None:
         leader = self.fleet.leader()
         if leader is None or leader.core is None:
             return
         state = leader.core.state
-        held = [worker.worker_id for worker in state.workers() if worker.held]
-        if len(held) > MAX_HELD:
-            raise InvariantError(f"{len(held)} held back at once: {held}")
+        cordoned = [worker.worker_id for worker in state.workers() if worker.cordoned]
+        if len(cordoned) > MAX_CORDONED:
+            raise InvariantError(f"{len(cordoned)} held back at once: {cordoned}")
         plan = state.plan
         if plan is not None and not plan.active:
             self.ended[plan.plan.plan_id] = plan.progress.status
-            if held:
-                raise InvariantError(f"held back by no plan: {held}")
+            if cordoned:
+                raise InvariantError(f"held back by no plan: {cordoned}")
 
     def _disturb_worker(self) -> None:
         if not self.active:
@@ -301,7 +301,7 @@
             models=["m"],
             prefill_workers=prefill,
             decode_workers=WORKERS - prefill,
-            max_held_workers=MAX_HELD,
+            max_held_workers=MAX_CORDONED,
         )
         version = leader.core.state.configuration_version
         configuration = Configuration(services=[service])
@@ -336,17 +336,17 @@
 
     def _order(self, action: PlanAction, plan_id: str) -> None:
         number = next(self._numbers)
-        request = PlanOrderRequest(
+        request = PlanActionRequest(
             correlation=number, order_id=f"plan-order-{number}", action=action, plan_id=plan_id
         )
         if self.active:
-            self._random.choice(self.fleet.controls).order_plan(request)
+            self._random.choice(self.fleet.controls).request_plan_action(request)
             return
         leader = self.fleet.leader()
         if leader is not None:
-            leader.order_plan(request)
+            leader.request_plan_action(request)
 
-    def _carry_order(self, control: ControlNode, order: WorkerOrder) -> None:
+    def _carry_order(self, control: ControlNode, order: WorkerCommand) -> None:
         """Carry an order to its worker, lose it, or bring it a second time much later."""
         world = self.fleet.world
         worker = self.workers[order.worker_id]
@@ -364,12 +364,12 @@
             if reply is None or lost:
                 return
             delay_seconds = self._random.uniform(0.001, 0.05)
-            control.after(delay_seconds, lambda: control.worker_order_answered(order, reply))
+            control.after(delay_seconds, lambda: control.worker_command_answered(order, reply))
 
         world.schedule(self._random.uniform(0.001, 0.05), arrive)
 
 
-def _ignore(worker: PlanWorker, order: WorkerOrder) -> None:
+def _ignore(worker: PlanWorker, order: WorkerCommand) -> None:
     worker.obey(order)
 
 
--- a/src/orchidpath/simulation/raft_machine.py
+++ b/src/orchidpath/simulation/raft/group_machine.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from orchidpath.consensus.core import RaftCore
 from orchidpath.consensus.effects import (
     Apply,
     ApplySnapshot,
@@ -25,7 +24,8 @@
     StorageFullError,
 )
 from orchidpath.consensus.files import SimulatedFiles
-from orchidpath.consensus.messages import RaftMessage, RequestVote, RequestVoteReply
+from orchidpath.consensus.raft_core import RaftCore
+from orchidpath.consensus.raft_messages import RaftMessage, RequestVote, RequestVoteReply
 from orchidpath.consensus.storage import FileLogStorage
 from orchidpath.consensus.types import (
     EntryKind,
@@ -37,7 +37,7 @@
     Role,
     Snapshot,
 )
-from orchidpath.simulation.raft_checks import History, InvariantViolationError, next_digest
+from orchidpath.simulation.raft.group_checks import History, InvariantViolationError, next_digest
 
 FOLDER = "/data"
 MAX_CLOCK_RATE_ERROR = 0.02
--- a/src/orchidpath/simulation/backend_orders.py
+++ b/src/orchidpath/simulation/requests/backend_dispatches.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Iterator
 
-from orchidpath.simulation.request_messages import HttpReply
-from orchidpath.standins.attempts import Phase
-from orchidpath.standins.backend_core import AttemptOrder
-from orchidpath.standins.faults import Fault
-from orchidpath.standins.kv_cache import HandleClaim
+from orchidpath.emulators.backend.attempts import Phase
+from orchidpath.emulators.backend.backend_core import AttemptDispatch
+from orchidpath.emulators.backend.injected_faults import Fault
+from orchidpath.emulators.worker.kv_cache import HandleClaim
+from orchidpath.simulation.requests.exchange_messages import HttpReply
 from orchidpath.wire.backend import (
     CacheHandle,
     CallReply,
@@ -49,12 +49,12 @@
         return self._stall.seconds
 
 
-def whole_reply(sender: AttemptOrder, reply: PrefillReply | CallReply) -> HttpReply:
+def whole_reply(sender: AttemptDispatch, reply: PrefillReply | CallReply) -> HttpReply:
     """Return a whole answer with its header."""
     return HttpReply(echoed_attempt_id=sender.attempt_id, reply=reply)
 
 
-def claim_of(order: AttemptOrder, handle: CacheHandle) -> HandleClaim:
+def claim_of(order: AttemptDispatch, handle: CacheHandle) -> HandleClaim:
     """Return what a decode worker says of itself when it asks for a KV cache."""
     return HandleClaim(
         handle_id=handle.handle_id,
@@ -64,20 +64,20 @@
     )
 
 
-def prefill_order(message: PrefillRequest) -> AttemptOrder:
+def prefill_order(message: PrefillRequest) -> AttemptDispatch:
     """Return what admission looks at in a prompt read."""
-    return AttemptOrder(
+    return AttemptDispatch(
         request_id=message.request_id,
         attempt_id=message.attempt_id,
-        phase=Phase.PROMPT_READ,
+        phase=Phase.PREFILL_DONE,
         stage=Stage.PREFILL,
         model=message.model,
     )
 
 
-def decode_order(message: DecodeRequest) -> AttemptOrder:
+def decode_order(message: DecodeRequest) -> AttemptDispatch:
     """Return what admission looks at in a decode."""
-    return AttemptOrder(
+    return AttemptDispatch(
         request_id=message.request_id,
         attempt_id=message.attempt_id,
         phase=Phase.EXECUTION,
@@ -86,9 +86,9 @@
     )
 
 
-def call_order(message: CallRequest) -> AttemptOrder:
+def call_order(message: CallRequest) -> AttemptDispatch:
     """Return what admission looks at in a plain call."""
-    return AttemptOrder(
+    return AttemptDispatch(
         request_id=message.request_id,
         attempt_id=message.attempt_id,
         phase=Phase.EXECUTION,
--- a/src/orchidpath/simulation/request_faults.py
+++ b/src/orchidpath/simulation/requests/backend_faults.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from orchidpath.simulation.request_fleet import RequestFleet
-from orchidpath.simulation.simulated_backend import SimulatedBackend
-from orchidpath.standins.faults import Fault, FaultKind
+from orchidpath.emulators.backend.injected_faults import Fault, FaultKind
+from orchidpath.simulation.requests.serving_fleet import RequestFleet
+from orchidpath.simulation.requests.simulated_backend import SimulatedBackend
 from orchidpath.wire.records import Stage
 
 BACKEND_FAULT_PERIOD_SECONDS = 0.7
@@ -58,9 +58,9 @@
         self._repeat(4.5, self._cut_off_router)
         self._repeat(0.3, self._restart_drained)
 
-    def lapse_handles(self) -> None:
+    def expire_handles(self) -> None:
         """Let all handles lapse at once, again and again, and mix some up."""
-        self._repeat(0.02, self._lapse_all)
+        self._repeat(0.02, self._expire_all)
         self._repeat(1.0, self._mix_up_handles)
 
     def slow_links(self) -> None:
@@ -97,7 +97,7 @@
             self._spoil,
             self._drain,
             self._slow_down,
-            self._lapse_all,
+            self._expire_all,
             self._mix_up_handles,
             self._slow_link,
             self._go_dark,
@@ -145,7 +145,7 @@
         backend = self._pick()
         way = self._random.randrange(10)
         if way == 0:
-            backend.foreign_promises = 3
+            backend.foreign_guarantees = 3
         elif way == 1:
             backend.inject(Fault(kind=FaultKind.ANSWER_LATE, count=3, delay_seconds=1.0))
         elif way == 2:
@@ -183,9 +183,9 @@
                     self._world.cut(router.address, other.address)
         self._world.schedule(4.0, self._world.cut_links.clear)
 
-    def _lapse_all(self) -> None:
+    def _expire_all(self) -> None:
         for backend in self._fleet.backends:
-            backend.lapse_handles()
+            backend.expire_handles()
 
     def _mix_up_handles(self) -> None:
         self._pick(Stage.PREFILL).foreign_handles = 1
--- a/src/orchidpath/simulation/backend_process.py
+++ b/src/orchidpath/simulation/requests/backend_process.py
@@ -2,14 +2,14 @@
 
 import msgspec
 
-from orchidpath.simulation.exchanges import Exchanges, ExchangeServer
-from orchidpath.simulation.request_checks import RequestHistory
+from orchidpath.emulators.backend.backend_core import BackendCore
+from orchidpath.emulators.backend.injected_faults import Fault, FaultBoard, FaultKind
+from orchidpath.emulators.worker.engine_model import WorkerTiming
+from orchidpath.emulators.worker.kv_cache import HandleTable
+from orchidpath.simulation.requests.exchanges import Exchanges, ExchangeServer
+from orchidpath.simulation.requests.path_checks import RequestHistory
 from orchidpath.simulation.router_node import RouterNode
 from orchidpath.simulation.world import World
-from orchidpath.standins.backend_core import BackendCore
-from orchidpath.standins.faults import Fault, FaultBoard, FaultKind
-from orchidpath.standins.kv_cache import HandleTable
-from orchidpath.standins.worker_model import WorkerTiming
 from orchidpath.wire.backend import ANNOUNCE_PERIOD_SECONDS, Announcement, CacheHandle
 from orchidpath.wire.messages import Message
 from orchidpath.wire.records import WorkerRecord, WorkerStatus
@@ -53,7 +53,7 @@
         super().__init__(world, record.worker_id)
         self.faults = FaultBoard()
         self.foreign_handles = 0
-        self.foreign_promises = 0
+        self.foreign_guarantees = 0
         self.asked_pause_seconds: float | None = None
         self.exchanges = exchanges
         self.history = history
@@ -92,15 +92,15 @@
         """Let a fault begin."""
         self.faults.add(fault, self.now)
 
-    def lapse_handles(self) -> None:
+    def expire_handles(self) -> None:
         """Drop every handle."""
-        self.handles.lapse_all()
+        self.handles.expire_all()
 
     def heal(self) -> None:
         """End every fault and take orders again."""
         self.faults.clear()
         self.foreign_handles = 0
-        self.foreign_promises = 0
+        self.foreign_guarantees = 0
         self.asked_pause_seconds = None
         self.core.resume()
 
--- a/src/orchidpath/simulation/cache_pull.py
+++ b/src/orchidpath/simulation/requests/cache_pull.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from orchidpath.simulation.exchanges import Exchange, Exchanges, open_server
-from orchidpath.simulation.request_messages import CacheMoved, HttpError, PullCache
+from orchidpath.emulators.worker.kv_cache import HandleClaim
+from orchidpath.emulators.worker.kv_pull import DENIALS
+from orchidpath.simulation.requests.exchange_messages import CacheMoved, HttpError, PullCache
+from orchidpath.simulation.requests.exchanges import Exchange, Exchanges, open_server
 from orchidpath.simulation.world import SimulatedProcess
-from orchidpath.standins.hand_over import DENIALS
-from orchidpath.standins.kv_cache import HandleClaim
 from orchidpath.wire.backend import ErrorCode
 
 
--- a/src/orchidpath/simulation/request_messages.py
+++ b/src/orchidpath/simulation/requests/exchange_messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from orchidpath.standins.kv_cache import HandleClaim
+from orchidpath.emulators.worker.kv_cache import HandleClaim
 from orchidpath.wire.backend import CallReply, CancelReply, DecodeFrame, ErrorBody, PrefillReply
 
 
--- a/src/orchidpath/simulation/request_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -7,17 +7,17 @@
 
 import msgspec
 
+from orchidpath.emulators.backend.attempts import Phase
+from orchidpath.emulators.backend.backend_core import AttemptDispatch
+from orchidpath.emulators.worker.kv_cache import HandleClaim
 from orchidpath.routing.retry_budget import MAXIMUM_WINDOW_SECONDS
 from orchidpath.simulation.fleet_checks import InvariantError
-from orchidpath.simulation.request_messages import (
+from orchidpath.simulation.requests.exchange_messages import (
     REPEATABLE_KINDS,
     CallerRequest,
     RequestKind,
 )
 from orchidpath.simulation.world import MAX_CLOCK_RATE_ERROR, World
-from orchidpath.standins.attempts import Phase
-from orchidpath.standins.backend_core import AttemptOrder
-from orchidpath.standins.kv_cache import HandleClaim
 from orchidpath.wire.backend import CacheHandle, DecodeFrame, ErrorBody, FrameKind, Ran
 from orchidpath.wire.configuration import RetryPolicy
 from orchidpath.wire.messages import AttemptEffect, AttemptReport, Choice
@@ -40,7 +40,7 @@
     texts: list[str] = []
     has_content: bool = False
     is_ended: bool = False
-    told_not_run: bool = False
+    reported_not_executed: bool = False
     has_run: bool = False
     transients: list[str] = []
 
@@ -80,7 +80,7 @@
     executions: int = 0
     orders: int = 0
     retries: int = 0
-    hand_overs_cut: int = 0
+    kv_transfers_interrupted: int = 0
     probes: int = 0
 
 
@@ -173,7 +173,7 @@
         if error.ran is not Ran.NO:
             return
         self._check(not submission.has_run, f"{_name(submission)} has run and was told ran=no")
-        submission.told_not_run = True
+        submission.reported_not_executed = True
 
     # Orders
 
@@ -240,7 +240,7 @@
         usable = {
             (one.worker_id, one.incarnation)
             for one in workers
-            if one.status is WorkerStatus.READY and not one.held
+            if one.status is WorkerStatus.READY and not one.cordoned
         }
         present = {one.worker_id: one.incarnation for one in workers}
         for worker_id, incarnation in [*self._agreed.items(), *present.items()]:
@@ -273,7 +273,7 @@
 
     # Back ends
 
-    def executed(self, incarnation: str, order: AttemptOrder) -> None:
+    def executed(self, incarnation: str, order: AttemptDispatch) -> None:
         """Check the start of a prompt read or an execution on a back end."""
         submission = self._submission_of_attempt.get(order.attempt_id)
         if submission is None:
@@ -282,13 +282,13 @@
             self.counts.executions += 1
         submission.has_run = True
         self._check(
-            not submission.told_not_run,
+            not submission.reported_not_executed,
             f"{incarnation} runs {_name(submission)}, whose caller was told ran=no",
         )
         key = (order.request_id, order.phase)
         self._executed[key] = self._executed.get(key, 0) + 1
         self._check(
-            self._executed[key] == 1 or _may_run_again(submission.request.kind, order.phase),
+            self._executed[key] == 1 or _may_execute_again(submission.request.kind, order.phase),
             f"{order.request_id} ({submission.request.kind.value}) has its {order.phase.value} "
             f"run a second time, on {incarnation}",
         )
@@ -297,7 +297,7 @@
         """Note whom a handle was made for."""
         self._issued[handle.handle_id] = handle
 
-    def handle_presented(self, order: AttemptOrder, handle: CacheHandle) -> None:
+    def handle_presented(self, order: AttemptDispatch, handle: CacheHandle) -> None:
         """Check a handle that a router sends along with an order."""
         issued = self._issued.get(handle.handle_id)
         if issued is None:
@@ -315,11 +315,11 @@
         self._check(claim.handle_id not in self._granted, f"{claim.handle_id} was granted twice")
         self._granted.add(claim.handle_id)
 
-    def hand_over_failed(self, attempt_id: str, prefill: str, decode: str) -> None:
+    def kv_transfer_failed(self, attempt_id: str, prefill: str, decode: str) -> None:
         """Note a hand-over that failed while only the link of this pair was cut."""
         if (prefill, decode) not in self.cut_pairs:
             return
-        self.counts.hand_overs_cut += 1
+        self.counts.kv_transfers_interrupted += 1
         self._cut_attempts.add(attempt_id)
 
     def _check_usable(self, router: str, key: tuple[str, str]) -> None:
@@ -372,10 +372,10 @@
             raise InvariantError(message)
 
 
-def _may_run_again(kind: RequestKind, phase: Phase) -> bool:
+def _may_execute_again(kind: RequestKind, phase: Phase) -> bool:
     if kind in REPEATABLE_KINDS:
         return True
-    return kind is RequestKind.CHAT_READ_AGAIN and phase is Phase.PROMPT_READ
+    return kind is RequestKind.CHAT_READ_AGAIN and phase is Phase.PREFILL_DONE
 
 
 def _name(submission: Submission) -> str:
--- a/src/orchidpath/simulation/order_reader.py
+++ b/src/orchidpath/simulation/requests/response_reader.py
@@ -1,6 +1,6 @@
 """Reads the answer to one order on a simulated exchange and turns it into events.
 
-The counterpart of :class:`orchidpath.router.backend_client.BackendClient`, whose timeouts and
+The counterpart of :class:`orchidpath.router.chat.backend_client.BackendClient`, whose timeouts and
 checks it keeps.
 """
 
@@ -9,8 +9,8 @@
 import msgspec
 
 from orchidpath.circuit.classification import AttemptObservation, Observed
-from orchidpath.router.backend_client import END_OF_BODY_SECONDS
-from orchidpath.router.backend_exchange import (
+from orchidpath.router.chat.backend_client import END_OF_BODY_SECONDS
+from orchidpath.router.chat.backend_exchange import (
     AttemptError,
     OrderTarget,
     failed,
@@ -18,10 +18,15 @@
     require_echo,
     require_success,
 )
-from orchidpath.router.backend_exchange import Exchange as OrderExchange
-from orchidpath.routing import request_events as events
-from orchidpath.simulation.exchanges import Exchange
-from orchidpath.simulation.request_messages import EndOfBody, HttpError, HttpReply, StreamHead
+from orchidpath.router.chat.backend_exchange import Exchange as OrderExchange
+from orchidpath.routing.request import events
+from orchidpath.simulation.requests.exchange_messages import (
+    EndOfBody,
+    HttpError,
+    HttpReply,
+    StreamHead,
+)
+from orchidpath.simulation.requests.exchanges import Exchange
 from orchidpath.simulation.world import SimulatedProcess
 from orchidpath.wire.backend import (
     CallReply,
@@ -69,7 +74,7 @@
     def read(self, exchange: Exchange) -> None:
         """Read the answer; the order leaves right after this."""
         self._exchange = exchange
-        self._order.order_left = True
+        self._order.dispatch_left = True
         exchange.client.on_message = self._take
         exchange.client.on_broken = self._broken
         self._expect_within(self._target.first_answer_seconds, Observed.TIMED_OUT)
