--- a/src/orchidpath/simulation/served_request.py
+++ b/src/orchidpath/simulation/requests/served_request.py
@@ -1,27 +1,23 @@
 """One request on a simulated router: the real request machine, driven in virtual time.
 
-Does what :mod:`orchidpath.router.request_runner` and :mod:`orchidpath.router.backend_client` do
-with tasks and connections; their pure helpers judge every answer here, too.
+Does what :mod:`orchidpath.router.chat.request_runner` and
+:mod:`orchidpath.router.chat.backend_client` do with tasks and connections; their
+pure helpers judge every answer here, too.
 """
 
 from typing import TYPE_CHECKING
 
-from orchidpath.router.attempt_trace import AttemptTrace
-from orchidpath.router.backend_exchange import (
+from orchidpath.router.chat.attempt_trace import AttemptTrace
+from orchidpath.router.chat.backend_exchange import (
     OrderTarget,
 )
 from orchidpath.router.decision_maker import DecisionSubject
-from orchidpath.routing import request_events as events
-from orchidpath.routing.attempt import RequestMachine
-from orchidpath.routing.request_core import SharedRouting
+from orchidpath.routing.request import events
+from orchidpath.routing.request.core import SharedRouting
+from orchidpath.routing.request.request_machine import RequestMachine
 from orchidpath.routing.ring import prefix_key
 from orchidpath.routing.route_table import RouteMatch
-from orchidpath.simulation.exchanges import Exchange, open_server
-from orchidpath.simulation.fleet_access import NOT_FRESH_RETRY_SECONDS, drive
-from orchidpath.simulation.order_reader import OrderReader
-from orchidpath.simulation.path_guards import PathGuard
-from orchidpath.simulation.request_checks import Submission
-from orchidpath.simulation.request_messages import (
+from orchidpath.simulation.requests.exchange_messages import (
     MODEL_KINDS,
     Broken,
     CancelOrder,
@@ -30,7 +26,12 @@
     Refused,
     Relayed,
 )
-from orchidpath.simulation.simulated_backend import SimulatedBackend
+from orchidpath.simulation.requests.exchanges import Exchange, open_server
+from orchidpath.simulation.requests.path_checks import Submission
+from orchidpath.simulation.requests.path_guards import PathGuard
+from orchidpath.simulation.requests.response_reader import OrderReader
+from orchidpath.simulation.requests.simulated_backend import SimulatedBackend
+from orchidpath.simulation.requests.simulated_fleet_access import NOT_FRESH_RETRY_SECONDS, drive
 from orchidpath.wire.backend import (
     CallRequest,
     CancelReply,
@@ -41,7 +42,7 @@
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
 if TYPE_CHECKING:
-    from orchidpath.simulation.serving_router import ServingRouter
+    from orchidpath.simulation.requests.serving_router import ServingRouter
 
 _Send = events.SendPrefill | events.SendDecode | events.SendCall
 
@@ -102,7 +103,7 @@
         )
         shared = SharedRouting(
             retry_budget=router.state.budget(match.service.name),
-            handover=router.state.handover,
+            kv_transfer_evidence=router.state.kv_transfer_evidence,
             random=router.state.random,
         )
         self._machine = RequestMachine(self._plan, shared, router.request_guards)
@@ -114,7 +115,7 @@
 
     def run(self) -> None:
         """Serve the request."""
-        self._caller.server.on_broken = lambda: self._post(events.ClientGone())
+        self._caller.server.on_broken = lambda: self._post(events.ClientDisconnected())
         if PathGuard.DEADLINE_TIMER not in self._router.path_guards:
             seconds = max(self._plan.deadline - self._router.now, 0.0)
             self._router.after(seconds, lambda: self._post(events.DeadlinePassed()))
@@ -139,7 +140,7 @@
 
     def _execute(self, instruction: events.RequestInstruction) -> None:
         match instruction:
-            case events.AskDecision():
+            case events.RequestDecision():
                 self._ask(instruction)
             case events.SendPrefill() | events.SendDecode() | events.SendCall():
                 self._send(instruction)
@@ -195,7 +196,7 @@
 
     # Decisions
 
-    def _ask(self, instruction: events.AskDecision) -> None:
+    def _ask(self, instruction: events.RequestDecision) -> None:
         router = self._router
         place = (router.address, router.epoch, self._match.service.name, router.router_count())
         self._attempts += 1
--- a/src/orchidpath/simulation/request_fleet.py
+++ b/src/orchidpath/simulation/requests/serving_fleet.py
@@ -3,19 +3,23 @@
 import msgspec
 
 from orchidpath.simulation.control_node import ControlNode
-from orchidpath.simulation.exchanges import Exchanges
 from orchidpath.simulation.fleet_simulation import (
     DisabledGuards,
     FleetShape,
     FleetSimulation,
 )
 from orchidpath.simulation.operators import Operators
-from orchidpath.simulation.request_checks import RequestHistory
-from orchidpath.simulation.request_messages import MODEL_KINDS, REPEATABLE_KINDS, RequestKind
+from orchidpath.simulation.requests.exchange_messages import (
+    MODEL_KINDS,
+    REPEATABLE_KINDS,
+    RequestKind,
+)
+from orchidpath.simulation.requests.exchanges import Exchanges
+from orchidpath.simulation.requests.path_checks import RequestHistory
+from orchidpath.simulation.requests.serving_router import ServingRouter
+from orchidpath.simulation.requests.simulated_backend import SimulatedBackend
+from orchidpath.simulation.requests.simulated_caller import Callers
 from orchidpath.simulation.router_node import RouterNode
-from orchidpath.simulation.serving_router import ServingRouter
-from orchidpath.simulation.simulated_backend import SimulatedBackend
-from orchidpath.simulation.simulated_caller import Callers
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
 from orchidpath.wire.configuration import (
     AdmissionPolicy,
--- a/src/orchidpath/simulation/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -2,32 +2,35 @@
 
 from collections.abc import Callable, Sequence
 
+from orchidpath.router.chat.http_errors import refusal
+from orchidpath.router.chat.http_intake import admission_error
 from orchidpath.router.decision_maker import DecisionMaker
-from orchidpath.router.http_errors import refusal
-from orchidpath.router.http_intake import admission_error
 from orchidpath.router.routing_state import RoutingState
 from orchidpath.routing.admission import Rejected
 from orchidpath.routing.freshness import FreshnessGuard
-from orchidpath.routing.handover import (
-    HandoverFailure,
-    HandoverLedger,
-    HandoverVerdict,
+from orchidpath.routing.kv_transfer_evidence import (
+    TransferEvidenceTable,
+    TransferFailure,
+    TransferVerdict,
 )
 from orchidpath.routing.pairing import PairSelector
-from orchidpath.routing.request_events import SendRefusal
-from orchidpath.routing.request_guards import Guard
+from orchidpath.routing.request.events import SendRefusal
+from orchidpath.routing.request.guards import Guard
 from orchidpath.routing.route_table import RouteMatch
-from orchidpath.simulation.exchanges import Exchange, Exchanges
-from orchidpath.simulation.fleet_access import NOT_FRESH_RETRY_SECONDS, SimulatedFleetAccess
-from orchidpath.simulation.path_guards import PathGuard
-from orchidpath.simulation.request_checks import RequestHistory
-from orchidpath.simulation.request_messages import (
+from orchidpath.simulation.requests.exchange_messages import (
     MODEL_KINDS,
     CallerRequest,
     Refused,
 )
+from orchidpath.simulation.requests.exchanges import Exchange, Exchanges
+from orchidpath.simulation.requests.path_checks import RequestHistory
+from orchidpath.simulation.requests.path_guards import PathGuard
+from orchidpath.simulation.requests.served_request import ServedRequest
+from orchidpath.simulation.requests.simulated_fleet_access import (
+    NOT_FRESH_RETRY_SECONDS,
+    SimulatedFleetAccess,
+)
 from orchidpath.simulation.router_node import RouterNode
-from orchidpath.simulation.served_request import ServedRequest
 from orchidpath.simulation.world import World
 from orchidpath.wire.backend import Announcement, ErrorBody, ErrorCode
 from orchidpath.wire.messages import (
@@ -43,12 +46,12 @@
 """As in the routers' settings."""
 
 
-class CredulousLedger(HandoverLedger):
+class CredulousDispatchLog(TransferEvidenceTable):
     """Charges the prefill worker on the decode worker's word alone; for a guard left out."""
 
-    def record_failure(self, failure: HandoverFailure, now: float) -> HandoverVerdict:
+    def record_failure(self, failure: TransferFailure, now: float) -> TransferVerdict:
         """Take every failure for the prefill worker's."""
-        return HandoverVerdict.PREFILL_SIDE
+        return TransferVerdict.PREFILL_SIDE
 
 
 class ServingRouter(RouterNode):
@@ -97,8 +100,8 @@
         self.access = SimulatedFleetAccess(self, self.core, self._try_leader, self.path_guards)
         self.state = RoutingState(self.access, self.world.random)
         if PathGuard.PAIR_EVIDENCE in self.path_guards:
-            self.state.handover = CredulousLedger()
-            self.state.selector = PairSelector(self.state.handover.avoidance)
+            self.state.kv_transfer_evidence = CredulousDispatchLog()
+            self.state.selector = PairSelector(self.state.kv_transfer_evidence.avoidance)
         self.decisions = DecisionMaker(
             self.access, self.state, DECISION_TIMEOUT_SECONDS, lambda: self.now
         )
--- a/src/orchidpath/simulation/simulated_backend.py
+++ b/src/orchidpath/simulation/requests/simulated_backend.py
@@ -4,7 +4,16 @@
 
 import msgspec
 
-from orchidpath.simulation.backend_orders import (
+from orchidpath.emulators.backend.answers import expected_call_body
+from orchidpath.emulators.backend.backend_core import AttemptDispatch
+from orchidpath.emulators.backend.injected_faults import FaultKind
+from orchidpath.emulators.worker.engine_model import (
+    decode_interval_seconds,
+    prefill_seconds,
+)
+from orchidpath.emulators.worker.frames import StreamPlan, decode_frames
+from orchidpath.emulators.worker.kv_cache import HandleVerdict
+from orchidpath.simulation.requests.backend_dispatches import (
     StreamProgress,
     call_order,
     claim_of,
@@ -12,10 +21,9 @@
     prefill_order,
     whole_reply,
 )
-from orchidpath.simulation.backend_process import TIMING, BackendProcess
-from orchidpath.simulation.cache_pull import CachePull
-from orchidpath.simulation.exchanges import Exchange
-from orchidpath.simulation.request_messages import (
+from orchidpath.simulation.requests.backend_process import TIMING, BackendProcess
+from orchidpath.simulation.requests.cache_pull import CachePull
+from orchidpath.simulation.requests.exchange_messages import (
     CacheMoved,
     CancelOrder,
     EndOfBody,
@@ -24,15 +32,7 @@
     PullCache,
     StreamHead,
 )
-from orchidpath.standins.answers import expected_call_body
-from orchidpath.standins.backend_core import AttemptOrder
-from orchidpath.standins.faults import FaultKind
-from orchidpath.standins.frames import StreamPlan, decode_frames
-from orchidpath.standins.kv_cache import HandleVerdict
-from orchidpath.standins.worker_model import (
-    decode_interval_seconds,
-    prefill_seconds,
-)
+from orchidpath.simulation.requests.exchanges import Exchange
 from orchidpath.wire.backend import (
     CacheHandle,
     CallReply,
@@ -51,7 +51,7 @@
 CALL_SECONDS = 0.05
 
 _DENIALS = {
-    HandleVerdict.LAPSED: ErrorCode.HANDLE_LAPSED,
+    HandleVerdict.EXPIRED: ErrorCode.HANDLE_EXPIRED,
     HandleVerdict.MISMATCH: ErrorCode.HANDLE_MISMATCH,
 }
 
@@ -66,7 +66,7 @@
             return
         match message:
             case PrefillRequest():
-                self._take_in(exchange, prefill_order(message), self._read_prompt)
+                self._take_in(exchange, prefill_order(message), self._start_prefill)
             case DecodeRequest():
                 order = decode_order(message)
                 self.history.handle_presented(order, message.handle)
@@ -76,7 +76,7 @@
             case CancelOrder():
                 self._cancel(exchange, message)
             case PullCache():
-                self._hand_over(exchange, message)
+                self._transfer_kv(exchange, message)
             case _:
                 pass
 
@@ -85,8 +85,8 @@
     def _take_in(
         self,
         exchange: Exchange,
-        order: AttemptOrder,
-        work: Callable[[Exchange, AttemptOrder], None],
+        order: AttemptDispatch,
+        work: Callable[[Exchange, AttemptDispatch], None],
     ) -> None:
         refuse_all = self.faults.take(FaultKind.REFUSE_ALL, self.now) is not None
         refusal = self.core.admit(order, self.now, refuse_all)
@@ -99,7 +99,7 @@
             return
         work(exchange, order)
 
-    def _begin(self, exchange: Exchange, order: AttemptOrder) -> bool:
+    def _begin(self, exchange: Exchange, order: AttemptDispatch) -> bool:
         if self.core.start(order, self.now):
             self.history.executed(self.record.incarnation, order)
             return True
@@ -108,11 +108,11 @@
         self._leave(exchange, order, error)
         return False
 
-    def _refuse(self, exchange: Exchange, order: AttemptOrder, error: ErrorBody) -> None:
+    def _refuse(self, exchange: Exchange, order: AttemptDispatch, error: ErrorBody) -> None:
         exchange.answer(HttpError(echoed_attempt_id=order.attempt_id, error=error))
         exchange.answer(EndOfBody())
 
-    def _leave(self, exchange: Exchange, order: AttemptOrder, error: ErrorBody) -> None:
+    def _leave(self, exchange: Exchange, order: AttemptDispatch, error: ErrorBody) -> None:
         self.core.leave(order, self.now)
         self._refuse(exchange, order, error)
 
@@ -123,13 +123,13 @@
 
     # Work that is answered whole
 
-    def _call(self, exchange: Exchange, order: AttemptOrder) -> None:
+    def _call(self, exchange: Exchange, order: AttemptDispatch) -> None:
         if not self._begin(exchange, order):
             return
         seconds = self.world.random.uniform(0.5, 2.0) * CALL_SECONDS
         seconds *= self.faults.factor(FaultKind.SLOW, self.now)
 
-        def reply(sender: AttemptOrder) -> HttpReply:
+        def reply(sender: AttemptDispatch) -> HttpReply:
             body = expected_call_body(sender.request_id, "POST", "/")
             return whole_reply(
                 sender,
@@ -142,14 +142,14 @@
 
         self.after(seconds, lambda: self._answer(exchange, order, reply))
 
-    def _read_prompt(self, exchange: Exchange, order: AttemptOrder) -> None:
+    def _start_prefill(self, exchange: Exchange, order: AttemptDispatch) -> None:
         if not self._begin(exchange, order):
             return
         prompt_tokens = self.world.random.choice((20, 100, 400))
         seconds = prefill_seconds(TIMING, prompt_tokens, 0)
         seconds *= self.faults.factor(FaultKind.SLOW, self.now)
 
-        def reply(sender: AttemptOrder) -> HttpReply:
+        def reply(sender: AttemptDispatch) -> HttpReply:
             handle = self._issue(order, prompt_tokens)
             return whole_reply(
                 sender,
@@ -166,8 +166,8 @@
     def _answer(
         self,
         exchange: Exchange,
-        order: AttemptOrder,
-        reply: Callable[[AttemptOrder], HttpReply],
+        order: AttemptDispatch,
+        reply: Callable[[AttemptDispatch], HttpReply],
         is_late: bool = False,
     ) -> None:
         late = self.faults.take(FaultKind.ANSWER_LATE, self.now)
@@ -190,25 +190,25 @@
             return
         exchange.answer(reply(self._answer_identity(order)))
 
-    def _failure(self, order: AttemptOrder) -> ErrorBody | None:
+    def _failure(self, order: AttemptDispatch) -> ErrorBody | None:
         """Return an injected failure of work that has been done."""
-        if self.foreign_promises > 0:
+        if self.foreign_guarantees > 0:
             # A promise about another attempt, such as a confused intermediary would pass on.
-            self.foreign_promises -= 1
+            self.foreign_guarantees -= 1
             error = self.core.error(order, ErrorCode.INTERNAL, "not run", Ran.NO)
             return msgspec.structs.replace(error, attempt_id=f"{order.attempt_id}-other")
         if self.faults.take(FaultKind.FAIL_NEXT, self.now) is not None:
             return self.core.error(order, ErrorCode.INTERNAL, "injected failure", Ran.UNKNOWN)
         return None
 
-    def _answer_identity(self, order: AttemptOrder) -> AttemptOrder:
+    def _answer_identity(self, order: AttemptDispatch) -> AttemptDispatch:
         if self.faults.take(FaultKind.WRONG_ATTEMPT_ECHO, self.now) is None:
             return order
         return msgspec.structs.replace(
             order, request_id=f"{order.request_id}-other", attempt_id=f"{order.attempt_id}-other"
         )
 
-    def _issue(self, order: AttemptOrder, prompt_tokens: int) -> CacheHandle:
+    def _issue(self, order: AttemptDispatch, prompt_tokens: int) -> CacheHandle:
         handle_id = self.handles.issue(order.request_id, order.attempt_id, prompt_tokens, self.now)
         handle = CacheHandle(
             handle_id=handle_id,
@@ -229,7 +229,7 @@
 
     # Hand-over
 
-    def _hand_over(self, exchange: Exchange, message: PullCache) -> None:
+    def _transfer_kv(self, exchange: Exchange, message: PullCache) -> None:
         answer = self.handles.take(message.claim, self.now)
         if answer.verdict is HandleVerdict.GRANTED:
             self.history.handle_granted(message.claim)
@@ -241,14 +241,14 @@
         )
         exchange.answer(HttpError(echoed_attempt_id="", error=error))
 
-    def _pull(self, exchange: Exchange, order: AttemptOrder, message: DecodeRequest) -> None:
+    def _pull(self, exchange: Exchange, order: AttemptDispatch, message: DecodeRequest) -> None:
         def done(failure: ErrorCode | None) -> None:
             if failure is None:
                 self._decode(exchange, order, message.max_tokens)
                 return
             prefill = message.handle.worker_id
             if self._is_link_cut(prefill):
-                self.history.hand_over_failed(order.attempt_id, prefill, self.address)
+                self.history.kv_transfer_failed(order.attempt_id, prefill, self.address)
             error = self.core.refuse(order, failure, "no KV cache", self.now)
             self._leave(exchange, order, error)
 
@@ -264,14 +264,14 @@
 
     # Streams
 
-    def _decode(self, exchange: Exchange, order: AttemptOrder, max_tokens: int) -> None:
+    def _decode(self, exchange: Exchange, order: AttemptDispatch, max_tokens: int) -> None:
         if not self._begin(exchange, order):
             return
         late = self.faults.take(FaultKind.ANSWER_LATE, self.now)
         seconds = late.delay_seconds if late is not None else 0.0
         self.after(seconds, lambda: self._stream(exchange, order, max_tokens))
 
-    def _stream(self, exchange: Exchange, order: AttemptOrder, max_tokens: int) -> None:
+    def _stream(self, exchange: Exchange, order: AttemptDispatch, max_tokens: int) -> None:
         failure = self._failure(order)
         if failure is not None:
             self._leave(exchange, order, failure)
@@ -293,7 +293,9 @@
         exchange.answer(StreamHead(echoed_attempt_id=sender.attempt_id))
         self._next_frame(exchange, order, stream)
 
-    def _next_frame(self, exchange: Exchange, order: AttemptOrder, stream: StreamProgress) -> None:
+    def _next_frame(
+        self, exchange: Exchange, order: AttemptDispatch, stream: StreamProgress
+    ) -> None:
         frame = next(stream.frames, None)
         if frame is None:
             exchange.answer(EndOfBody())
@@ -306,7 +308,7 @@
         self.after(seconds, lambda: self._send_frame(exchange, order, stream, frame))
 
     def _send_frame(
-        self, exchange: Exchange, order: AttemptOrder, stream: StreamProgress, frame: DecodeFrame
+        self, exchange: Exchange, order: AttemptDispatch, stream: StreamProgress, frame: DecodeFrame
     ) -> None:
         if self.is_dark():
             self.after(DARK_POLL_SECONDS, lambda: self._send_frame(exchange, order, stream, frame))
@@ -320,6 +322,6 @@
         exchange.answer(frame)
         self._next_frame(exchange, order, stream)
 
-    def _end_stream(self, order: AttemptOrder) -> None:
+    def _end_stream(self, order: AttemptDispatch) -> None:
         self.streams -= 1
         self.core.leave(order, self.now)
--- a/src/orchidpath/simulation/simulated_caller.py
+++ b/src/orchidpath/simulation/requests/simulated_caller.py
@@ -5,11 +5,9 @@
 
 import msgspec
 
-from orchidpath.simulation.exchanges import Exchange, Exchanges
+from orchidpath.emulators.backend.answers import expected_text, is_expected_call_body
 from orchidpath.simulation.fleet_checks import InvariantError
-from orchidpath.simulation.path_guards import PathGuard
-from orchidpath.simulation.request_checks import RequestHistory
-from orchidpath.simulation.request_messages import (
+from orchidpath.simulation.requests.exchange_messages import (
     MODEL_KINDS,
     Broken,
     CallerRequest,
@@ -18,9 +16,11 @@
     Relayed,
     RequestKind,
 )
-from orchidpath.simulation.serving_router import ServingRouter
+from orchidpath.simulation.requests.exchanges import Exchange, Exchanges
+from orchidpath.simulation.requests.path_checks import RequestHistory
+from orchidpath.simulation.requests.path_guards import PathGuard
+from orchidpath.simulation.requests.serving_router import ServingRouter
 from orchidpath.simulation.world import SimulatedProcess, World
-from orchidpath.standins.answers import expected_text, is_expected_call_body
 from orchidpath.wire.backend import FrameKind, Ran
 from orchidpath.wire.messages import Message
 
--- a/src/orchidpath/simulation/fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from orchidpath.router.announced_workers import AnnouncedWorkers
-from orchidpath.router.control_link import RETRY_TIER_SECONDS
-from orchidpath.router.decisions import FleetAccess
-from orchidpath.router.late_decisions import LateDecisions
-from orchidpath.router.report_queue import ReportQueue
+from orchidpath.router.fleet_link.announced_workers import AnnouncedWorkers
+from orchidpath.router.fleet_link.control_link import RETRY_TIER_SECONDS
+from orchidpath.router.fleet_link.fleet_access import FleetAccess
+from orchidpath.router.fleet_link.late_decisions import LateDecisions
+from orchidpath.router.fleet_link.report_queue import ReportQueue
 from orchidpath.routing.freshness import FreshnessCore
-from orchidpath.simulation.path_guards import PathGuard
+from orchidpath.simulation.requests.path_guards import PathGuard
 from orchidpath.simulation.world import SimulatedProcess
 from orchidpath.wire.backend import Announcement, AnnouncementReply
 from orchidpath.wire.messages import (
@@ -24,8 +24,8 @@
     Choice,
     DecisionReply,
     DecisionRequest,
-    Denial,
     Message,
+    Rejection,
 )
 from orchidpath.wire.records import FleetView, Stage
 
@@ -134,7 +134,7 @@
         waiting = self._decisions[request.correlation] = Waiting()
         self._process.after(timeout_seconds, lambda: self._give_up(request))
         reply = await waiting
-        if reply is None or reply.denial is Denial.NOT_LEADER:
+        if reply is None or reply.rejection is Rejection.NOT_LEADER:
             return None
         return self._with_kept_probes(reply) if self._keeps_probes else reply
 
--- a/src/orchidpath/simulation/router_node.py
+++ b/src/orchidpath/simulation/router_node.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Sequence
 
-from orchidpath.router.leader_finder import LeaderFinder
+from orchidpath.router.fleet_link.leader_finder import LeaderFinder
 from orchidpath.routing.freshness import (
     AcknowledgeSoon,
     FreshnessCore,
@@ -125,7 +125,7 @@
         assert core is not None
         self.on_observed(self)
         self._execute(core.tick(self.now))
-        if not self._finder.should_ask(self.now):
+        if not self._finder.should_query(self.now):
             return
         for address in sorted(self._finder.addresses(self.now)):
             if address != self.address:
--- a/src/orchidpath/simulation/scenario.py
+++ b/src/orchidpath/simulation/scenario.py
@@ -26,7 +26,7 @@
     MIXED = "mixed"
     WORKERS_CRASH = "workers_crash"
     WORKERS_DRAIN = "workers_drain"
-    HANDLES_LAPSE = "handles_lapse"
+    HANDLES_EXPIRE = "handles_lapse"
     LINKS_SLOW = "links_slow"
     CROWD = "crowd"
     CONTROL_LOST_UNDER_LOAD = "control_lost_under_load"
--- a/src/orchidpath/simulation/scenarios.py
+++ b/src/orchidpath/simulation/scenarios.py
@@ -14,9 +14,9 @@
     DisabledGuards,
     FleetSimulation,
 )
-from orchidpath.simulation.request_checks import RequestCounts
-from orchidpath.simulation.request_faults import RequestFaultDriver
-from orchidpath.simulation.request_fleet import RequestFleet
+from orchidpath.simulation.requests.backend_faults import RequestFaultDriver
+from orchidpath.simulation.requests.path_checks import RequestCounts
+from orchidpath.simulation.requests.serving_fleet import RequestFleet
 from orchidpath.simulation.scenario import Scenario
 
 FAULT_TIME_SECONDS = 40.0
@@ -26,7 +26,7 @@
 REQUESTS_PER_SECOND = {
     Scenario.WORKERS_CRASH: 25.0,
     Scenario.WORKERS_DRAIN: 20.0,
-    Scenario.HANDLES_LAPSE: 25.0,
+    Scenario.HANDLES_EXPIRE: 25.0,
     Scenario.LINKS_SLOW: 15.0,
     Scenario.CROWD: 15.0,
     Scenario.CONTROL_LOST_UNDER_LOAD: 20.0,
@@ -53,7 +53,7 @@
     scenario: Scenario
     seed: int
     violation: str | None
-    confirmed_orders: int
+    confirmed_updates: int
     configuration_version: int
     fresh_checks: int
     events: int
@@ -85,7 +85,7 @@
         scenario=scenario,
         seed=seed,
         violation=violation,
-        confirmed_orders=fleet.history.confirmed_orders,
+        confirmed_updates=fleet.history.confirmed_updates,
         configuration_version=core.state.configuration_version if core is not None else 0,
         fresh_checks=fleet.history.fresh_checks,
         events=fleet.world.events_run,
@@ -142,7 +142,7 @@
     begin = {
         Scenario.WORKERS_CRASH: driver.crash_workers,
         Scenario.WORKERS_DRAIN: driver.drain_workers,
-        Scenario.HANDLES_LAPSE: driver.lapse_handles,
+        Scenario.HANDLES_EXPIRE: driver.expire_handles,
         Scenario.LINKS_SLOW: driver.slow_links,
         Scenario.CROWD: driver.crowd,
         Scenario.CONTROL_LOST_UNDER_LOAD: driver.lose_control,
--- a/src/orchidpath/state/commands.py
+++ b/src/orchidpath/state/commands.py
@@ -61,7 +61,7 @@
     sequence: int
 
 
-class WorkerGone(msgspec.Struct, frozen=True, kw_only=True, tag="worker_gone"):
+class WorkerRemoved(msgspec.Struct, frozen=True, kw_only=True, tag="worker_gone"):
     """A worker's lease has lapsed; it concerns that incarnation only.
 
     ``sequence`` is the newest announcement that the leader heard from it: announcements up to
@@ -73,14 +73,14 @@
     sequence: int = 0
 
 
-class HoldWorker(msgspec.Struct, frozen=True, kw_only=True, tag="hold_worker"):
+class CordonWorker(msgspec.Struct, frozen=True, kw_only=True, tag="hold_worker"):
     """Holds a worker back from new requests, or releases it.
 
     The hold stays while the worker is restarted or gone, until it is released.
     """
 
     worker_id: str
-    held: bool
+    cordoned: bool = msgspec.field(name="held")
 
 
 class CircuitChanged(msgspec.Struct, frozen=True, kw_only=True, tag="circuit_changed"):
@@ -177,7 +177,7 @@
     reason: str
 
 
-PlanOrderCommand = StartPlan | HaltPlan | ResumePlan | CancelPlan
+PlanActionCommand = StartPlan | HaltPlan | ResumePlan | CancelPlan
 """An operator's order about a plan."""
 
 Command = (
@@ -185,8 +185,8 @@
     | RegisterRouter
     | RemoveRouter
     | WorkerChanged
-    | WorkerGone
-    | HoldWorker
+    | WorkerRemoved
+    | CordonWorker
     | CircuitChanged
     | CapacityChanged
     | RegisterControlMember
--- a/src/orchidpath/state/machine.py
+++ b/src/orchidpath/state/fleet_state.py
@@ -18,8 +18,8 @@
     CapacityChanged,
     CircuitChanged,
     Command,
+    CordonWorker,
     HaltPlan,
-    HoldWorker,
     LeaderStarted,
     RegisterControlMember,
     RegisterRouter,
@@ -31,31 +31,31 @@
     StopPlan,
     SubmitConfiguration,
     WorkerChanged,
-    WorkerGone,
+    WorkerRemoved,
     decode_command,
 )
-from orchidpath.state.orders import OrderMemory
 from orchidpath.state.outcomes import (
     ApplyResult,
     CircuitResult,
     Effect,
-    OrderAccepted,
-    OrderConflict,
-    OrderIdReused,
-    OrderOutcome,
-    OrderRecord,
-    OrderResult,
     Outcome,
     RecordResult,
+    UpdateAccepted,
+    UpdateConflict,
+    UpdateIdReused,
+    UpdateOutcome,
+    UpdateRecord,
+    UpdateResult,
 )
-from orchidpath.state.plan_book import PlanBook
-from orchidpath.state.plans import AbandonedWorker, PlanOrderRecord, PlanRecord
+from orchidpath.state.plan_state import PlanState
+from orchidpath.state.plans import AbandonedWorker, PlanActionRecord, PlanRecord
 from orchidpath.state.snapshot import (
     ConfigurationEntry,
     SnapshotBody,
     decode_snapshot,
     encode_snapshot,
 )
+from orchidpath.state.update_outcomes import UpdateOutcomes
 from orchidpath.state.witnesses import WitnessHistory, choose_witnesses
 from orchidpath.state.workers import WorkerEntry, WorkerTable
 from orchidpath.wire.configuration import Configuration
@@ -103,13 +103,13 @@
         self._configuration = body.configuration
         self._document = body.document
         self._history = deque(body.history, maxlen=HISTORY_LIMIT)
-        self._orders = OrderMemory(body.orders)
-        self._workers = WorkerTable(body.workers, body.dead_incarnations, body.held_workers)
+        self._orders = UpdateOutcomes(body.orders)
+        self._workers = WorkerTable(body.workers, body.dead_incarnations, body.cordoned_workers)
         self._routers = {record.router_id: record for record in body.routers}
         self._witnesses = WitnessHistory(body.witness_sets)
         self._circuits = AgreedCircuits(body.circuits, body.capacities, body.circuits_sequence)
         self._control_members = {member.node_id: member for member in body.control_members}
-        self._plans = PlanBook(body.plan, body.plan_orders, body.plan_abandoned)
+        self._plans = PlanState(body.plan, body.plan_orders, body.plan_abandoned)
         self._changes = ChangeLog()
         self._view: FleetView | None = None
 
@@ -140,7 +140,7 @@
                 orders=self._orders.records(),
                 workers=self._workers.entries(),
                 dead_incarnations=self._workers.dead(),
-                held_workers=self._workers.held(),
+                cordoned_workers=self._workers.cordoned(),
                 routers=list(self.routers()),
                 witness_sets=self._witnesses.sets(),
                 circuits=list(self.circuits()),
@@ -225,7 +225,7 @@
         """Return the newest configurations taken, oldest first."""
         return tuple(self._history)
 
-    def find_order(self, order_id: str) -> OrderRecord | None:
+    def find_update(self, order_id: str) -> UpdateRecord | None:
         """Return the order taken under an id, with its first outcome."""
         return self._orders.find(order_id)
 
@@ -274,9 +274,9 @@
         """Return the workers that plans have abandoned, oldest first."""
         return self._plans.abandoned()
 
-    def find_plan_order(self, order_id: str) -> PlanOrderRecord | None:
+    def find_plan_action(self, order_id: str) -> PlanActionRecord | None:
         """Return the order about a plan that was taken under an id, with its first outcome."""
-        return self._plans.find_order(order_id)
+        return self._plans.find_update(order_id)
 
     @property
     def witnesses(self) -> tuple[str, ...]:
@@ -337,8 +337,8 @@
             case SubmitConfiguration():
                 return self._submit(command)
             case RegisterRouter() | RemoveRouter():
-                return RecordResult(effect=self._change_roster(command))
-            case WorkerChanged() | WorkerGone() | HoldWorker():
+                return RecordResult(effect=self._change_routers(command))
+            case WorkerChanged() | WorkerRemoved() | CordonWorker():
                 return RecordResult(effect=self._change_worker(command))
             case CircuitChanged():
                 return self._change_circuit(command.transition)
@@ -355,23 +355,23 @@
             case _:
                 assert_never(command)
 
-    def _submit(self, order: SubmitConfiguration) -> OrderResult:
+    def _submit(self, order: SubmitConfiguration) -> UpdateResult:
         """Take a configuration if it was built on the current version (compare and swap)."""
         taken = self._orders.find(order.order_id)
         if taken is not None and taken.digest != order.digest:
-            reused = OrderIdReused(current_version=self._configuration_version)
-            return OrderResult(outcome=reused)
+            reused = UpdateIdReused(current_version=self._configuration_version)
+            return UpdateResult(outcome=reused)
         if taken is not None:
-            return OrderResult(outcome=taken.outcome, repeated=True)
-        outcome: OrderOutcome
+            return UpdateResult(outcome=taken.outcome, repeated=True)
+        outcome: UpdateOutcome
         if order.base_version != self._configuration_version:
-            outcome = OrderConflict(current_version=self._configuration_version)
+            outcome = UpdateConflict(current_version=self._configuration_version)
         else:
             outcome = self._accept(order)
         self._orders.remember(order.order_id, order.digest, outcome)
-        return OrderResult(outcome=outcome)
+        return UpdateResult(outcome=outcome)
 
-    def _accept(self, order: SubmitConfiguration) -> OrderAccepted:
+    def _accept(self, order: SubmitConfiguration) -> UpdateAccepted:
         version = self._configuration_version + 1
         changed = configuration_delta(self._configuration, order.configuration)
         self._configuration = order.configuration
@@ -383,9 +383,9 @@
         self._revision += 1
         self._changes.add(Change(revision=self._revision, configuration=changed))
         self._plans.configuration_changed()
-        return OrderAccepted(version=version)
+        return UpdateAccepted(version=version)
 
-    def _change_roster(self, command: RegisterRouter | RemoveRouter) -> Effect:
+    def _change_routers(self, command: RegisterRouter | RemoveRouter) -> Effect:
         revision = self._revision + 1
         if isinstance(command, RegisterRouter):
             record = command.record
@@ -405,16 +405,16 @@
         self._witnesses.change(self._revision, chosen, self._confirmed_revision)
         return Effect.CHANGED
 
-    def _change_worker(self, command: WorkerChanged | WorkerGone | HoldWorker) -> Effect:
+    def _change_worker(self, command: WorkerChanged | WorkerRemoved | CordonWorker) -> Effect:
         changed: WorkerRecord | None
-        if isinstance(command, WorkerGone):
+        if isinstance(command, WorkerRemoved):
             changed = self._workers.depart(command.worker_id, command.incarnation, command.sequence)
             effect = Effect.STALE if changed is None else Effect.CHANGED
         elif isinstance(command, WorkerChanged):
             effect = self._workers.announce(command.record, command.sequence)
             changed = self._agreed_worker(command.record.worker_id)
         else:
-            effect = self._workers.hold(command.worker_id, command.held)
+            effect = self._workers.cordon(command.worker_id, command.cordoned)
             changed = self._agreed_worker(command.worker_id)
         if effect is Effect.CHANGED and changed is not None:
             self._worker_changed(changed)
@@ -426,9 +426,11 @@
         if isinstance(command, StopPlan):
             return self._plans.stop(command)
         advanced = self._plans.advance(command, self.workers(), self._revision + 1)
-        if advanced.hold is not None:
-            hold = HoldWorker(worker_id=advanced.hold.worker_id, held=advanced.hold.held)
-            self._change_worker(hold)
+        if advanced.cordon is not None:
+            cordon = CordonWorker(
+                worker_id=advanced.cordon.worker_id, cordoned=advanced.cordon.cordoned
+            )
+            self._change_worker(cordon)
         return advanced.effect
 
     def _agreed_worker(self, worker_id: str) -> WorkerRecord | None:
--- a/src/orchidpath/state/outcomes.py
+++ b/src/orchidpath/state/outcomes.py
@@ -11,40 +11,40 @@
 from orchidpath.wire.records import CapacityRecord, CircuitRecord
 
 
-class OrderAccepted(msgspec.Struct, frozen=True, kw_only=True, tag="accepted"):
+class UpdateAccepted(msgspec.Struct, frozen=True, kw_only=True, tag="accepted"):
     """The order's configuration became ``version``."""
 
     version: int
 
 
-class OrderConflict(msgspec.Struct, frozen=True, kw_only=True, tag="conflict"):
+class UpdateConflict(msgspec.Struct, frozen=True, kw_only=True, tag="conflict"):
     """The order was not built on the version of its time, ``current_version``; nothing changed."""
 
     current_version: int
 
 
-class OrderIdReused(msgspec.Struct, frozen=True, kw_only=True, tag="order_id_reused"):
+class UpdateIdReused(msgspec.Struct, frozen=True, kw_only=True, tag="order_id_reused"):
     """The order's id was taken by an order with other content; nothing changed."""
 
     current_version: int
 
 
-OrderOutcome = OrderAccepted | OrderConflict
+UpdateOutcome = UpdateAccepted | UpdateConflict
 """The outcome that is remembered under an order's id."""
 
 
-class OrderRecord(msgspec.Struct, frozen=True, kw_only=True):
+class UpdateRecord(msgspec.Struct, frozen=True, kw_only=True):
     """An order that was taken, and its first outcome."""
 
     order_id: str
     digest: str
-    outcome: OrderOutcome
+    outcome: UpdateOutcome
 
 
-class OrderResult(msgspec.Struct, frozen=True, kw_only=True, tag="order"):
+class UpdateResult(msgspec.Struct, frozen=True, kw_only=True, tag="order"):
     """Outcome of a submitted configuration; ``repeated`` when it was already taken before."""
 
-    outcome: OrderAccepted | OrderConflict | OrderIdReused
+    outcome: UpdateAccepted | UpdateConflict | UpdateIdReused
     repeated: bool = False
 
 
@@ -89,7 +89,7 @@
     repeated: bool = False
 
 
-Outcome = OrderResult | RecordResult | CircuitResult | CapacityResult | PlanResult
+Outcome = UpdateResult | RecordResult | CircuitResult | CapacityResult | PlanResult
 """Outcome of any command."""
 
 
--- a/src/orchidpath/state/plan_book.py
+++ b/src/orchidpath/state/plan_state.py
@@ -12,7 +12,7 @@
     AdvanceStep,
     CancelPlan,
     HaltPlan,
-    PlanOrderCommand,
+    PlanActionCommand,
     ResumePlan,
     StartPlan,
     StopPlan,
@@ -22,8 +22,8 @@
     OPEN_PHASES,
     PHASE_TRANSITIONS,
     AbandonedWorker,
+    PlanActionRecord,
     PlanAnswer,
-    PlanOrderRecord,
     PlanProgress,
     PlanRecord,
     PlanStatus,
@@ -31,11 +31,11 @@
     StepProgress,
     basis_digest,
     begin_objection,
-    held_count,
+    cordoned_count,
 )
 from orchidpath.wire.records import WorkerRecord
 
-PLAN_ORDER_MEMORY = 1_000
+PLAN_ACTION_MEMORY = 1_000
 """How many of the newest orders about plans are remembered."""
 
 
@@ -43,21 +43,21 @@
 """How many of the workers that were abandoned last are remembered."""
 
 
-class HoldChange(msgspec.Struct, frozen=True):
+class CordonChange(msgspec.Struct, frozen=True):
     """A worker is to be held back or released with the step that was advanced."""
 
     worker_id: str
-    held: bool
+    cordoned: bool
 
 
 class Advanced(msgspec.Struct, frozen=True):
     """Effect of advancing a step."""
 
     effect: Effect
-    hold: HoldChange | None = None
+    cordon: CordonChange | None = None
 
 
-class PlanBook:
+class PlanState:
     """The newest plan and the orders about plans.
 
     Parameters
@@ -73,14 +73,14 @@
     def __init__(
         self,
         record: PlanRecord | None = None,
-        orders: Iterable[PlanOrderRecord] = (),
+        orders: Iterable[PlanActionRecord] = (),
         abandoned: Iterable[AbandonedWorker] = (),
     ) -> None:
         self.record = record
         self._abandoned = {worker.worker_id: worker for worker in abandoned}
         self._orders = {order.order_id: order for order in orders}
 
-    def orders(self) -> list[PlanOrderRecord]:
+    def orders(self) -> list[PlanActionRecord]:
         """Return the remembered orders, oldest first."""
         return list(self._orders.values())
 
@@ -88,13 +88,13 @@
         """Return the workers that plans have abandoned, oldest first."""
         return list(self._abandoned.values())
 
-    def find_order(self, order_id: str) -> PlanOrderRecord | None:
+    def find_update(self, order_id: str) -> PlanActionRecord | None:
         """Return the order about a plan that was taken under an id."""
         return self._orders.get(order_id)
 
     def order(
         self,
-        command: PlanOrderCommand,
+        command: PlanActionCommand,
         configuration_version: int,
         workers: Sequence[WorkerRecord],
     ) -> PlanResult:
@@ -139,13 +139,13 @@
             return Advanced(Effect.STALE)
         if command.phase not in PHASE_TRANSITIONS[progress.phase]:
             return Advanced(Effect.INVALID)
-        begins = command.phase is StepPhase.HOLDING
+        begins = command.phase is StepPhase.CORDONING
         if begins and self._begin_refused(record, command.step, workers):
             return Advanced(Effect.INVALID)
-        held_revision = next_revision if begins else progress.held_revision
+        cordoned_revision = next_revision if begins else progress.cordoned_revision
         changed = StepProgress(
             phase=command.phase,
-            held_revision=held_revision,
+            cordoned_revision=cordoned_revision,
             reason=command.reason or progress.reason,
         )
         self._set_step(record, command.step, changed)
@@ -156,7 +156,7 @@
         if command.phase is StepPhase.ABANDONED:
             self._abandon(worker_id, record.plan.steps[command.step].incarnation)
         if begins or command.phase not in OPEN_PHASES:
-            return Advanced(Effect.CHANGED, HoldChange(worker_id, held=begins))
+            return Advanced(Effect.CHANGED, CordonChange(worker_id, cordoned=begins))
         return Advanced(Effect.CHANGED)
 
     def stop(self, command: StopPlan) -> Effect:
@@ -223,7 +223,7 @@
         service = record.plan.steps[position].service
         return (
             record.progress.status is not PlanStatus.RUNNING
-            or held_count(record, service) >= record.plan.bounds_of(service).max_held
+            or cordoned_count(record, service) >= record.plan.bounds_of(service).max_cordoned
             or bool(begin_objection(record, position, workers))
         )
 
@@ -273,10 +273,10 @@
             del self._abandoned[next(iter(self._abandoned))]
 
     def _remember(self, order_id: str, content: str, result: PlanResult) -> None:
-        self._orders[order_id] = PlanOrderRecord(
+        self._orders[order_id] = PlanActionRecord(
             order_id=order_id, content=content, answer=result.answer, reason=result.reason
         )
-        while len(self._orders) > PLAN_ORDER_MEMORY:
+        while len(self._orders) > PLAN_ACTION_MEMORY:
             del self._orders[next(iter(self._orders))]
 
 
--- a/src/orchidpath/state/plans.py
+++ b/src/orchidpath/state/plans.py
@@ -33,7 +33,7 @@
     """How far one worker's change is."""
 
     WAITING = "waiting"
-    HOLDING = "holding"
+    CORDONING = "holding"
     """Held back; some router may not know it yet."""
     DRAINING = "draining"
     SWITCHING = "switching"
@@ -49,7 +49,7 @@
 
 OPEN_PHASES = frozenset(
     {
-        StepPhase.HOLDING,
+        StepPhase.CORDONING,
         StepPhase.DRAINING,
         StepPhase.SWITCHING,
         StepPhase.RESUMING,
@@ -59,8 +59,8 @@
 """Phases in which the worker is held back."""
 
 PHASE_TRANSITIONS: dict[StepPhase, frozenset[StepPhase]] = {
-    StepPhase.WAITING: frozenset({StepPhase.HOLDING}),
-    StepPhase.HOLDING: frozenset({StepPhase.DRAINING, StepPhase.RETURNING, StepPhase.ABANDONED}),
+    StepPhase.WAITING: frozenset({StepPhase.CORDONING}),
+    StepPhase.CORDONING: frozenset({StepPhase.DRAINING, StepPhase.RETURNING, StepPhase.ABANDONED}),
     StepPhase.DRAINING: frozenset({StepPhase.SWITCHING, StepPhase.RETURNING, StepPhase.ABANDONED}),
     StepPhase.SWITCHING: frozenset({StepPhase.RESUMING, StepPhase.RETURNING, StepPhase.ABANDONED}),
     StepPhase.RESUMING: frozenset({StepPhase.RELEASED, StepPhase.ABANDONED}),
@@ -85,13 +85,13 @@
 class ServiceBounds(msgspec.Struct, frozen=True, kw_only=True):
     """Bounds that a plan keeps for one service.
 
-    ``max_held`` workers are held back at once. A step begins only if its stage keeps
+    ``max_cordoned`` workers are held back at once. A step begins only if its stage keeps
     ``minimum_prefill`` or ``minimum_decode`` serving workers without it. A worker may drain for
     ``drain_seconds``, which covers the longest request of the service.
     """
 
     service: str
-    max_held: int
+    max_cordoned: int = msgspec.field(name="max_held")
     minimum_prefill: int
     minimum_decode: int
     drain_seconds: float
@@ -122,10 +122,10 @@
 
 
 class StepProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """How far a step is; the hold is part of the view from ``held_revision`` on."""
+    """How far a step is; the hold is part of the view from ``cordoned_revision`` on."""
 
     phase: StepPhase = StepPhase.WAITING
-    held_revision: int = 0
+    cordoned_revision: int = msgspec.field(default=0, name="held_revision")
     reason: str = ""
 
 
@@ -166,7 +166,7 @@
     ORDER_ID_REUSED = "order_id_reused"
 
 
-class PlanOrderRecord(msgspec.Struct, frozen=True, kw_only=True):
+class PlanActionRecord(msgspec.Struct, frozen=True, kw_only=True):
     """An order about a plan that was taken, and its first outcome."""
 
     order_id: str
@@ -200,7 +200,7 @@
 
 def is_serving(worker: WorkerRecord) -> bool:
     """Return whether routers may give a worker new requests."""
-    return worker.status is WorkerStatus.READY and not worker.held
+    return worker.status is WorkerStatus.READY and not worker.cordoned
 
 
 def begin_objection(record: PlanRecord, position: int, workers: Iterable[WorkerRecord]) -> str:
@@ -229,7 +229,7 @@
     return ""
 
 
-def held_count(record: PlanRecord, service: str) -> int:
+def cordoned_count(record: PlanRecord, service: str) -> int:
     """Return how many workers of a service a plan holds back now."""
     return sum(
         1
--- a/src/orchidpath/state/snapshot.py
+++ b/src/orchidpath/state/snapshot.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.state.outcomes import OrderRecord
-from orchidpath.state.plans import AbandonedWorker, PlanOrderRecord, PlanRecord
+from orchidpath.state.outcomes import UpdateRecord
+from orchidpath.state.plans import AbandonedWorker, PlanActionRecord, PlanRecord
 from orchidpath.state.witnesses import WitnessSet
 from orchidpath.state.workers import DeadIncarnation, WorkerEntry
 from orchidpath.wire.compression import CompressionError, compressed, decompressed
@@ -58,17 +58,17 @@
     configuration: Configuration = Configuration()
     document: bytes = b""
     history: list[ConfigurationEntry] = []
-    orders: list[OrderRecord] = []
+    orders: list[UpdateRecord] = []
     workers: list[WorkerEntry] = []
     dead_incarnations: list[DeadIncarnation] = []
-    held_workers: list[str] = []
+    cordoned_workers: list[str] = msgspec.field(default_factory=list, name="held_workers")
     routers: list[RouterRecord] = []
     witness_sets: list[WitnessSet] = []
     circuits: list[CircuitRecord] = []
     capacities: list[CapacityRecord] = []
     control_members: list[ControlMember] = []
     plan: PlanRecord | None = None
-    plan_orders: list[PlanOrderRecord] = []
+    plan_orders: list[PlanActionRecord] = []
     plan_abandoned: list[AbandonedWorker] = []
 
 
--- a/src/orchidpath/state/orders.py
+++ b/src/orchidpath/state/update_outcomes.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Iterable
 
-from orchidpath.state.outcomes import OrderOutcome, OrderRecord
+from orchidpath.state.outcomes import UpdateOutcome, UpdateRecord
 
 ORDER_MEMORY = 20_000
 """How many of the newest orders are remembered."""
 
 
-class OrderMemory:
+class UpdateOutcomes:
     """The newest orders by id, oldest first.
 
     Parameters
@@ -19,20 +19,20 @@
         How many are remembered.
     """
 
-    def __init__(self, records: Iterable[OrderRecord] = (), limit: int = ORDER_MEMORY) -> None:
+    def __init__(self, records: Iterable[UpdateRecord] = (), limit: int = ORDER_MEMORY) -> None:
         self._limit = limit
         self._records = {record.order_id: record for record in records}
 
-    def find(self, order_id: str) -> OrderRecord | None:
+    def find(self, order_id: str) -> UpdateRecord | None:
         """Return the order taken under an id."""
         return self._records.get(order_id)
 
-    def remember(self, order_id: str, digest: str, outcome: OrderOutcome) -> None:
+    def remember(self, order_id: str, digest: str, outcome: UpdateOutcome) -> None:
         """Keep the first outcome of an order and forget the oldest beyond the limit."""
-        self._records[order_id] = OrderRecord(order_id=order_id, digest=digest, outcome=outcome)
+        self._records[order_id] = UpdateRecord(order_id=order_id, digest=digest, outcome=outcome)
         while len(self._records) > self._limit:
             del self._records[next(iter(self._records))]
 
-    def records(self) -> list[OrderRecord]:
+    def records(self) -> list[UpdateRecord]:
         """Return the remembered orders, oldest first."""
         return list(self._records.values())
--- a/src/orchidpath/state/workers.py
+++ b/src/orchidpath/state/workers.py
@@ -45,12 +45,12 @@
         self,
         entries: Iterable[WorkerEntry] = (),
         dead: Iterable[DeadIncarnation] = (),
-        held: Iterable[str] = (),
+        cordoned: Iterable[str] = (),
         dead_limit: int = DEAD_INCARNATION_MEMORY,
     ) -> None:
         self._entries = {entry.record.worker_id: entry for entry in entries}
         self._dead = {(item.worker_id, item.incarnation): item.sequence for item in dead}
-        self._held = set(held)
+        self._cordoned = set(cordoned)
         self._dead_limit = dead_limit
 
     def find(self, worker_id: str) -> WorkerEntry | None:
@@ -68,9 +68,9 @@
             for (worker_id, incarnation), sequence in self._dead.items()
         ]
 
-    def held(self) -> list[str]:
+    def cordoned(self) -> list[str]:
         """Return the ids of the workers that are held back, sorted."""
-        return sorted(self._held)
+        return sorted(self._cordoned)
 
     def known(self, worker_id: str) -> bool:
         """Return whether a worker is in the view or one of its dead incarnations is remembered."""
@@ -112,7 +112,7 @@
         self._bury(current, max(current.sequence, sequence))
         return msgspec.structs.replace(current.record, status=WorkerStatus.GONE)
 
-    def hold(self, worker_id: str, held: bool) -> Effect:
+    def cordon(self, worker_id: str, cordoned: bool) -> Effect:
         """Hold a worker back from new requests, or release it.
 
         The hold is kept apart from the record, so that an announcement or a restart in the
@@ -120,15 +120,15 @@
         """
         if not self.known(worker_id):
             return Effect.UNKNOWN
-        if (worker_id in self._held) == held:
+        if (worker_id in self._cordoned) == cordoned:
             return Effect.UNCHANGED
-        if held:
-            self._held.add(worker_id)
+        if cordoned:
+            self._cordoned.add(worker_id)
         else:
-            self._held.discard(worker_id)
+            self._cordoned.discard(worker_id)
         current = self._entries.get(worker_id)
         if current is not None:
-            record = msgspec.structs.replace(current.record, held=held)
+            record = msgspec.structs.replace(current.record, cordoned=cordoned)
             self._entries[worker_id] = WorkerEntry(record=record, sequence=current.sequence)
         return Effect.CHANGED
 
@@ -149,7 +149,7 @@
         return msgspec.structs.replace(
             record,
             failure_domain=record.failure_domain or record.worker_id,
-            held=record.worker_id in self._held,
+            cordoned=record.worker_id in self._cordoned,
         )
 
     def _bury(self, entry: WorkerEntry, sequence: int) -> None:
@@ -161,4 +161,4 @@
             forgotten_id = next(iter(self._dead))[0]
             del self._dead[next(iter(self._dead))]
             if not self.known(forgotten_id):
-                self._held.discard(forgotten_id)
+                self._cordoned.discard(forgotten_id)
--- a/src/orchidpath/tools/replay.py
+++ b/src/orchidpath/tools/decision_replay.py
@@ -156,7 +156,7 @@
         """Take the next line."""
         match line:
             case PolicyLine():
-                self._take_policy(line)
+                self._apply_policy(line)
             case DecisionLine():
                 self._take_decision(number, line)
             case ReportLine():
@@ -171,7 +171,7 @@
         self._shown.clear()
         self._alternative_chose.clear()
 
-    def _take_policy(self, line: PolicyLine) -> None:
+    def _apply_policy(self, line: PolicyLine) -> None:
         if line.incarnation != self._incarnation:
             # Another process, whose clock has nothing to do with that of the one before.
             self._incarnation = line.incarnation
@@ -356,7 +356,7 @@
 def _outcome(decided: DecisionLine | DecisionReply) -> str:
     if decided.choices:
         return " ".join(map(_choice_text, decided.choices))
-    return f"denied: {decided.denial.value}"
+    return f"denied: {decided.rejection.value}"
 
 
 def _choice_text(choice: Choice) -> str:
@@ -376,4 +376,4 @@
         return DifferenceKind.DENIED
     if replayed.choices:
         return DifferenceKind.ALLOWED
-    return None if line.denial is replayed.denial else DifferenceKind.OTHER_DENIAL
+    return None if line.rejection is replayed.rejection else DifferenceKind.OTHER_DENIAL
--- a/src/orchidpath/tools/hollow.py
+++ b/src/orchidpath/tools/hollow.py
@@ -1,8 +1,8 @@
 """Hollow routers, workers and callers: the real control protocol without anything behind it.
 
 Hundreds share a process. A hollow router is the real
-:class:`~orchidpath.router.control_link.ControlLink` without an HTTP edge; hollow workers are
-announced through it as often as real ones; hollow callers ask for decisions and report how the
+:class:`~orchidpath.router.fleet_link.control_link.ControlLink` without an HTTP edge; hollow workers
+are announced through it as often as real ones; hollow callers ask for decisions and report how the
 attempts ended, open loop. Against real control processes that shows what control costs at sizes
 for which one machine has no room (docs/CAPACITY.md).
 """
@@ -15,7 +15,7 @@
 
 from orchidpath.common.clock import Clock, monotonic_seconds
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.router.control_link import ControlLink, FleetListener
+from orchidpath.router.fleet_link.control_link import ControlLink, FleetListener
 from orchidpath.wire.backend import ANNOUNCE_PERIOD_SECONDS, Announcement
 from orchidpath.wire.messages import (
     AttemptEffect,
@@ -24,10 +24,10 @@
     CounterReport,
     DecisionReply,
     DecisionRequest,
-    Denial,
     Hello,
-    Leg,
     ProcessRole,
+    Rejection,
+    StageCandidates,
 )
 from orchidpath.wire.records import FleetView, RouterRecord, Stage, WorkerRecord
 
@@ -326,7 +326,7 @@
             self.decisions.unanswered += 1
             return
         self.decisions.seconds.append(self._clock() - asked_at)
-        if reply.denial is not Denial.NONE:
+        if reply.rejection is not Rejection.NONE:
             self.decisions.denied += 1
             return
         self.decisions.chosen += 1
@@ -336,8 +336,10 @@
     def _make_request(self, request_id: str) -> DecisionRequest:
         candidates = self._size.candidates
         workers = self.workers[: self._announcing]
-        legs = tuple(
-            Leg(stage=stage, candidates=_sample(self._random, workers, stage, candidates))
+        per_stage = tuple(
+            StageCandidates(
+                stage=stage, candidates=_sample(self._random, workers, stage, candidates)
+            )
             for stage in (Stage.PREFILL, Stage.DECODE)
         )
         return DecisionRequest(
@@ -345,7 +347,7 @@
             request_id=request_id,
             attempt_id=f"{request_id}-1",
             service=SERVICE,
-            legs=legs,
+            per_stage=per_stage,
         )
 
 
--- a/src/orchidpath/tools/replay_table.py
+++ b/src/orchidpath/tools/replay_table.py
@@ -1,8 +1,8 @@
 """A leader's circuits replayed from a decision log under a policy given; pure.
 
-The rules are those of :class:`~orchidpath.circuit.table.CircuitTable`. What one router's log does
-not hold is taken as it was recorded: attempts in flight, waits of capacity circuits, and which
-candidates were eligible.
+The rules are those of :class:`~orchidpath.circuit.circuit_table.CircuitTable`. What one
+router's log does not hold is taken as it was recorded: attempts in flight, waits of capacity
+circuits, and which candidates were eligible.
 """
 
 import random
@@ -10,9 +10,9 @@
 
 import msgspec
 
+from orchidpath.circuit.circuit_table import CircuitTable, Decided
 from orchidpath.circuit.counters import CircuitCounters
-from orchidpath.circuit.selection import Candidate, LegCandidates
-from orchidpath.circuit.table import CircuitTable, Decided
+from orchidpath.circuit.selection import Candidate, StageCircuits
 from orchidpath.circuit.transitions import (
     CircuitTransition,
     apply_circuit_transition,
@@ -25,7 +25,7 @@
     CandidateState,
     DecisionReply,
     DecisionRequest,
-    Leg,
+    StageCandidates,
 )
 from orchidpath.wire.records import CircuitRecord, CircuitStatus
 
@@ -45,15 +45,17 @@
         super().__init__(policy)
         self.recorded: Mapping[str, CandidateState] = {}
 
-    def read_leg(self, leg: Leg, attempt_id: str, now: float) -> LegCandidates:
+    def read_stage_candidates(
+        self, stage_candidates: StageCandidates, attempt_id: str, now: float
+    ) -> StageCircuits:
         """Read the candidates of one leg; one without a recorded state was not eligible."""
-        read = super().read_leg(leg, attempt_id, now)
+        read = super().read_stage_candidates(stage_candidates, attempt_id, now)
         candidates = tuple(
             self._as_recorded(candidate)
             for candidate in read.candidates
             if candidate.worker_id in self.recorded
         )
-        return LegCandidates(leg.stage, candidates)
+        return StageCircuits(stage_candidates.stage, candidates)
 
     def _as_recorded(self, candidate: Candidate) -> Candidate:
         state = self.recorded[candidate.worker_id]
@@ -130,7 +132,7 @@
             request_id=line.request_id,
             attempt_id=line.attempt_id,
             service=line.service,
-            legs=line.legs,
+            per_stage=line.per_stage,
         )
         while True:
             decided = self.decide(request, line.at_seconds)
--- a/src/orchidpath/wire/backend.py
+++ b/src/orchidpath/wire/backend.py
@@ -43,7 +43,7 @@
     UPSTREAM_FAILED = "upstream_failed"
     UPSTREAM_REFUSED = "upstream_refused"
     STREAM_BROKEN = "stream_broken"
-    HANDLE_LAPSED = "handle_lapsed"
+    HANDLE_EXPIRED = "handle_lapsed"
     HANDLE_MISMATCH = "handle_mismatch"
     WRONG_MODEL = "wrong_model"
     WRONG_STAGE = "wrong_stage"
@@ -187,13 +187,13 @@
 
 
 class AnnouncementReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Taken for forwarding; ``announce_to`` are HTTP addresses that also take announcements."""
+    """Accepted for forwarding; ``announce_to`` are HTTP addresses that also take announcements."""
 
     accepted: bool
     announce_to: tuple[str, ...] = ()
 
 
-class OrderKind(StrEnum):
+class WorkerCommandKind(StrEnum):
     """What an order asks of a worker."""
 
     SET_STAGE = "set_stage"
@@ -201,18 +201,18 @@
     RESUME = "resume"
 
 
-class WorkerOrder(msgspec.Struct, frozen=True, kw_only=True):
+class WorkerCommand(msgspec.Struct, frozen=True, kw_only=True):
     """A fenced order: a worker refuses one whose ``(term, sequence)`` isn't above its highest."""
 
     term: int
     sequence: int
     worker_id: str
     incarnation: str
-    kind: OrderKind
+    kind: WorkerCommandKind
     stage: Stage | None = None
 
 
-class WorkerOrderReply(msgspec.Struct, frozen=True, kw_only=True):
+class WorkerCommandReply(msgspec.Struct, frozen=True, kw_only=True):
     """Whether the order was obeyed, and the highest fence that the worker has seen."""
 
     accepted: bool
--- a/src/orchidpath/wire/connection.py
+++ b/src/orchidpath/wire/connection.py
@@ -20,8 +20,8 @@
     HelloError,
     SlowPeerError,
 )
-from orchidpath.wire.faults import Fate, LinkFaults
 from orchidpath.wire.framing import FrameDecoder, FrameError, encode_frame
+from orchidpath.wire.link_faults import Fate, LinkFaults
 from orchidpath.wire.messages import Hello, Message
 
 MAX_OUTGOING_BYTES = 64 * 1024 * 1024
@@ -184,7 +184,7 @@
         if self._remote is None:
             self._take_hello(message)
             return
-        if self._faults is not None and self._is_cut(self._remote):
+        if self._faults is not None and self._is_partitioned(self._remote):
             return
         if not isinstance(message, Hello):
             self._on_message(self, message)
@@ -205,7 +205,7 @@
         self._remote = message
         self._on_connect(self)
 
-    def _is_cut(self, remote: Hello) -> bool:
+    def _is_partitioned(self, remote: Hello) -> bool:
         if self._faults is None:
             return False
         return self._faults.is_cut(remote.node_id, self._hello.node_id)
@@ -214,8 +214,8 @@
         # A TCP connection can't be made over a link that is cut in either direction.
         if self._faults is None:
             return False
-        sends_are_cut = self._faults.is_cut(self._hello.node_id, remote.node_id)
-        return sends_are_cut or self._is_cut(remote)
+        is_partitioned = self._faults.is_cut(self._hello.node_id, remote.node_id)
+        return is_partitioned or self._is_partitioned(remote)
 
     def _hello_missing(self) -> None:
         self.abort(HelloError(f"no Hello within {HELLO_TIMEOUT_SECONDS} s"))
@@ -302,13 +302,13 @@
     loop = asyncio.get_running_loop()
     connected = asyncio.Event()
 
-    def note_connected(connection: Connection) -> None:
+    def record_connected(connection: Connection) -> None:
         connection.dialled_address = address
         connected.set()
         on_connect(connection)
 
     def make_connection() -> Connection:
-        return Connection(hello, note_connected, on_message, on_close, faults=faults)
+        return Connection(hello, record_connected, on_message, on_close, faults=faults)
 
     connection: Connection | None = None
     try:
--- a/src/orchidpath/wire/messages.py
+++ b/src/orchidpath/wire/messages.py
@@ -1,7 +1,7 @@
 """Messages between the fleet's own processes: typed, tagged and msgpack encoded.
 
 Every message says in its docstring who sends it and what a lost, late or duplicated one does.
-Consensus messages live in :mod:`orchidpath.consensus.messages`; control processes carry them
+Consensus messages live in :mod:`orchidpath.consensus.raft_messages`; control processes carry them
 inside :class:`ConsensusMessage` so that this package does not depend on that one.
 """
 
@@ -150,7 +150,7 @@
     update: FleetUpdate | None = None
 
 
-class Leg(msgspec.Struct, frozen=True, kw_only=True):
+class StageCandidates(msgspec.Struct, frozen=True, kw_only=True):
     """One stage of a decision: candidates in preference order (best first)."""
 
     stage: Stage
@@ -180,7 +180,7 @@
     request_id: str
     attempt_id: str
     service: str
-    legs: tuple[Leg, ...]
+    per_stage: tuple[StageCandidates, ...] = msgspec.field(name="legs")
     prompt: PromptShape | None = None
     is_read: bool = False
     may_wait: bool = False
@@ -194,7 +194,7 @@
     probe_generation: int | None = None
 
 
-class Denial(StrEnum):
+class Rejection(StrEnum):
     """Why no worker may be tried."""
 
     NONE = "none"
@@ -226,7 +226,7 @@
     correlation: int
     term: int
     choices: tuple[Choice, ...] = ()
-    denial: Denial = Denial.NONE
+    rejection: Rejection = msgspec.field(default=Rejection.NONE, name="denial")
     retry_after_seconds: float = 0.0
     states: tuple[CandidateState, ...] = ()
     expected_read_seconds: float = 0.0
@@ -253,7 +253,7 @@
     probe_generation: int | None = None
 
 
-PROMPT_READ_SUFFIX = "#read"
+PREFILL_DONE_SUFFIX = "#read"
 """An attempt id with this suffix, reported as neutral, says that the attempt's prompt was read.
 
 How the attempt ended is reported later, once its KV cache was taken up.
@@ -334,18 +334,18 @@
     announcements: tuple[Announcement, ...]
 
 
-class OrderAnswer(StrEnum):
+class UpdateStatus(StrEnum):
     """What became of an operator's order."""
 
     CONFIRMED = "confirmed"
-    TAKEN_NOT_CONFIRMED = "taken_not_confirmed"
+    ACCEPTED_NOT_CONFIRMED = "taken_not_confirmed"
     CONFLICT = "conflict"
     ORDER_ID_REUSED = "order_id_reused"
-    NOT_TAKEN = "not_taken"
+    REJECTED = "not_taken"
     UNKNOWN = "unknown"
 
 
-class OrderRequest(msgspec.Struct, frozen=True, kw_only=True, tag="order_request"):
+class ConfigurationUpdateRequest(msgspec.Struct, frozen=True, kw_only=True, tag="order_request"):
     """An operator's order, forwarded to the leader by the control process that took it.
 
     Lost: the forwarding process answers ``unknown``. Duplicated: the order id decides.
@@ -359,11 +359,11 @@
     document: bytes = b""
 
 
-class OrderReply(msgspec.Struct, frozen=True, kw_only=True, tag="order_reply"):
+class ConfigurationUpdateReply(msgspec.Struct, frozen=True, kw_only=True, tag="order_reply"):
     """The outcome of a forwarded order. Late: nobody waits any more; the order id remembers."""
 
     correlation: int
-    answer: OrderAnswer
+    answer: UpdateStatus
     version: int = 0
     reason: str = ""
 
@@ -377,18 +377,18 @@
     CANCEL = "cancel"
 
 
-class PlanOrderAnswer(StrEnum):
+class PlanActionStatus(StrEnum):
     """What became of an operator's order about a plan."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
     REFUSED = "refused"
     ORDER_ID_REUSED = "order_id_reused"
-    NOT_TAKEN = "not_taken"
+    REJECTED = "not_taken"
     UNKNOWN = "unknown"
 
 
-class PlanOrderRequest(msgspec.Struct, frozen=True, kw_only=True, tag="plan_order_request"):
+class PlanActionRequest(msgspec.Struct, frozen=True, kw_only=True, tag="plan_order_request"):
     """An order about a plan, forwarded to the leader by the control process that took it.
 
     Lost: the forwarding process answers ``unknown``. Duplicated: the order id decides.
@@ -400,11 +400,11 @@
     plan_id: str
 
 
-class PlanOrderReply(msgspec.Struct, frozen=True, kw_only=True, tag="plan_order_reply"):
+class PlanActionReply(msgspec.Struct, frozen=True, kw_only=True, tag="plan_order_reply"):
     """The outcome of a forwarded order about a plan. Late: nobody waits; the id remembers."""
 
     correlation: int
-    answer: PlanOrderAnswer
+    answer: PlanActionStatus
     reason: str = ""
 
 
@@ -431,7 +431,7 @@
 
 
 class WorkerCircuitsReply(msgspec.Struct, frozen=True, kw_only=True, tag="worker_circuits_reply"):
-    """The encoded views (:class:`orchidpath.circuit.table.WorkerCircuitView`)."""
+    """The encoded views (:class:`orchidpath.circuit.circuit_table.WorkerCircuitView`)."""
 
     correlation: int
     available: bool
@@ -466,15 +466,15 @@
     | CapacityObserved
     | CircuitsView
     | ForwardedAnnouncements
-    | OrderRequest
-    | OrderReply
+    | ConfigurationUpdateRequest
+    | ConfigurationUpdateReply
     | ReadIndexRequest
     | ReadIndexReply
     | WorkerCircuitsRequest
     | WorkerCircuitsReply
     | JoinRequest
-    | PlanOrderRequest
-    | PlanOrderReply
+    | PlanActionRequest
+    | PlanActionReply
 )
 """Any message on a connection between two processes of the fleet."""
 
--- a/src/orchidpath/wire/peer_links.py
+++ b/src/orchidpath/wire/peer_links.py
@@ -14,7 +14,7 @@
     connect,
 )
 from orchidpath.wire.errors import ConnectionClosedError
-from orchidpath.wire.faults import LinkFaults
+from orchidpath.wire.link_faults import LinkFaults
 from orchidpath.wire.messages import Hello, Message
 
 CONNECT_TIMEOUT_SECONDS = 1.0
--- a/src/orchidpath/wire/records.py
+++ b/src/orchidpath/wire/records.py
@@ -31,7 +31,7 @@
     """One worker as agreed by the control tier.
 
     ``incarnation`` is new for every start of the worker's process. ``url`` is the worker's HTTP
-    base address by IP number. ``held`` is set by the control tier while a plan changes the
+    base address by IP number. ``cordoned`` is set by the control tier while a plan changes the
     worker's part; a held worker gets no new request.
     """
 
@@ -44,7 +44,7 @@
     zone: str = ""
     failure_domain: str = ""
     status: WorkerStatus = WorkerStatus.READY
-    held: bool = False
+    cordoned: bool = msgspec.field(default=False, name="held")
 
 
 class RouterRecord(msgspec.Struct, frozen=True, kw_only=True):
--- a/tests/adapter/platform_world.py
+++ b/tests/adapter/platform_world.py
@@ -17,14 +17,14 @@
 import msgspec
 from aiohttp import web
 
+from command_format import PlatformCommandFormat
 from configuration_format import Policies
 from control_calls import PlatformCalls
 from node_settings import NodeSettings, control_settings, router_settings
-from orchidpath.control.access import LocalControlAccess
+from orchidpath.control.api.local_access import LocalControlAccess
 from orchidpath.control.process import ControlProcess
 from orchidpath.router.process import RouterProcess
-from request_dialect import PlatformDialect
-from worker_orders import PlatformOrderFormat
+from request_mapping import PlatformProtocolMapping
 
 WAIT_SECONDS = 30.0
 """Bound on every wait; none of them is a verdict by itself."""
@@ -309,10 +309,12 @@
                 ControlProcess(
                     control_settings(node),
                     add_routes=_add_calls,
-                    order_format=PlatformOrderFormat(node.node_name),
+                    command_format=PlatformCommandFormat(node.node_name),
                 )
             )
-            self.routers.append(RouterProcess(router_settings(node), dialect=PlatformDialect()))
+            self.routers.append(
+                RouterProcess(router_settings(node), protocol_mapping=PlatformProtocolMapping())
+            )
         for control in self.controls:
             await control.start()
         for router in self.routers:
--- a/tests/adapter/test_platform_boundary.py
+++ b/tests/adapter/test_platform_boundary.py
@@ -6,8 +6,8 @@
 import msgspec
 import pytest
 
-from orchidpath.router.forward_dialect import HeaderNames
-from request_dialect import HEADER_NAMES
+from orchidpath.router.proxy.protocol_mapping import HeaderNames
+from request_mapping import HEADER_NAMES
 
 ROOT = Path(__file__).parents[2]
 SOURCES = sorted((ROOT / "src").rglob("*.py"))
@@ -44,7 +44,7 @@
 
 def test_there_are_sources_and_adapter_modules_to_compare() -> None:
     assert len(SOURCES) > 100
-    assert {"request_dialect", "control_calls", "node_settings"} <= ADAPTER_MODULES
+    assert {"request_mapping", "control_calls", "node_settings"} <= ADAPTER_MODULES
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda path: str(path.relative_to(ROOT)))
--- a/tests/adapter/test_platform_formats.py
+++ b/tests/adapter/test_platform_formats.py
@@ -6,6 +6,7 @@
 import pytest
 from platform_world import PlatformWorld, document
 
+from command_format import PlatformCommandFormat
 from configuration_format import InvalidDocumentError, Policies, StagePolicy, read_document
 from node_settings import (
     SETTINGS_VARIABLE,
@@ -18,12 +19,11 @@
 )
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.common.settings_file import load_settings
-from orchidpath.router.forward_dialect import Order, UnreadableRequestError, WorkerLoad
-from orchidpath.wire.backend import OrderKind, WorkerOrder
+from orchidpath.router.proxy.protocol_mapping import Order, UnreadableRequestError, WorkerLoad
+from orchidpath.wire.backend import WorkerCommand, WorkerCommandKind
 from orchidpath.wire.configuration import Repetition, ServiceKind
 from orchidpath.wire.records import Stage
-from request_dialect import PlatformDialect
-from worker_orders import PlatformOrderFormat
+from request_mapping import PlatformProtocolMapping
 
 ROOT = Path(__file__).parents[2]
 
@@ -145,20 +145,20 @@
 
 
 def test_a_request_is_read() -> None:
-    facts = PlatformDialect().read_request(REQUEST)
-    assert facts.request_id == "q1"
-    assert facts.deadline_seconds == 8.0
-    assert facts.prompt.shared_tokens == 1210
-    assert facts.prompt.own_tokens == 250
+    request_metadata = PlatformProtocolMapping().read_request(REQUEST)
+    assert request_metadata.request_id == "q1"
+    assert request_metadata.deadline_seconds == 8.0
+    assert request_metadata.prompt.shared_tokens == 1210
+    assert request_metadata.prompt.own_tokens == 250
     other = [*REQUEST[:4], (b"x-prefix-hash", b"5c1e07a2:800,91bd3f06:410,0a0a0a0a:9")]
-    assert PlatformDialect().read_request(other).prefix_key == facts.prefix_key
+    assert PlatformProtocolMapping().read_request(other).prefix_key == request_metadata.prefix_key
     with pytest.raises(UnreadableRequestError):
-        PlatformDialect().read_request([(b"host", b"h")])
+        PlatformProtocolMapping().read_request([(b"host", b"h")])
 
 
 def test_an_order_bears_what_the_router_sets_and_nothing_else_of_it() -> None:
     order = Order(worker_id="i-1", deadline_seconds=2.5, priority=1, cache_source="10.0.0.1:80/h")
-    headers = PlatformDialect().order_headers(REQUEST, order)
+    headers = PlatformProtocolMapping().order_headers(REQUEST, order)
     values = dict(headers)
     assert values[b"x-target-instance"] == b"i-1"
     assert values[b"x-deadline-ms"] == b"2500"
@@ -169,29 +169,33 @@
 
 
 def test_an_answer_is_read() -> None:
-    dialect = PlatformDialect()
-    facts = dialect.read_answer(503, [(b"x-not-executed", b"1"), (b"x-server-load", b"6,2,6")])
-    assert facts.promises_not_run
-    assert facts.load == WorkerLoad(6, 2, 6)
-    assert facts.load.is_full
-    assert not facts.is_signed
-    assert dialect.read_answer(421, []).promises_not_run
-    assert not dialect.read_answer(503, [(b"x-server-load", b"many")]).promises_not_run
-    assert dialect.read_answer(200, [(b"content-encoding", b"gzip")]).is_encoded
-    read = dialect.read_prompt_read(b'{"kv_handle":"h","tokens":1,"version":4}')
+    protocol_mapping = PlatformProtocolMapping()
+    request_metadata = protocol_mapping.read_answer(
+        503, [(b"x-not-executed", b"1"), (b"x-server-load", b"6,2,6")]
+    )
+    assert request_metadata.guarantees_not_executed
+    assert request_metadata.load == WorkerLoad(6, 2, 6)
+    assert request_metadata.load.is_full
+    assert not request_metadata.is_signed
+    assert protocol_mapping.read_answer(421, []).guarantees_not_executed
+    assert not protocol_mapping.read_answer(
+        503, [(b"x-server-load", b"many")]
+    ).guarantees_not_executed
+    assert protocol_mapping.read_answer(200, [(b"content-encoding", b"gzip")]).is_encoded
+    read = protocol_mapping.read_prompt_read(b'{"kv_handle":"h","tokens":1,"version":4}')
     assert read is not None
     assert (read.handle, read.version) == ("h", 4)
-    assert dialect.read_prompt_read(b"{}") is None
+    assert protocol_mapping.read_prompt_read(b"{}") is None
 
 
 def test_orders_to_workers_bear_one_holder_and_its_fence() -> None:
-    form = PlatformOrderFormat("front-z-1")
-    order = WorkerOrder(
+    form = PlatformCommandFormat("front-z-1")
+    order = WorkerCommand(
         term=41,
         sequence=3,
         worker_id="i-1",
         incarnation="i-1",
-        kind=OrderKind.SET_STAGE,
+        kind=WorkerCommandKind.SET_STAGE,
         stage=Stage.PREFILL,
     )
     body = json.loads(form.body(order))
--- a/tests/circuit/circuit_builders.py
+++ b/tests/circuit/circuit_builders.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Sequence
 
-from orchidpath.circuit.table import CircuitTable, Decided, NeedsTransition
+from orchidpath.circuit.circuit_table import CircuitTable, Decided, NeedsTransition
 from orchidpath.circuit.transitions import (
     CircuitTransition,
     apply_capacity_transition,
@@ -16,7 +16,7 @@
     CapacityObserved,
     DecisionReply,
     DecisionRequest,
-    Leg,
+    StageCandidates,
 )
 from orchidpath.wire.records import CapacityRecord, CircuitRecord, Stage, WorkerRecord
 
@@ -36,17 +36,19 @@
     )
 
 
-def leg(candidates: Sequence[str], tried: Sequence[str] = (), stage: Stage = Stage.PLAIN) -> Leg:
-    return Leg(stage=stage, candidates=tuple(candidates), tried=tuple(tried))
+def stage_candidates(
+    candidates: Sequence[str], tried: Sequence[str] = (), stage: Stage = Stage.PLAIN
+) -> StageCandidates:
+    return StageCandidates(stage=stage, candidates=tuple(candidates), tried=tuple(tried))
 
 
-def request(attempt_id: str, *legs: Leg, request_id: str = "") -> DecisionRequest:
+def request(attempt_id: str, *per_stage: StageCandidates, request_id: str = "") -> DecisionRequest:
     return DecisionRequest(
         correlation=1,
         request_id=request_id or f"request-of-{attempt_id}",
         attempt_id=attempt_id,
         service="service",
-        legs=legs,
+        per_stage=per_stage,
     )
 
 
@@ -93,7 +95,7 @@
         raise AssertionError("no decision after four transitions")
 
     def choose(self, attempt_id: str, candidates: Sequence[str], now: float) -> str:
-        choices = self.decide(request(attempt_id, leg(candidates)), now).choices
+        choices = self.decide(request(attempt_id, stage_candidates(candidates)), now).choices
         return choices[0].worker_id if choices else ""
 
     def report(self, ended: AttemptReport, now: float) -> int:
@@ -108,7 +110,7 @@
         """Run one whole attempt on one worker; return the number of transitions it caused."""
         self.attempts += 1
         attempt_id = f"attempt-{self.attempts}"
-        decision = request(attempt_id, leg([worker_id]), request_id=request_id)
+        decision = request(attempt_id, stage_candidates([worker_id]), request_id=request_id)
         choices = self.decide(decision, now).choices
         generation = choices[0].probe_generation if choices else None
         ended = report(
--- a/tests/circuit/test_circuit_breaker.py
+++ b/tests/circuit/test_circuit_breaker.py
@@ -116,10 +116,10 @@
 
 def test_a_late_failure_of_an_earlier_generation_is_not_counted_on_a_closed_circuit() -> None:
     circuit = circuit_in(CircuitStatus.AVAILABLE)
-    late = AttemptOutcome(attempt_id="a", effect=AttemptEffect.TRANSIENT, begun_generation=6)
+    late = AttemptOutcome(attempt_id="a", effect=AttemptEffect.TRANSIENT, started_generation=6)
     assert circuit.judge(late, 1, 0.0) is None
     misconfigured = AttemptOutcome(
-        attempt_id="a", effect=AttemptEffect.CONFIGURATION, begun_generation=6
+        attempt_id="a", effect=AttemptEffect.CONFIGURATION, started_generation=6
     )
     assert circuit.judge(misconfigured, 1, 0.0) is None
 
--- a/tests/circuit/test_circuit_classification.py
+++ b/tests/circuit/test_circuit_classification.py
@@ -35,10 +35,10 @@
         (Observed.CLIENT_CANCELLED, AttemptEffect.GATEWAY),
         (Observed.DEADLINE_BEFORE_SEND, AttemptEffect.GATEWAY),
         (Observed.GATEWAY_FAULT, AttemptEffect.GATEWAY),
-        (Observed.HANDLE_LAPSED, AttemptEffect.GATEWAY),
+        (Observed.HANDLE_EXPIRED, AttemptEffect.GATEWAY),
         # Design page: it must be decided which side a failed hand-over charges.
-        (Observed.HAND_OVER_CHARGED, AttemptEffect.TRANSIENT),
-        (Observed.HAND_OVER_UNDECIDED, AttemptEffect.GATEWAY),
+        (Observed.KV_TRANSFER_CHARGED, AttemptEffect.TRANSIENT),
+        (Observed.KV_TRANSFER_UNDECIDED, AttemptEffect.GATEWAY),
         (Observed.SUCCESS, AttemptEffect.SUCCESS),
     ],
 )
@@ -74,7 +74,7 @@
         (ErrorCode.WRONG_MODEL, AttemptEffect.CONFIGURATION),
         (ErrorCode.WRONG_STAGE, AttemptEffect.CONFIGURATION),
         (ErrorCode.BAD_REQUEST, AttemptEffect.REQUEST),
-        (ErrorCode.HANDLE_LAPSED, AttemptEffect.GATEWAY),
+        (ErrorCode.HANDLE_EXPIRED, AttemptEffect.GATEWAY),
         (ErrorCode.DRAINING, AttemptEffect.GATEWAY),
         (ErrorCode.INTERNAL, AttemptEffect.TRANSIENT),
         (None, AttemptEffect.TRANSIENT),
--- a/tests/circuit/test_circuit_counters.py
+++ b/tests/circuit/test_circuit_counters.py
@@ -3,8 +3,8 @@
 import pytest
 
 from orchidpath.circuit.expiring import ExpiringSet
-from orchidpath.circuit.health import NEUTRAL_HEALTH, HealthCounts, HealthWindow
 from orchidpath.circuit.in_flight import InFlightRegister, Registration
+from orchidpath.circuit.worker_health import NEUTRAL_HEALTH, HealthCounts, HealthWindow
 from orchidpath.wire.messages import AttemptEffect, Choice
 from orchidpath.wire.records import Stage
 
--- a/tests/circuit/test_circuit_fallback.py
+++ b/tests/circuit/test_circuit_fallback.py
@@ -3,7 +3,7 @@
 import random
 
 import msgspec
-from circuit_builders import POLICY, AgreedTable, leg, report, request, worker
+from circuit_builders import POLICY, AgreedTable, report, request, stage_candidates, worker
 
 from orchidpath.circuit.fallback import FallbackCircuits
 from orchidpath.wire.messages import (
@@ -11,7 +11,7 @@
     CapacityObserved,
     Choice,
     CircuitsView,
-    Denial,
+    Rejection,
 )
 from orchidpath.wire.records import CapacityRecord, CircuitRecord, CircuitStatus, Stage
 
@@ -25,7 +25,7 @@
 
 
 def choose(fallback: FallbackCircuits, attempt_id: str, names: str, now: float) -> str:
-    choices = fallback.decide(request(attempt_id, leg(list(names))), now).choices
+    choices = fallback.decide(request(attempt_id, stage_candidates(list(names))), now).choices
     return choices[0].worker_id if choices else ""
 
 
@@ -53,8 +53,8 @@
     fallback = fallback_of("a", "b")
     assert fallback.take_view(view_of(cooling(1), 1), 0.0)
     assert choose(fallback, "1", "ab", 19.0) == "b"
-    reply = fallback.decide(request("2", leg(["a"])), 1.0)
-    assert reply.denial is Denial.CIRCUITS_OPEN
+    reply = fallback.decide(request("2", stage_candidates(["a"])), 1.0)
+    assert reply.rejection is Rejection.CIRCUITS_OPEN
     assert reply.retry_after_seconds >= 19.0
 
 
@@ -90,16 +90,16 @@
         fallback = FallbackCircuits(POLICY, random.Random(seed))
         fallback.set_workers([worker("a"), worker("b")])
         fail(fallback, 0.0)
-        wait = fallback.decide(request("w", leg(["a"])), 0.0).retry_after_seconds
+        wait = fallback.decide(request("w", stage_candidates(["a"])), 0.0).retry_after_seconds
         assert POLICY.cooldown_seconds <= wait <= 2 * POLICY.cooldown_seconds
         ready.append(wait)
         assert choose(fallback, "probe", "ab", wait) == "a"
         assert choose(fallback, "next", "ab", wait) == "b"
         # Not even when its time has run out, for it may still be running.
-        lapsed = wait + POLICY.half_open_probe_seconds
-        assert choose(fallback, "lapsed", "ab", lapsed) == "b"
-        fallback.observe([report("probe", "a", AttemptEffect.SUCCESS)], lapsed)
-        assert choose(fallback, "closed", "ab", lapsed) == "a"
+        expired = wait + POLICY.half_open_probe_seconds
+        assert choose(fallback, "lapsed", "ab", expired) == "b"
+        fallback.observe([report("probe", "a", AttemptEffect.SUCCESS)], expired)
+        assert choose(fallback, "closed", "ab", expired) == "a"
     assert len(set(ready)) == 5
 
 
@@ -115,11 +115,11 @@
     fallback = fallback_of("a")
     fail(fallback, 0.0)
     for _ in range(2):
-        reply = fallback.decide(request("probe", leg(["a"])), 20.0)
+        reply = fallback.decide(request("probe", stage_candidates(["a"])), 20.0)
         assert reply.choices == (Choice(stage=Stage.PLAIN, worker_id="a"),)
     leader = AgreedTable([worker("a")])
     leader.open("a", 0.0)
-    leader.decide(request("owner", leg(["a"])), 20.0)
+    leader.decide(request("owner", stage_candidates(["a"])), 20.0)
     assert leader.report(report("probe", "a", AttemptEffect.SUCCESS), 21.0) == 0
     assert leader.status("a", 21.0) == "half_open"
 
@@ -139,8 +139,11 @@
     fallback = fallback_of("a", "b", "c", "d")
     both = (cooling(1), msgspec.structs.replace(cooling(1), worker_id="c"))
     fallback.take_view(CircuitsView(term=1, sequence=1, circuits=both, capacities=()), 0.0)
-    legs = (leg(["a", "b"], stage=Stage.PREFILL), leg(["c", "d"], stage=Stage.DECODE))
-    choices = fallback.decide(request("1", *legs), 60.0).choices
+    per_stage = (
+        stage_candidates(["a", "b"], stage=Stage.PREFILL),
+        stage_candidates(["c", "d"], stage=Stage.DECODE),
+    )
+    choices = fallback.decide(request("1", *per_stage), 60.0).choices
     assert [choice.worker_id for choice in choices] == ["a", "d"]
 
 
@@ -149,7 +152,10 @@
     capacity = CapacityRecord(failure_domain="d", generation=1, duration_seconds=5.0)
     view = CircuitsView(term=1, sequence=1, circuits=(), capacities=(capacity,))
     fallback.take_view(view, 0.0)
-    assert fallback.decide(request("1", leg(["a"])), 4.0).denial is Denial.SHARED_CAPACITY
+    assert (
+        fallback.decide(request("1", stage_candidates(["a"])), 4.0).rejection
+        is Rejection.SHARED_CAPACITY
+    )
     observed = CapacityObserved(failure_domain="d", retry_after_seconds=6.0)
     fallback.observe_capacity(observed, 4.0)
     assert choose(fallback, "2", "a", 9.9) == ""
--- a/tests/circuit/test_circuit_properties.py
+++ b/tests/circuit/test_circuit_properties.py
@@ -4,14 +4,14 @@
 from collections.abc import Sequence
 
 import msgspec
-from circuit_builders import POLICY, AgreedTable, leg, request, worker
+from circuit_builders import POLICY, AgreedTable, request, stage_candidates, worker
 from circuit_builders import report as report_of
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from orchidpath.circuit.selection import Candidate, LegCandidates, select
-from orchidpath.circuit.table import Decided, NeedsTransition
+from orchidpath.circuit.circuit_table import Decided, NeedsTransition
+from orchidpath.circuit.selection import Candidate, StageCircuits, select
 from orchidpath.circuit.worker_circuit import Admission
 from orchidpath.wire.messages import AttemptEffect, AttemptReport, DecisionRequest
 from orchidpath.wire.records import CircuitRecord, CircuitStatus, Stage
@@ -31,9 +31,9 @@
         self.request_id = request_id
         self.attempt_id = attempt_id
         self.worker_id = worker_id
-        self.begun_at = at
+        self.started_at = at
         self.probe_generation: int | None = None
-        self.begun_generation = 0
+        self.started_generation = 0
 
     def ends(self, effect: AttemptEffect) -> AttemptReport:
         return report_of(
@@ -68,7 +68,7 @@
         self.number += not same_request
         self.attempts += 1
         attempt_id = f"attempt-{self.attempts}"
-        self.ask(request(attempt_id, leg(order), request_id=f"request-{self.number}"))
+        self.ask(request(attempt_id, stage_candidates(order), request_id=f"request-{self.number}"))
 
     @rule(order=ORDERS)
     def race(self, order: Sequence[str]) -> None:
@@ -76,7 +76,9 @@
         self.number += 1
         self.attempts += 2
         decisions = [
-            request(f"attempt-{number}", leg(order), request_id=f"request-{self.number}")
+            request(
+                f"attempt-{number}", stage_candidates(order), request_id=f"request-{self.number}"
+            )
             for number in (self.attempts - 1, self.attempts)
         ]
         answers = [self.agreed.table.decide(decision, self.now) for decision in decisions]
@@ -90,11 +92,13 @@
     def lose_grant(self, order: Sequence[str]) -> None:
         """A probe is granted and its owner is never heard of."""
         self.attempts += 1
-        answer = self.agreed.table.decide(request(f"attempt-{self.attempts}", leg(order)), self.now)
+        answer = self.agreed.table.decide(
+            request(f"attempt-{self.attempts}", stage_candidates(order)), self.now
+        )
         if isinstance(answer, NeedsTransition):
             self.commit(answer)
         else:
-            self.start(request(f"attempt-{self.attempts}", leg(order)), answer)
+            self.start(request(f"attempt-{self.attempts}", stage_candidates(order)), answer)
 
     def ask(self, decision: DecisionRequest) -> None:
         answer = self.agreed.table.decide(decision, self.now)
@@ -129,7 +133,7 @@
     def begin(self, attempt: Attempt) -> None:
         record = self.agreed.circuits.get(attempt.worker_id)
         is_closed = record is None or record.status is CircuitStatus.AVAILABLE
-        attempt.begun_generation = record.generation if record is not None else 0
+        attempt.started_generation = record.generation if record is not None else 0
         if not is_closed:
             assert record is not None
             assert record.status is CircuitStatus.HALF_OPEN
@@ -163,10 +167,10 @@
         self.ended.append(attempt.ends(effect))
         before = self.agreed.circuits.get(attempt.worker_id)
         is_counted = self.count(self.ended[-1], repeated=False)
-        is_remembered = attempt.begun_at + POLICY.in_flight_ttl_seconds > self.now
+        is_remembered = attempt.started_at + POLICY.in_flight_ttl_seconds > self.now
         if is_counted and is_remembered:
             # A failure begun on an earlier generation is late.
-            assert attempt.begun_generation == (before.generation if before is not None else 0)
+            assert attempt.started_generation == (before.generation if before is not None else 0)
 
     @precondition(lambda self: self.ended)
     @rule(data=st.data())
@@ -217,7 +221,7 @@
         alive = [
             attempt.worker_id
             for attempt in self.running
-            if attempt.begun_at + POLICY.in_flight_ttl_seconds > self.now
+            if attempt.started_at + POLICY.in_flight_ttl_seconds > self.now
         ]
         for name in WORKERS:
             assert self.agreed.in_flight(name, self.now) == alive.count(name)
@@ -254,7 +258,7 @@
         )
         for position, load in enumerate(loads)
     )
-    selection = select([LegCandidates(Stage.PLAIN, candidates)], factor)
+    selection = select([StageCircuits(Stage.PLAIN, candidates)], factor)
     chosen = int(selection.choices[0].candidate.worker_id)
     average = sum(loads) / len(loads)
     bound = max(average * factor, average + 1.0)
--- a/tests/circuit/test_circuit_table.py
+++ b/tests/circuit/test_circuit_table_decisions.py
@@ -2,15 +2,15 @@
 
 import msgspec
 import pytest
-from circuit_builders import POLICY, AgreedTable, leg, report, request, worker
+from circuit_builders import POLICY, AgreedTable, report, request, stage_candidates, worker
 
-from orchidpath.circuit.table import Decided, NeedsTransition
+from orchidpath.circuit.circuit_table import Decided, NeedsTransition
 from orchidpath.wire.messages import (
     AttemptEffect,
     CapacityObserved,
     CounterReport,
-    Denial,
     InFlightMark,
+    Rejection,
     WorkerTally,
 )
 from orchidpath.wire.records import CircuitStatus, Stage, WorkerStatus
@@ -32,7 +32,7 @@
     # Design page: "Each eligible worker is tried once before any reuse".
     table = table_of("a", "b", "c")
     for tried, expected in [(["a"], "b"), (["a", "b"], "c"), (["a", "b", "c"], "a")]:
-        attempt = request(f"after-{len(tried)}", leg(["a", "b", "c"], tried))
+        attempt = request(f"after-{len(tried)}", stage_candidates(["a", "b", "c"], tried))
         assert table.decide(attempt, 0.0).choices[0].worker_id == expected
 
 
@@ -40,7 +40,7 @@
     table = table_of("a", "b")
     for number in range(5):
         table.choose(f"busy-{number}", ["b"], 0.0)
-    attempt = request("retry", leg(["a", "b"], ["a"]))
+    attempt = request("retry", stage_candidates(["a", "b"], ["a"]))
     assert table.decide(attempt, 0.0).choices[0].worker_id == "b"
 
 
@@ -55,7 +55,7 @@
     table.open("a", 0.0)
     assert table.status("a", 0.0) == "cooldown"
     assert table.choose("early", ["a", "b"], 9.9) == "b"
-    reply = table.decide(request("probe", leg(["a", "b"])), 10.0)
+    reply = table.decide(request("probe", stage_candidates(["a", "b"])), 10.0)
     assert reply.choices[0].worker_id == "a"
     assert reply.choices[0].probe_generation == 2
     # Paper: "concurrent requests use other candidates".
@@ -66,7 +66,7 @@
 def test_a_probe_needs_an_agreed_grant_before_anything_is_registered() -> None:
     table = table_of("a")
     table.open("a", 0.0)
-    answer = table.table.decide(request("probe", leg(["a"])), 10.0)
+    answer = table.table.decide(request("probe", stage_candidates(["a"])), 10.0)
     assert isinstance(answer, NeedsTransition)
     assert answer.transition.status is CircuitStatus.HALF_OPEN
     assert answer.transition.probe_owner == "probe"
@@ -76,8 +76,8 @@
 def test_of_two_racing_probe_grants_one_wins() -> None:
     table = table_of("a", "b")
     table.open("a", 0.0)
-    first = table.table.decide(request("first", leg(["a", "b"])), 10.0)
-    second = table.table.decide(request("second", leg(["a", "b"])), 10.0)
+    first = table.table.decide(request("first", stage_candidates(["a", "b"])), 10.0)
+    second = table.table.decide(request("second", stage_candidates(["a", "b"])), 10.0)
     assert isinstance(first, NeedsTransition)
     assert isinstance(second, NeedsTransition)
     table.commit(first.transition, 10.0)
@@ -100,9 +100,9 @@
     # Design page: "one request owns the probe for at most halfOpenProbeSeconds 30".
     table = table_of("a")
     table.open("a", 0.0)
-    first = table.decide(request("first", leg(["a"])), 10.0).choices[0]
+    first = table.decide(request("first", stage_candidates(["a"])), 10.0).choices[0]
     assert table.choose("early", ["a"], 39.9) == ""
-    second = table.decide(request("second", leg(["a"])), 40.0).choices[0]
+    second = table.decide(request("second", stage_candidates(["a"])), 40.0).choices[0]
     assert first.probe_generation is not None
     assert second.probe_generation == first.probe_generation + 1
     late = report("first", "a", TRANSIENT, probe_generation=first.probe_generation)
@@ -116,7 +116,7 @@
     # Not the next in preference order.
     assert table.choose("1", ["a", "b", "c"], 10.0) == "a"
     # The next one, but no untried closed worker would remain: the closed one is used again.
-    no_retry = request("2", leg(["b", "a"], ["a"]))
+    no_retry = request("2", stage_candidates(["b", "a"], ["a"]))
     assert table.decide(no_retry, 10.0).choices[0].worker_id == "a"
     # The next one, and a closed worker remains.
     assert table.choose("3", ["b", "a"], 10.0) == "b"
@@ -126,20 +126,26 @@
     table = table_of("a", "b", "c", "d")
     table.open("a", 0.0)
     table.open("c", 0.0)
-    legs = (leg(["a", "b"], stage=Stage.PREFILL), leg(["c", "d"], stage=Stage.DECODE))
-    choices = table.decide(request("pair", *legs), 10.0).choices
+    per_stage = (
+        stage_candidates(["a", "b"], stage=Stage.PREFILL),
+        stage_candidates(["c", "d"], stage=Stage.DECODE),
+    )
+    choices = table.decide(request("pair", *per_stage), 10.0).choices
     assert [choice.worker_id for choice in choices] == ["a", "d"]
 
 
 def test_a_granted_probe_that_cannot_be_used_is_given_back() -> None:
     table = table_of("a", "b")
     table.open("a", 0.0)
-    legs = (leg(["a"], stage=Stage.PREFILL), leg(["b"], stage=Stage.DECODE))
-    grant = table.table.decide(request("pair", *legs), 10.0)
+    per_stage = (
+        stage_candidates(["a"], stage=Stage.PREFILL),
+        stage_candidates(["b"], stage=Stage.DECODE),
+    )
+    grant = table.table.decide(request("pair", *per_stage), 10.0)
     assert isinstance(grant, NeedsTransition)
     table.commit(grant.transition, 10.0)
     table.open("b", 10.0)
-    assert table.decide(request("pair", *legs), 10.0).denial is Denial.CIRCUITS_OPEN
+    assert table.decide(request("pair", *per_stage), 10.0).rejection is Rejection.CIRCUITS_OPEN
     assert table.choose("next", ["a"], 10.0) == "a"
 
 
@@ -147,16 +153,19 @@
     table = table_of("a")
     table.open("a", 0.0)
     assert table.attempt("a", AttemptEffect.REQUEST, 10.0) == 1
-    reply = table.decide(request("next", leg(["a"])), 10.0)
+    reply = table.decide(request("next", stage_candidates(["a"])), 10.0)
     assert reply.choices[0].probe_generation is not None
 
 
 def test_all_legs_are_registered_or_none() -> None:
     table = table_of("a", "b")
     table.open("b", 0.0)
-    legs = (leg(["a"], stage=Stage.PREFILL), leg(["b"], stage=Stage.DECODE))
-    reply = table.decide(request("1", *legs), 4.0)
-    assert (reply.denial, reply.retry_after_seconds) == (Denial.CIRCUITS_OPEN, 6.0)
+    per_stage = (
+        stage_candidates(["a"], stage=Stage.PREFILL),
+        stage_candidates(["b"], stage=Stage.DECODE),
+    )
+    reply = table.decide(request("1", *per_stage), 4.0)
+    assert (reply.rejection, reply.retry_after_seconds) == (Rejection.CIRCUITS_OPEN, 6.0)
     assert reply.choices == ()
     assert table.in_flight("a", 4.0) == 0
 
@@ -166,8 +175,8 @@
     table = table_of("a", "b")
     table.open("a", 0.0)
     table.open("b", 3.0)
-    reply = table.decide(request("1", leg(["b", "a"])), 4.0)
-    assert (reply.denial, reply.retry_after_seconds) == (Denial.CIRCUITS_OPEN, 6.0)
+    reply = table.decide(request("1", stage_candidates(["b", "a"])), 4.0)
+    assert (reply.rejection, reply.retry_after_seconds) == (Rejection.CIRCUITS_OPEN, 6.0)
     waits = {state.worker_id: state.retry_after_seconds for state in reply.states}
     assert waits == {"a": 6.0, "b": 9.0}
     assert table.choose("2", ["b", "a"], 10.0) == "a"
@@ -178,8 +187,8 @@
     table = AgreedTable([worker("a", domain="d"), worker("b", domain="d"), worker("c")])
     assert table.throttle("d", 5.0, 0.0)
     assert table.choose("1", ["a", "b", "c"], 1.0) == "c"
-    reply = table.decide(request("2", leg(["a", "b"])), 1.0)
-    assert (reply.denial, reply.retry_after_seconds) == (Denial.SHARED_CAPACITY, 4.0)
+    reply = table.decide(request("2", stage_candidates(["a", "b"])), 1.0)
+    assert (reply.rejection, reply.retry_after_seconds) == (Rejection.SHARED_CAPACITY, 4.0)
     assert table.status("a", 1.0) == CircuitStatus.RATE_LIMITED.value
     assert table.health("a", 1.0) == 0.5
     assert table.choose("3", ["a", "b"], 5.0) == "a"
@@ -190,7 +199,7 @@
     assert table.throttle("d", 5.0, 0.0)
     assert not table.throttle("d", 300.0, 4.9)
     assert table.throttle("d", 1000.0, 5.0)
-    reply = table.decide(request("1", leg(["a"])), 5.0)
+    reply = table.decide(request("1", stage_candidates(["a"])), 5.0)
     assert reply.retry_after_seconds == POLICY.max_cooldown_seconds
 
 
@@ -246,13 +255,13 @@
 
 def test_in_flight_marks_are_idempotent_freed_by_reports_and_by_time() -> None:
     table = table_of("a", "b")
-    first = table.decide(request("1", leg(["a", "b"])), 0.0)
-    assert table.decide(request("1", leg(["b", "a"])), 1.0).choices == first.choices
+    first = table.decide(request("1", stage_candidates(["a", "b"])), 0.0)
+    assert table.decide(request("1", stage_candidates(["b", "a"])), 1.0).choices == first.choices
     assert (table.in_flight("a", 1.0), table.in_flight("b", 1.0)) == (1, 0)
     table.report(report("1", "a", SUCCESS), 2.0)
     assert table.in_flight("a", 2.0) == 0
     # A duplicate that arrives after the end registers nothing.
-    assert table.decide(request("1", leg(["a"])), 3.0).choices == ()
+    assert table.decide(request("1", stage_candidates(["a"])), 3.0).choices == ()
     assert table.in_flight("a", 3.0) == 0
     table.choose("2", ["a"], 3.0)
     assert table.in_flight("a", 3.0 + POLICY.in_flight_ttl_seconds) == 0
@@ -261,10 +270,13 @@
 def test_workers_that_left_drain_or_are_held_are_not_chosen() -> None:
     table = table_of("a", "b", "c", "d")
     draining = msgspec.structs.replace(worker("b"), status=WorkerStatus.DRAINING)
-    held = msgspec.structs.replace(worker("c"), held=True)
-    table.table.set_workers([draining, held, worker("d")])
+    cordoned = msgspec.structs.replace(worker("c"), cordoned=True)
+    table.table.set_workers([draining, cordoned, worker("d")])
     assert table.choose("1", ["a", "b", "c", "d"], 0.0) == "d"
-    assert table.decide(request("2", leg(["a", "b", "c"])), 0.0).denial is Denial.EXHAUSTED
+    assert (
+        table.decide(request("2", stage_candidates(["a", "b", "c"])), 0.0).rejection
+        is Rejection.EXHAUSTED
+    )
 
 
 def test_a_new_process_starts_afresh_and_is_charged_with_nothing_of_the_old() -> None:
@@ -323,7 +335,7 @@
 def test_agreed_circuits_survive_a_fail_over_with_their_probe_owner() -> None:
     before = table_of("a")
     before.open("a", 0.0)
-    granted = before.decide(request("owner", leg(["a"])), 10.0).choices[0]
+    granted = before.decide(request("owner", stage_candidates(["a"])), 10.0).choices[0]
     after = table_of("a")
     after.circuits = dict(before.circuits)
     for record in after.circuits.values():
@@ -357,9 +369,9 @@
 
 
 def test_a_decision_without_candidates_is_exhausted() -> None:
-    answer = table_of("a").table.decide(request("1", leg([])), 0.0)
+    answer = table_of("a").table.decide(request("1", stage_candidates([])), 0.0)
     assert isinstance(answer, Decided)
-    assert answer.reply.denial is Denial.EXHAUSTED
+    assert answer.reply.rejection is Rejection.EXHAUSTED
 
 
 def test_a_capacity_observation_is_only_a_proposal() -> None:
--- a/tests/circuit/test_circuit_throttle.py
+++ b/tests/circuit/test_circuit_throttle.py
@@ -116,7 +116,7 @@
 
 def test_an_agreed_throttle_of_another_router_is_not_derived_again() -> None:
     detector = detector_of("a", "b")
-    detector.note_open("d", 5.0, 0.0)
+    detector.record_open("d", 5.0, 0.0)
     assert refuse(detector, "ababab", 4.9) == []
     assert len(refuse(detector, "aba", 5.0)) == 1
 
--- a/tests/cli/test_cli_plan.py
+++ b/tests/cli/test_cli_plan.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner, Result
 
 from orchidpath.cli.main import orchidpath
-from orchidpath.control.plan_bodies import PlanBody
+from orchidpath.control.api.plan_bodies import PlanBody
 from orchidpath.placement.planner import make_preview
 from orchidpath.state.plans import PlanProgress, PlanRecord, PlanStatus, StepProgress
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
@@ -89,7 +89,7 @@
     assert f"plan {body.preview.plan.plan_id}" in result.output
     assert f"1. {step.worker_id} of chat: prefill -> decode" in result.output
     assert "chat: prefill 3 -> 2, decode 1 -> 2" in result.output
-    assert "1 held back at once" in result.output
+    assert "1 cordoned at once" in result.output
     assert "halted (by an operator)" in result.output
     as_json = await run(control, "show", "--json")
     assert msgspec.json.decode(as_json.output.encode(), type=PlanBody) == body
--- a/tests/cli/test_cli_replay.py
+++ b/tests/cli/test_cli_replay.py
@@ -16,7 +16,7 @@
     encode_line,
 )
 from orchidpath.wire.configuration import CircuitPolicy
-from orchidpath.wire.messages import AttemptEffect, CandidateState, Choice, Leg
+from orchidpath.wire.messages import AttemptEffect, CandidateState, Choice, StageCandidates
 from orchidpath.wire.records import Stage
 
 POLICY = PolicyLine(
@@ -43,7 +43,7 @@
         attempt_id=f"a{number}",
         service="stock",
         configuration_version=1,
-        legs=(Leg(stage=Stage.PLAIN, candidates=("s1", "s2")),),
+        per_stage=(StageCandidates(stage=Stage.PLAIN, candidates=("s1", "s2")),),
         decided_by=DecidedBy.LEADER,
         states=states,
         choices=(Choice(stage=Stage.PLAIN, worker_id="s1"),),
--- a/tests/compatibility/binary_corpus.py
+++ b/tests/compatibility/binary_corpus.py
@@ -15,13 +15,13 @@
 
 import msgspec
 
-from orchidpath.circuit.decisions import WorkerCircuitView
+from orchidpath.circuit.decision_outcomes import WorkerCircuitView
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.consensus.log import decode_membership, encode_membership
-from orchidpath.consensus.messages import RaftMessage
-from orchidpath.consensus.records import Record, encode_record, read_records
+from orchidpath.consensus.log_records import Record, encode_record, read_records
+from orchidpath.consensus.raft_messages import RaftMessage
 from orchidpath.consensus.types import LogEntry, Membership
-from orchidpath.control.codec import decode_consensus, encode_consensus
+from orchidpath.control.replica.consensus_codec import decode_consensus, encode_consensus
 from orchidpath.routing.decision_log import LogLine, decode_line, encode_line
 from orchidpath.state.commands import Command, decode_command, encode_command
 from orchidpath.state.snapshot import SnapshotBody, decode_snapshot, encode_snapshot
@@ -36,12 +36,12 @@
     ErrorEnvelope,
     PrefillReply,
     PrefillRequest,
-    WorkerOrder,
-    WorkerOrderReply,
+    WorkerCommand,
+    WorkerCommandReply,
 )
 from orchidpath.wire.configuration import Configuration
-from orchidpath.wire.faults import LinkFaultFile
 from orchidpath.wire.framing import FrameDecoder, encode_frame
+from orchidpath.wire.link_faults import LinkFaultFile
 from orchidpath.wire.messages import (
     AttemptReport,
     ConsensusMessage,
@@ -102,8 +102,8 @@
     "cancel_reply": CancelReply,
     "announcement": Announcement,
     "announcement_reply": AnnouncementReply,
-    "worker_order": WorkerOrder,
-    "worker_order_reply": WorkerOrderReply,
+    "worker_order": WorkerCommand,
+    "worker_order_reply": WorkerCommandReply,
     "configuration": Configuration,
     "link_fault_file": LinkFaultFile,
 }
--- a/tests/compatibility/data_folder_history.py
+++ b/tests/compatibility/data_folder_history.py
@@ -9,14 +9,14 @@
 from binary_corpus import FOLDER, plain
 
 from orchidpath.circuit.transitions import CapacityTransition, CircuitTransition
-from orchidpath.consensus.core import RaftCore
 from orchidpath.consensus.files import RealFiles
 from orchidpath.consensus.log import encode_membership
-from orchidpath.consensus.records import (
+from orchidpath.consensus.log_records import (
     EntriesRecord,
     HeaderRecord,
     encode_record,
 )
+from orchidpath.consensus.raft_core import RaftCore
 from orchidpath.consensus.storage import IDENTITY_NAME, LOCK_NAME, LOG_NAME, FileLogStorage
 from orchidpath.consensus.types import (
     EntryKind,
@@ -26,15 +26,15 @@
     RaftSettings,
     Snapshot,
 )
-from orchidpath.control.core import ControlCore
-from orchidpath.control.member_manager import MemberPolicy
+from orchidpath.control.leadership.member_manager import MemberPolicy
+from orchidpath.control.replica.control_replica import ControlCore
 from orchidpath.state.commands import (
     CancelPlan,
     CapacityChanged,
     CircuitChanged,
     Command,
+    CordonWorker,
     HaltPlan,
-    HoldWorker,
     LeaderStarted,
     RegisterControlMember,
     RegisterRouter,
@@ -43,11 +43,11 @@
     StartPlan,
     SubmitConfiguration,
     WorkerChanged,
-    WorkerGone,
+    WorkerRemoved,
     configuration_digest,
     encode_command,
 )
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.plans import Plan, PlanStep, ServiceBounds, basis_digest
 from orchidpath.wire.configuration import Configuration, Route, Service, ServiceKind
 from orchidpath.wire.records import (
@@ -132,7 +132,7 @@
         WorkerChanged(record=worker("prefill-2", Stage.PREFILL), sequence=1),
         WorkerChanged(record=worker("decode-1", Stage.DECODE), sequence=4),
         WorkerChanged(record=worker("decode-2", Stage.DECODE), sequence=2),
-        WorkerGone(worker_id="decode-2", incarnation="life-1", sequence=9),
+        WorkerRemoved(worker_id="decode-2", incarnation="life-1", sequence=9),
         CircuitChanged(
             transition=CircuitTransition(
                 worker_id="prefill-1",
@@ -167,7 +167,7 @@
         bounds=(
             ServiceBounds(
                 service="chat",
-                max_held=1,
+                max_cordoned=1,
                 minimum_prefill=0,
                 minimum_decode=1,
                 drain_seconds=30.0,
@@ -192,7 +192,7 @@
     return [
         orders()[1],
         orders()[2],
-        HoldWorker(worker_id="decode-1", held=True),
+        CordonWorker(worker_id="decode-1", cordoned=True),
         CapacityChanged(
             transition=CapacityTransition(
                 failure_domain="rack-1", expected_generation=0, duration_seconds=1e9
@@ -232,7 +232,8 @@
 
     def write_replaced_entry(self) -> None:
         """Write an entry that a later leader replaces by a no-op."""
-        dropped = self._next_entry(encode_command(HoldWorker(worker_id="prefill-1", held=True)))
+        command = CordonWorker(worker_id="prefill-1", cordoned=True)
+        dropped = self._next_entry(encode_command(command))
         self._storage.persist_entries(None, [dropped])
         noop = LogEntry(dropped.index, TERM, EntryKind.NOOP, NODE_ID.encode())
         self._storage.persist_entries(dropped.index, [noop])
@@ -245,7 +246,7 @@
 
     def torn_record(self) -> bytes:
         """Return the beginning of a record that a crash cut short."""
-        entry = self._next_entry(encode_command(HoldWorker(worker_id="prefill-1", held=True)))
+        entry = self._next_entry(encode_command(CordonWorker(worker_id="prefill-1", cordoned=True)))
         return encode_record(EntriesRecord(None, [entry]))[:-TORN_BYTES]
 
     def _next_entry(self, payload: bytes) -> LogEntry:
@@ -316,9 +317,9 @@
         "capacities": plain(state.capacities()),
         "control_members": plain(state.control_members()),
         "plan": plain(state.plan),
-        "orders": {order.order_id: plain(state.find_order(order.order_id)) for order in orders()},
+        "orders": {order.order_id: plain(state.find_update(order.order_id)) for order in orders()},
         "plan_orders": {
-            order_id: plain(state.find_plan_order(order_id))
+            order_id: plain(state.find_plan_action(order_id))
             for order_id in ("early", "start", "halt", "resume", "cancel", "unknown")
         },
     }
--- a/tests/compatibility/http_answers.py
+++ b/tests/compatibility/http_answers.py
@@ -5,16 +5,16 @@
 from aiohttp import ClientResponse
 from aiohttp.test_utils import TestClient, TestServer
 
-from orchidpath.circuit.table import WorkerCircuitView
+from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.consensus.types import Role
-from orchidpath.control.operator_api import ControlAccess, UnavailableError, create_operator_app
-from orchidpath.control.operator_bodies import StatusBody, SubmitResult, SubmitStatus, Taken
-from orchidpath.control.plan_api import PlanAccess, add_plan_routes
-from orchidpath.control.plan_bodies import PlanOrderResult
+from orchidpath.control.api.operator_api import ControlAccess, UnavailableError, create_operator_app
+from orchidpath.control.api.operator_bodies import Accepted, StatusBody, SubmitResult, SubmitStatus
+from orchidpath.control.api.plan_api import PlanAccess, add_plan_routes
+from orchidpath.control.api.plan_bodies import PlanActionResult
 from orchidpath.state.commands import SubmitConfiguration
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.backend import Announcement, AnnouncementReply
-from orchidpath.wire.messages import PlanAction, PlanOrderAnswer
+from orchidpath.wire.messages import PlanAction, PlanActionStatus
 
 KEPT_HEADERS = ("Content-Type", "Retry-After", "Allow")
 TEXT = "any text"
@@ -44,12 +44,14 @@
     def __init__(self) -> None:
         self.available = True
         self.submitted = SubmitResult(status=SubmitStatus.CONFIRMED, version=3)
-        self.planned = PlanOrderResult(answer=PlanOrderAnswer.ACCEPTED)
+        self.planned = PlanActionResult(answer=PlanActionStatus.ACCEPTED)
 
     async def submit(self, order: SubmitConfiguration) -> SubmitResult:
         return self.submitted
 
-    async def order_plan(self, order_id: str, action: PlanAction, plan_id: str) -> PlanOrderResult:
+    async def request_plan_action(
+        self, order_id: str, action: PlanAction, plan_id: str
+    ) -> PlanActionResult:
         return self.planned
 
     async def read_state(self) -> FleetState:
@@ -69,21 +71,21 @@
 
 SUBMIT_RESULTS = {
     "confirmed": SubmitResult(status=SubmitStatus.CONFIRMED, version=3),
-    "taken, not confirmed": SubmitResult(status=SubmitStatus.TAKEN_NOT_CONFIRMED, version=3),
+    "taken, not confirmed": SubmitResult(status=SubmitStatus.ACCEPTED_NOT_CONFIRMED, version=3),
     "conflict": SubmitResult(status=SubmitStatus.CONFLICT, current_version=5),
     "order id reused": SubmitResult(status=SubmitStatus.ORDER_ID_REUSED, current_version=5),
     "unavailable, not taken": SubmitResult(
-        status=SubmitStatus.UNAVAILABLE, taken=Taken.NO, retry_after_seconds=2.5
+        status=SubmitStatus.UNAVAILABLE, taken=Accepted.NO, retry_after_seconds=2.5
     ),
     "unavailable, perhaps taken": SubmitResult(status=SubmitStatus.UNAVAILABLE),
 }
 PLAN_RESULTS = {
-    "accepted": PlanOrderResult(answer=PlanOrderAnswer.ACCEPTED),
-    "stale": PlanOrderResult(answer=PlanOrderAnswer.STALE),
-    "order id reused": PlanOrderResult(answer=PlanOrderAnswer.ORDER_ID_REUSED),
-    "refused": PlanOrderResult(answer=PlanOrderAnswer.REFUSED, reason="why"),
-    "not taken": PlanOrderResult(answer=PlanOrderAnswer.NOT_TAKEN, reason="why"),
-    "unknown": PlanOrderResult(answer=PlanOrderAnswer.UNKNOWN, reason="why"),
+    "accepted": PlanActionResult(answer=PlanActionStatus.ACCEPTED),
+    "stale": PlanActionResult(answer=PlanActionStatus.STALE),
+    "order id reused": PlanActionResult(answer=PlanActionStatus.ORDER_ID_REUSED),
+    "refused": PlanActionResult(answer=PlanActionStatus.REFUSED, reason="why"),
+    "not taken": PlanActionResult(answer=PlanActionStatus.REJECTED, reason="why"),
+    "unknown": PlanActionResult(answer=PlanActionStatus.UNKNOWN, reason="why"),
 }
 REQUESTS = (
     ("GET", "/v1/configuration", b""),
--- a/tests/compatibility/http_labels.py
+++ b/tests/compatibility/http_labels.py
@@ -8,11 +8,12 @@
 
 import msgspec
 
+import command_format
 import configuration_format
 import control_calls
 import node_settings
-import request_dialect
-import worker_orders
+import request_mapping
+from command_format import CommandBody as PlatformCommandBody
 from configuration_format import (
     Document,
     DocumentChange,
@@ -42,8 +43,9 @@
 from orchidpath.consensus.types import (
     Role,
 )
-from orchidpath.control import operator_bodies, plan_bodies
-from orchidpath.control.operator_bodies import (
+from orchidpath.control.api import operator_bodies, plan_bodies
+from orchidpath.control.api.operator_bodies import (
+    Accepted,
     ConfigurationBody,
     HealthBody,
     HistoryBody,
@@ -51,7 +53,6 @@
     OperatorError,
     OperatorErrorBody,
     OperatorErrorCode,
-    OrderBody,
     OrderOutcomeName,
     RouterBody,
     RoutersBody,
@@ -60,16 +61,32 @@
     SubmitReplyBody,
     SubmitResult,
     SubmitStatus,
-    Taken,
+    UpdateBody,
     WorkerBody,
     WorkersBody,
 )
-from orchidpath.control.plan_bodies import (
+from orchidpath.control.api.plan_bodies import (
+    PlanActionBody,
+    PlanActionResult,
     PlanBody,
     PlanErrorBody,
-    PlanOrderBody,
     PlanOrderReplyBody,
-    PlanOrderResult,
+)
+from orchidpath.emulators.backend import injected_faults
+from orchidpath.emulators.backend.injected_faults import (
+    Fault,
+    FaultKind,
+    FaultReply,
+)
+from orchidpath.emulators.client import traffic_mix
+from orchidpath.emulators.client.traffic_mix import (
+    CrowdBurst,
+    RatePoint,
+    Swing,
+    TokenDistribution,
+    TrafficKind,
+    TrafficMix,
+    TrafficStream,
 )
 from orchidpath.fleet import file
 from orchidpath.fleet.file import (
@@ -86,8 +103,8 @@
     ServicePreview,
     StepPreview,
 )
-from orchidpath.router import chat_api, health
-from orchidpath.router.chat_api import (
+from orchidpath.router.chat import chat_api
+from orchidpath.router.chat.chat_api import (
     AssistantMessage,
     ChatChunk,
     ChatCompletion,
@@ -102,26 +119,11 @@
     TraceEntry,
     Usage,
 )
-from orchidpath.router.health import (
+from orchidpath.router.observability import readiness
+from orchidpath.router.observability.readiness import (
     Liveness,
     Readiness,
 )
-from orchidpath.standins import faults as standin_faults
-from orchidpath.standins import traffic_mix
-from orchidpath.standins.faults import (
-    Fault,
-    FaultKind,
-    FaultReply,
-)
-from orchidpath.standins.traffic_mix import (
-    CrowdBurst,
-    RatePoint,
-    Swing,
-    TokenDistribution,
-    TrafficKind,
-    TrafficMix,
-    TrafficStream,
-)
 from orchidpath.state.plans import (
     Plan,
     PlanProgress,
@@ -138,8 +140,7 @@
 from orchidpath.state.snapshot import (
     ConfigurationEntry,
 )
-from orchidpath.wire import backend, configuration
-from orchidpath.wire import faults as link_faults
+from orchidpath.wire import backend, configuration, link_faults
 from orchidpath.wire.backend import (
     Announcement,
     AnnouncementReply,
@@ -153,12 +154,12 @@
     ErrorCode,
     ErrorEnvelope,
     FrameKind,
-    OrderKind,
     PrefillReply,
     PrefillRequest,
     Ran,
-    WorkerOrder,
-    WorkerOrderReply,
+    WorkerCommand,
+    WorkerCommandKind,
+    WorkerCommandReply,
 )
 from orchidpath.wire.configuration import (
     AdmissionPolicy,
@@ -175,7 +176,7 @@
     ServiceKind,
     WeightedService,
 )
-from orchidpath.wire.faults import (
+from orchidpath.wire.link_faults import (
     Fate,
     LinkFault,
     LinkFaultFile,
@@ -193,10 +194,9 @@
     WorkerRecord,
     WorkerStatus,
 )
-from request_dialect import (
+from request_mapping import (
     PromptReadBody,
 )
-from worker_orders import OrderBody as PlatformOrderBody
 
 MESSAGES: dict[str, type[msgspec.Struct]] = {
     "operators: error": OperatorError,
@@ -218,7 +218,7 @@
     "configuration: edge limits": EdgeLimits,
     "operators: history": HistoryBody,
     "operators: configuration entry": ConfigurationEntry,
-    "operators: order": OrderBody,
+    "operators: order": UpdateBody,
     "operators: status": StatusBody,
     "operators: worker": WorkerBody,
     "fleet: worker record": WorkerRecord,
@@ -240,7 +240,7 @@
     "plans: plan record": PlanRecord,
     "plans: plan progress": PlanProgress,
     "plans: step progress": StepProgress,
-    "plans: plan order": PlanOrderBody,
+    "plans: plan order": PlanActionBody,
     "plans: plan order reply": PlanOrderReplyBody,
     "plans: plan error": PlanErrorBody,
     "back end: error": ErrorBody,
@@ -255,8 +255,8 @@
     "back end: cancel reply": CancelReply,
     "back end: announcement": Announcement,
     "back end: announcement reply": AnnouncementReply,
-    "back end: worker order": WorkerOrder,
-    "back end: worker order reply": WorkerOrderReply,
+    "back end: worker order": WorkerCommand,
+    "back end: worker order reply": WorkerCommandReply,
     "chat: content part": ContentPart,
     "chat: chat message": ChatMessage,
     "chat: chat completion request": ChatCompletionRequest,
@@ -304,12 +304,12 @@
     "platform: instance model": InstanceModel,
     "platform: instance": InstanceBody,
     "platform: prompt read": PromptReadBody,
-    "platform: order": PlatformOrderBody,
+    "platform: order": PlatformCommandBody,
 }
 """Every message and document in JSON, with what they are made of."""
 
 ENUMERATIONS: dict[str, type[Enum]] = {
-    "operators: taken": Taken,
+    "operators: taken": Accepted,
     "operators: error code": OperatorErrorCode,
     "configuration: service kind": ServiceKind,
     "configuration: repetition": Repetition,
@@ -325,7 +325,7 @@
     "back end: ran": Ran,
     "back end: error code": ErrorCode,
     "back end: frame kind": FrameKind,
-    "back end: order kind": OrderKind,
+    "back end: order kind": WorkerCommandKind,
     "orders: attempt effect": AttemptEffect,
     "fleet file: scripted fault kind": ScriptedFaultKind,
     "stand-in: fault kind": FaultKind,
@@ -338,24 +338,24 @@
     plan_bodies,
     backend,
     chat_api,
-    health,
+    readiness,
     settings,
     file,
-    standin_faults,
+    injected_faults,
     traffic_mix,
     configuration,
     link_faults,
     configuration_format,
     node_settings,
     control_calls,
-    request_dialect,
-    worker_orders,
+    request_mapping,
+    command_format,
 )
 """Modules whose every message type must have a label."""
 
 NOT_WRITTEN: dict[type, str] = {
     SubmitResult: "result of a call inside the process; the answers pin what it becomes",
-    PlanOrderResult: "result of a call inside the process; the answers pin what it becomes",
+    PlanActionResult: "result of a call inside the process; the answers pin what it becomes",
     SubmitStatus: "part of such a result",
     Verdict: "result of a function inside the process",
     Fate: "part of a result inside the process",
--- a/tests/compatibility/http_names.py
+++ b/tests/compatibility/http_names.py
@@ -4,34 +4,34 @@
 
 import msgspec
 
+from command_format import PlatformCommandFormat
 from control_calls import RETRY_SECONDS
-from orchidpath.router.http_errors import REQUEST_ID_HEADER, STATUS_BY_CODE
-from orchidpath.standins.http_exchange import DEFAULT_ERROR_STATUS
-from orchidpath.standins.http_exchange import STATUS_BY_CODE as BACKEND_STATUS_BY_CODE
+from orchidpath.emulators.backend.http_exchange import DEFAULT_ERROR_STATUS
+from orchidpath.emulators.backend.http_exchange import STATUS_BY_CODE as BACKEND_STATUS_BY_CODE
+from orchidpath.router.chat.http_errors import REQUEST_ID_HEADER, STATUS_BY_CODE
 from orchidpath.wire.backend import (
     ANNOUNCE_PERIOD_SECONDS,
     ATTEMPT_HEADER,
     WORKER_LEASE_SECONDS,
     ErrorCode,
-    OrderKind,
-    WorkerOrder,
+    WorkerCommand,
+    WorkerCommandKind,
 )
 from orchidpath.wire.records import Stage
-from request_dialect import HEADER_NAMES, PlatformDialect
-from worker_orders import PlatformOrderFormat
+from request_mapping import HEADER_NAMES, PlatformProtocolMapping
 
 
 def http_names() -> dict[str, Any]:
     """Return the names and numbers as the code has them now."""
-    order = WorkerOrder(
+    order = WorkerCommand(
         term=4,
         sequence=2,
         worker_id="w1",
         incarnation="i1",
-        kind=OrderKind.SET_STAGE,
+        kind=WorkerCommandKind.SET_STAGE,
         stage=Stage.DECODE,
     )
-    platform_orders = PlatformOrderFormat("node-1")
+    platform_orders = PlatformCommandFormat("node-1")
     return {
         "header of the attempt": ATTEMPT_HEADER,
         "header of the request": REQUEST_ID_HEADER,
@@ -44,8 +44,10 @@
             code.value: BACKEND_STATUS_BY_CODE.get(code, DEFAULT_ERROR_STATUS) for code in ErrorCode
         },
         "platform, headers": [name.decode() for name in msgspec.structs.astuple(HEADER_NAMES)],
-        "platform, ready path": PlatformDialect.ready_path,
-        "platform, target that frees a handle": PlatformDialect().release_target("h1").decode(),
+        "platform, ready path": PlatformProtocolMapping.ready_path,
+        "platform, target that frees a handle": PlatformProtocolMapping()
+        .release_target("h1")
+        .decode(),
         "platform, seconds of Retry-After": RETRY_SECONDS,
         "platform, order": {
             "path": platform_orders.path,
--- a/tests/compatibility/metrics_list.py
+++ b/tests/compatibility/metrics_list.py
@@ -11,8 +11,8 @@
 from orchidpath.common.metrics import METRICS_CONTENT_TYPE, Metrics
 from orchidpath.common.settings import ControlSettings
 from orchidpath.control.process import ControlProcess
-from orchidpath.router.forward_metrics import ForwardMetrics
-from orchidpath.router.metrics_page import RouterMetrics
+from orchidpath.router.observability.metrics_page import RouterMetrics
+from orchidpath.router.proxy.proxy_metrics import ForwardMetrics
 
 MAX_LABELS = 5
 
--- a/tests/compatibility/test_corpus_is_sensitive.py
+++ b/tests/compatibility/test_corpus_is_sensitive.py
@@ -10,9 +10,9 @@
 from binary_corpus import ARRAY_FIELDS, GROUPS, Case, case_difference, read_cases
 from corpus_checks import groups_named, uncovered_forms, uncovered_labels
 
-from orchidpath.consensus.messages import AppendEntries
+from orchidpath.consensus.raft_messages import AppendEntries
 from orchidpath.consensus.types import LogEntry
-from orchidpath.state.commands import LeaderStarted, WorkerGone
+from orchidpath.state.commands import LeaderStarted, WorkerRemoved
 from orchidpath.wire.messages import DecisionRequest, PromptShape
 
 
@@ -34,10 +34,13 @@
     """Return a copy of a struct in which some fields have another type."""
     fields: list[Any] = []
     for field in msgspec.structs.fields(struct):
-        default = [] if field.required else [msgspec.field(default=field.default)]
+        options: dict[str, Any] = {"name": field.encode_name}
+        if field.default is not msgspec.NODEFAULT:
+            options["default"] = field.default
         if field.default_factory is not msgspec.NODEFAULT:
-            default = [msgspec.field(default_factory=field.default_factory)]
-        fields.append((field.name, types.get(field.name, field.type), *default))
+            options["default_factory"] = field.default_factory
+        field_type = types.get(field.name, field.type)
+        fields.append((field.name, field_type, msgspec.field(**options)))
     return msgspec.defstruct(
         struct.__name__, fields, tag=struct.__struct_config__.tag, kw_only=True
     )
@@ -45,7 +48,7 @@
 
 def test_the_unchanged_types_agree() -> None:
     assert not difference(stored("log_commands", "leader_started/all set 0"), LeaderStarted)
-    assert not difference(stored("log_commands", "worker_gone/all set 0"), WorkerGone)
+    assert not difference(stored("log_commands", "worker_gone/all set 0"), WorkerRemoved)
     assert not difference(APPEND, altered_copy(AppendEntries))
     assert not difference(DECISION, altered_copy(DecisionRequest))
 
--- a/tests/compatibility/test_data_folder_corpus.py
+++ b/tests/compatibility/test_data_folder_corpus.py
@@ -19,11 +19,11 @@
 )
 
 from orchidpath.consensus.errors import DamagedLogError
-from orchidpath.consensus.records import read_records
+from orchidpath.consensus.log_records import read_records
 from orchidpath.consensus.storage import LOG_NAME, FileLogStorage
-from orchidpath.control.effects import OrderAnswered
-from orchidpath.control.orders import CONFIRM_WAIT_SECONDS
-from orchidpath.wire.messages import OrderAnswer
+from orchidpath.control.replica.control_effects import UpdateAnswered
+from orchidpath.control.replica.pending_updates import CONFIRM_WAIT_SECONDS
+from orchidpath.wire.messages import UpdateStatus
 
 DATA_FOLDER = FOLDER / "data_folder"
 LATER_FOLDER = FOLDER / "data_folder_later"
@@ -64,16 +64,16 @@
 ) -> None:
     core, now = start_core(storage)
     accepted, _, conflicting = orders()
-    answers: dict[int, OrderAnswered] = {}
+    answers: dict[int, UpdateAnswered] = {}
     effects = [*core.submit(1, accepted, now), *core.submit(2, conflicting, now)]
     for step in range(round(2 * CONFIRM_WAIT_SECONDS / TICK_SECONDS)):
         effects.extend(core.tick(now + step * TICK_SECONDS))
     for effect in effects:
-        if isinstance(effect, OrderAnswered):
+        if isinstance(effect, UpdateAnswered):
             answers[effect.key] = effect
     # The only router, which is the only witness, is silent, so nothing can be confirmed.
-    assert (answers[1].version, answers[1].answer) == (1, OrderAnswer.TAKEN_NOT_CONFIRMED)
-    assert (answers[2].version, answers[2].answer) == (2, OrderAnswer.CONFLICT)
+    assert (answers[1].version, answers[1].answer) == (1, UpdateStatus.ACCEPTED_NOT_CONFIRMED)
+    assert (answers[2].version, answers[2].answer) == (2, UpdateStatus.CONFLICT)
 
 
 def test_a_folder_of_a_later_version_is_refused(tmp_path: Path) -> None:
--- a/tests/compatibility/test_log_corpus.py
+++ b/tests/compatibility/test_log_corpus.py
@@ -6,7 +6,7 @@
 from corpus_checks import case_parameters, groups_named
 
 from orchidpath.consensus.errors import DamagedLogError
-from orchidpath.consensus.records import encode_record, read_records
+from orchidpath.consensus.log_records import encode_record, read_records
 from orchidpath.consensus.types import HardState
 from orchidpath.state.commands import CommandDecodeError, decode_command
 from orchidpath.state.snapshot import (
--- a/tests/compatibility/test_wire_corpus.py
+++ b/tests/compatibility/test_wire_corpus.py
@@ -20,15 +20,15 @@
     wire_modules,
 )
 
-import orchidpath.consensus.messages
-import orchidpath.consensus.records
+import orchidpath.consensus.log_records
+import orchidpath.consensus.raft_messages
 import orchidpath.state.commands
 import orchidpath.state.plans
 import orchidpath.state.snapshot
-from orchidpath.consensus.records import FoundRecord
+from orchidpath.consensus.log_records import FoundRecord
 from orchidpath.state.snapshot import SnapshotHeader
 from orchidpath.wire.compression import COMPRESSION_THRESHOLD_BYTES
-from orchidpath.wire.faults import Verdict
+from orchidpath.wire.link_faults import Verdict
 
 WIRE_GROUPS = groups_named("wire_")
 FRAME_HEADER_BYTES = 8
@@ -61,8 +61,8 @@
 def test_every_encoded_struct_belongs_to_a_group() -> None:
     modules = [
         *wire_modules(),
-        orchidpath.consensus.messages,
-        orchidpath.consensus.records,
+        orchidpath.consensus.raft_messages,
+        orchidpath.consensus.log_records,
         orchidpath.state.commands,
         orchidpath.state.plans,
         orchidpath.state.snapshot,
--- a/tests/consensus/test_consensus_cluster.py
+++ b/tests/consensus/test_consensus_cluster.py
@@ -3,7 +3,7 @@
 import pytest
 
 from orchidpath.consensus.types import Guard
-from orchidpath.simulation.raft_cluster import run_seed
+from orchidpath.simulation.raft.group import run_seed
 
 SEEDS = range(60)
 
--- a/tests/consensus/test_consensus_core.py
+++ b/tests/consensus/test_consensus_core.py
@@ -6,7 +6,6 @@
 import msgspec
 import pytest
 
-from orchidpath.consensus.core import RaftCore
 from orchidpath.consensus.effects import (
     Apply,
     Effect,
@@ -25,7 +24,8 @@
     ProtocolViolationError,
 )
 from orchidpath.consensus.log import ReplicaLog
-from orchidpath.consensus.messages import (
+from orchidpath.consensus.raft_core import RaftCore
+from orchidpath.consensus.raft_messages import (
     AppendEntries,
     AppendEntriesReply,
     InstallSnapshot,
--- a/tests/consensus/test_consensus_storage.py
+++ b/tests/consensus/test_consensus_storage.py
@@ -12,7 +12,7 @@
     StorageFullError,
 )
 from orchidpath.consensus.files import FileLayer, RealFiles, SimulatedFiles
-from orchidpath.consensus.records import EntriesRecord, encode_record
+from orchidpath.consensus.log_records import EntriesRecord, encode_record
 from orchidpath.consensus.storage import FileLogStorage
 from orchidpath.consensus.types import (
     EntryKind,
--- a/tests/consensus/test_storage_fuzz.py
+++ b/tests/consensus/test_storage_fuzz.py
@@ -10,7 +10,7 @@
 
 from orchidpath.consensus.errors import DamagedLogError, StorageError
 from orchidpath.consensus.files import SimulatedFiles
-from orchidpath.consensus.records import encode_record, read_records
+from orchidpath.consensus.log_records import encode_record, read_records
 from orchidpath.consensus.storage import FileLogStorage
 from orchidpath.consensus.types import (
     EntryKind,
--- a/tests/control/test_confirmation.py
+++ b/tests/control/test_confirmation.py
@@ -2,22 +2,22 @@
 
 from collections.abc import Set
 
-from orchidpath.control.confirmation import (
-    LAPSE_SECONDS,
+from orchidpath.control.leadership.confirmation import (
+    LEASE_EXPIRY_SECONDS,
     ConfirmationGuard,
     ConfirmationTracker,
-    Roster,
+    RouterMembership,
 )
 
 ROUTERS = frozenset({"a", "b", "c"})
 START = 100.0
-LATER = START + LAPSE_SECONDS
+LATER = START + LEASE_EXPIRY_SECONDS
 
 
 def tracker(
-    *rosters: Roster, guards: frozenset[ConfirmationGuard] = frozenset()
+    *router_memberships: RouterMembership, guards: frozenset[ConfirmationGuard] = frozenset()
 ) -> ConfirmationTracker:
-    first = rosters or (Roster(1, ROUTERS, ROUTERS),)
+    first = router_memberships or (RouterMembership(1, ROUTERS, ROUTERS),)
     return ConfirmationTracker(1, list(first), START, guards)
 
 
@@ -27,7 +27,9 @@
     routers: Set[str] = ROUTERS,
     witnesses: Set[str] = ROUTERS,
 ) -> None:
-    one.revision_committed(revision, Roster(revision, frozenset(routers), frozenset(witnesses)))
+    one.revision_committed(
+        revision, RouterMembership(revision, frozenset(routers), frozenset(witnesses))
+    )
 
 
 def test_all_routers_adopted_confirms_at_once() -> None:
@@ -53,8 +55,8 @@
     one.router_adopted("a", 2)
     one.router_adopted("b", 2)
     assert one.advance(LATER) == 1
-    assert one.advance(LATER + LAPSE_SECONDS - 0.01) == 1
-    assert one.advance(LATER + LAPSE_SECONDS) == 2
+    assert one.advance(LATER + LEASE_EXPIRY_SECONDS - 0.01) == 1
+    assert one.advance(LATER + LEASE_EXPIRY_SECONDS) == 2
 
 
 def test_without_a_witness_majority_no_wait_confirms() -> None:
@@ -64,12 +66,12 @@
     assert one.advance(LATER + 1000) == 1
     one.router_adopted("b", 2)
     one.advance(LATER + 1000)
-    assert one.advance(LATER + 1000 + LAPSE_SECONDS) == 2
+    assert one.advance(LATER + 1000 + LEASE_EXPIRY_SECONDS) == 2
 
 
 def test_every_witness_set_since_the_confirmed_revision_needs_a_majority() -> None:
     old = frozenset({"x", "y", "z"})
-    one = tracker(Roster(1, old | ROUTERS, old))
+    one = tracker(RouterMembership(1, old | ROUTERS, old))
     commit(one, 2)
     for router in ROUTERS:
         one.router_adopted(router, 2)
@@ -77,7 +79,7 @@
     one.router_adopted("x", 2)
     one.router_adopted("y", 2)
     one.advance(LATER + 1000)
-    assert one.advance(LATER + 1000 + LAPSE_SECONDS) == 2
+    assert one.advance(LATER + 1000 + LEASE_EXPIRY_SECONDS) == 2
 
 
 def test_a_removed_router_is_waited_for_once() -> None:
@@ -86,19 +88,19 @@
     one.router_adopted("a", 2)
     one.router_adopted("b", 2)
     assert one.advance(LATER) == 1
-    assert one.advance(LATER + LAPSE_SECONDS) == 2
+    assert one.advance(LATER + LEASE_EXPIRY_SECONDS) == 2
     commit(one, 3, routers={"a", "b"}, witnesses={"a", "b"})
     one.router_adopted("a", 3)
     one.router_adopted("b", 3)
-    assert one.advance(LATER + LAPSE_SECONDS) == 3
+    assert one.advance(LATER + LEASE_EXPIRY_SECONDS) == 3
 
 
 def test_guards_left_out_confirm_too_early() -> None:
     for guard in ConfirmationGuard:
         one = tracker(guards=frozenset({guard}))
         commit(one, 2)
-        if guard is ConfirmationGuard.WAIT_FOR_LAPSE:
+        if guard is ConfirmationGuard.WAIT_FOR_LEASE_EXPIRY:
             one.router_adopted("a", 2)
             one.router_adopted("b", 2)
         one.advance(LATER)
-        assert one.advance(LATER + LAPSE_SECONDS) == 2
+        assert one.advance(LATER + LEASE_EXPIRY_SECONDS) == 2
--- a/tests/control/test_control_process.py
+++ b/tests/control/test_control_process.py
@@ -10,7 +10,7 @@
 
 from orchidpath.common.settings import ControlSettings
 from orchidpath.consensus.files import SimulatedFiles
-from orchidpath.control.operator_bodies import SubmitResult, SubmitStatus
+from orchidpath.control.api.operator_bodies import SubmitResult, SubmitStatus
 from orchidpath.control.process import ControlProcess
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
 from orchidpath.wire.configuration import Configuration
--- a/tests/control/test_control_core.py
+++ b/tests/control/test_control_replica.py
@@ -3,11 +3,11 @@
 import random
 from collections.abc import Sequence
 
-from orchidpath.consensus.core import RaftCore
+from orchidpath.consensus.raft_core import RaftCore
 from orchidpath.consensus.types import Membership, RaftSettings, RestoredState
-from orchidpath.control.core import ControlCore
-from orchidpath.control.effects import OrderAnswered, SendToConnected, SendToNode
-from orchidpath.control.member_manager import MemberPolicy
+from orchidpath.control.leadership.member_manager import MemberPolicy
+from orchidpath.control.replica.control_effects import SendToConnected, SendToNode, UpdateAnswered
+from orchidpath.control.replica.control_replica import ControlCore
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
 from orchidpath.wire.configuration import Configuration
 from orchidpath.wire.messages import (
@@ -15,8 +15,8 @@
     ControlMembers,
     DecisionReply,
     DecisionRequest,
-    Denial,
-    OrderAnswer,
+    Rejection,
+    UpdateStatus,
 )
 from orchidpath.wire.records import ControlMember
 
@@ -49,8 +49,8 @@
     )
 
 
-def answers(effects: Sequence[object]) -> list[OrderAnswered]:
-    return [effect for effect in effects if isinstance(effect, OrderAnswered)]
+def answers(effects: Sequence[object]) -> list[UpdateAnswered]:
+    return [effect for effect in effects if isinstance(effect, UpdateAnswered)]
 
 
 def test_a_new_leader_tells_every_connected_process() -> None:
@@ -75,32 +75,32 @@
 def test_a_follower_takes_no_order_and_decides_nothing() -> None:
     one = core()
     answer = answers(one.submit(1, order("a", 0), 0.1))[0]
-    assert answer.answer is OrderAnswer.NOT_TAKEN
+    assert answer.answer is UpdateStatus.REJECTED
     request = DecisionRequest(
-        correlation=3, request_id="q", attempt_id="a", service="wine", legs=()
+        correlation=3, request_id="q", attempt_id="a", service="wine", per_stage=()
     )
     effects = one.receive("r", request, 0.1)
-    expected = DecisionReply(correlation=3, term=one.raft.term, denial=Denial.NOT_LEADER)
+    expected = DecisionReply(correlation=3, term=one.raft.term, rejection=Rejection.NOT_LEADER)
     assert SendToNode("r", expected) in effects
 
 
 def test_a_forming_fleet_takes_no_order_before_it_has_its_voters() -> None:
     one = led(formation_voters=3)
     answer = answers(one.submit(1, order("a", 0), NOW))[0]
-    assert answer.answer is OrderAnswer.NOT_TAKEN
+    assert answer.answer is UpdateStatus.REJECTED
 
 
 def test_racing_and_repeated_orders() -> None:
     one = led()
-    got: dict[int, OrderAnswered] = {}
+    got: dict[int, UpdateAnswered] = {}
     for key, each in enumerate([order("a", 0), order("b", 0), order("a", 0)]):
         got.update({answer.key: answer for answer in answers(one.submit(key, each, NOW))})
     for step in range(1, 80):
         ticked = one.tick(NOW + step * TICK)
         got.update({answer.key: answer for answer in answers(ticked)})
-    assert got[0].answer is OrderAnswer.CONFIRMED
+    assert got[0].answer is UpdateStatus.CONFIRMED
     assert got[0].version == 1
-    assert got[1].answer is OrderAnswer.CONFLICT
+    assert got[1].answer is UpdateStatus.CONFLICT
     assert got[1].version == 1
-    assert got[2].answer is OrderAnswer.CONFIRMED
+    assert got[2].answer is UpdateStatus.CONFIRMED
     assert got[2].version == 1
--- a/tests/control/test_leader_updates.py
+++ b/tests/control/test_leader_updates.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from orchidpath.control.effects import SendToNode
-from orchidpath.control.leader import MAX_KEPT_UPDATES, LeaderDuties
+from orchidpath.control.leadership.leader_duties import MAX_CACHED_UPDATES, LeaderDuties
+from orchidpath.control.replica.control_effects import SendToNode
 from orchidpath.state.commands import Command, RegisterRouter, encode_command
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.messages import FleetUpdate, FleetUpdateRequest
 from orchidpath.wire.records import RouterRecord
 
@@ -39,7 +39,7 @@
 def test_an_update_is_never_older_than_the_state() -> None:
     state = FleetState()
     duties = LeaderDuties(1, state, Random(1), 0.0)
-    for number in range(1, 4 * MAX_KEPT_UPDATES):
+    for number in range(1, 4 * MAX_CACHED_UPDATES):
         register(state, number)
         for adopted in range(number):
             update = asked(duties, "r1", adopted)
--- a/tests/control/test_liveness.py
+++ b/tests/control/test_liveness.py
@@ -1,6 +1,6 @@
 """The leader's view of who was heard."""
 
-from orchidpath.control.liveness import ROUTER_REMOVAL_SECONDS, LivenessTracker
+from orchidpath.control.leadership.liveness import ROUTER_REMOVAL_SECONDS, LivenessTracker
 from orchidpath.wire.backend import WORKER_LEASE_SECONDS
 
 
--- a/tests/control/test_member_manager.py
+++ b/tests/control/test_member_manager.py
@@ -3,7 +3,7 @@
 from collections.abc import Set
 
 from orchidpath.consensus.types import Membership
-from orchidpath.control.member_manager import (
+from orchidpath.control.leadership.member_manager import (
     LEARNER_REMOVAL_SECONDS,
     MemberManager,
     MemberPolicy,
--- a/tests/control/test_operator_api.py
+++ b/tests/control/test_operator_api.py
@@ -9,16 +9,16 @@
 import pytest
 from aiohttp.test_utils import TestClient, TestServer
 
-from orchidpath.circuit.table import WorkerCircuitView
+from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.consensus.types import Role
-from orchidpath.control import operator_api
-from orchidpath.control.operator_api import (
+from orchidpath.control.api import operator_api
+from orchidpath.control.api.operator_api import (
     MAX_BODY_BYTES,
     ControlAccess,
     UnavailableError,
     create_operator_app,
 )
-from orchidpath.control.operator_bodies import StatusBody, SubmitResult, SubmitStatus, Taken
+from orchidpath.control.api.operator_bodies import Accepted, StatusBody, SubmitResult, SubmitStatus
 from orchidpath.state.commands import (
     Command,
     RegisterControlMember,
@@ -27,8 +27,8 @@
     WorkerChanged,
     encode_command,
 )
-from orchidpath.state.machine import FleetState
-from orchidpath.state.outcomes import OrderAccepted, OrderConflict, OrderResult
+from orchidpath.state.fleet_state import FleetState
+from orchidpath.state.outcomes import UpdateAccepted, UpdateConflict, UpdateResult
 from orchidpath.wire.backend import Announcement, AnnouncementReply
 from orchidpath.wire.records import (
     CircuitStatus,
@@ -58,9 +58,9 @@
         self.announced: list[Announcement] = []
         self.views: tuple[WorkerCircuitView, ...] = ()
 
-    def apply(self, command: Command) -> OrderResult | None:
+    def apply(self, command: Command) -> UpdateResult | None:
         outcome = self.state.apply(self.state.applied_index + 1, encode_command(command)).outcome
-        return outcome if isinstance(outcome, OrderResult) else None
+        return outcome if isinstance(outcome, UpdateResult) else None
 
     async def submit(self, order: SubmitConfiguration) -> SubmitResult:
         self.proposed.append(order)
@@ -72,9 +72,9 @@
         applied = self.apply(order)
         assert applied is not None
         match applied.outcome:
-            case OrderAccepted(version=version):
+            case UpdateAccepted(version=version):
                 return SubmitResult(status=SubmitStatus.CONFIRMED, version=version)
-            case OrderConflict(current_version=current):
+            case UpdateConflict(current_version=current):
                 return SubmitResult(status=SubmitStatus.CONFLICT, current_version=current)
             case reused:
                 return SubmitResult(
@@ -212,16 +212,16 @@
 
 
 async def test_taken_but_not_confirmed_is_said_so(client: Client, access: FakeAccess) -> None:
-    access.result = SubmitResult(status=SubmitStatus.TAKEN_NOT_CONFIRMED, version=3)
+    access.result = SubmitResult(status=SubmitStatus.ACCEPTED_NOT_CONFIRMED, version=3)
     assert await put(client, order("o1", 2)) == (
         202,
         {"order_id": "o1", "version": 3, "confirmed": False},
     )
 
 
-@pytest.mark.parametrize("taken", list(Taken))
+@pytest.mark.parametrize("taken", list(Accepted))
 async def test_without_a_leader_the_answer_says_what_is_known(
-    client: Client, access: FakeAccess, taken: Taken
+    client: Client, access: FakeAccess, taken: Accepted
 ) -> None:
     access.result = SubmitResult(
         status=SubmitStatus.UNAVAILABLE, taken=taken, retry_after_seconds=1.5
--- a/tests/control/test_operator_bodies_fuzz.py
+++ b/tests/control/test_operator_bodies_fuzz.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidpath.control.operator_bodies import (
+from orchidpath.control.api.operator_bodies import (
     MalformedRequestError,
     decode_announcement,
     decode_submit,
--- a/tests/control/test_plan_api.py
+++ b/tests/control/test_plan_api.py
@@ -6,19 +6,19 @@
 import pytest
 from aiohttp.test_utils import TestServer
 
-from orchidpath.circuit.table import WorkerCircuitView
+from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.consensus.types import Role
-from orchidpath.control.operator_api import ControlAccess, UnavailableError, create_operator_app
-from orchidpath.control.operator_bodies import OperatorErrorCode, StatusBody, SubmitResult
-from orchidpath.control.operator_client import (
+from orchidpath.control.api.operator_api import ControlAccess, UnavailableError, create_operator_app
+from orchidpath.control.api.operator_bodies import OperatorErrorCode, StatusBody, SubmitResult
+from orchidpath.control.api.operator_client import (
     OperatorClient,
-    OrderNotTakenError,
     OrderOutcomeUnknownError,
     PlanRefusedError,
+    UpdateRejectedError,
 )
-from orchidpath.control.plan_api import PlanAccess, add_plan_routes
-from orchidpath.control.plan_bodies import PlanOrderResult
-from orchidpath.control.plan_orders import plan_command
+from orchidpath.control.api.plan_api import PlanAccess, add_plan_routes
+from orchidpath.control.api.plan_bodies import PlanActionResult
+from orchidpath.control.replica.pending_plan_actions import plan_command
 from orchidpath.state.commands import (
     Command,
     SubmitConfiguration,
@@ -26,12 +26,12 @@
     configuration_digest,
     encode_command,
 )
-from orchidpath.state.machine import FleetState
+from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.outcomes import PlanResult
 from orchidpath.state.plans import PlanStatus
 from orchidpath.wire.backend import Announcement, AnnouncementReply
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
-from orchidpath.wire.messages import PlanAction, PlanOrderAnswer, PlanOrderRequest
+from orchidpath.wire.messages import PlanAction, PlanActionRequest, PlanActionStatus
 from orchidpath.wire.records import Stage, WorkerRecord
 
 
@@ -41,22 +41,26 @@
     def __init__(self) -> None:
         self.state = FleetState()
         self.available = True
-        self.result: PlanOrderResult | None = None
+        self.result: PlanActionResult | None = None
         self.fails = False
 
     def apply(self, command: Command) -> object:
         return self.state.apply(self.state.applied_index + 1, encode_command(command)).outcome
 
-    async def order_plan(self, order_id: str, action: PlanAction, plan_id: str) -> PlanOrderResult:
+    async def request_plan_action(
+        self, order_id: str, action: PlanAction, plan_id: str
+    ) -> PlanActionResult:
         if self.fails:
             raise RuntimeError("lost")
         if self.result is not None:
             return self.result
-        request = PlanOrderRequest(correlation=1, order_id=order_id, action=action, plan_id=plan_id)
+        request = PlanActionRequest(
+            correlation=1, order_id=order_id, action=action, plan_id=plan_id
+        )
         outcome = self.apply(plan_command(request, self.state))
         assert isinstance(outcome, PlanResult)
-        answer = PlanOrderAnswer(outcome.answer.value)
-        return PlanOrderResult(answer=answer, reason=outcome.reason)
+        answer = PlanActionStatus(outcome.answer.value)
+        return PlanActionResult(answer=answer, reason=outcome.reason)
 
     async def read_state(self) -> FleetState:
         if not self.available:
@@ -117,11 +121,11 @@
     plan_id = shown.preview.plan.plan_id
     assert len(shown.preview.steps) == 1
     for _ in range(2):
-        reply = await client.order_plan(PlanAction.CONFIRM, plan_id, "one")
+        reply = await client.request_plan_action(PlanAction.CONFIRM, plan_id, "one")
         assert (reply.plan_id, reply.order_id) == (plan_id, "one")
     statuses = []
     for action in (PlanAction.HALT, PlanAction.RESUME, PlanAction.CANCEL):
-        await client.order_plan(action, plan_id, f"order-{action}")
+        await client.request_plan_action(action, plan_id, f"order-{action}")
         newest = (await client.plan()).newest
         assert newest is not None
         statuses.append(newest.progress.status)
@@ -134,7 +138,7 @@
     shown = await client.plan()
     announce(access, "w9", Stage.PREFILL)
     with pytest.raises(PlanRefusedError) as refusal:
-        await client.order_plan(PlanAction.CONFIRM, shown.preview.plan.plan_id, "one")
+        await client.request_plan_action(PlanAction.CONFIRM, shown.preview.plan.plan_id, "one")
     body = refusal.value.body
     assert body.error.code is OperatorErrorCode.PLAN_STALE
     assert body.preview == (await client.plan()).preview
@@ -144,28 +148,28 @@
 
 async def test_a_refusal_names_its_reason(client: OperatorClient) -> None:
     with pytest.raises(PlanRefusedError, match="not running") as refusal:
-        await client.order_plan(PlanAction.HALT, "none", "one")
+        await client.request_plan_action(PlanAction.HALT, "none", "one")
     assert refusal.value.body.error.code is OperatorErrorCode.PLAN_REFUSED
     with pytest.raises(PlanRefusedError) as refusal:
-        await client.order_plan(PlanAction.CANCEL, "none", "one")
+        await client.request_plan_action(PlanAction.CANCEL, "none", "one")
     assert refusal.value.body.error.code is OperatorErrorCode.ORDER_ID_REUSED
 
 
 async def test_an_order_of_unknown_outcome_is_never_called_not_taken(
     access: FakeAccess, client: OperatorClient
 ) -> None:
-    access.result = PlanOrderResult(answer=PlanOrderAnswer.NOT_TAKEN)
-    with pytest.raises(OrderNotTakenError):
-        await client.order_plan(PlanAction.CONFIRM, "any", "one")
-    access.result = PlanOrderResult(answer=PlanOrderAnswer.UNKNOWN)
+    access.result = PlanActionResult(answer=PlanActionStatus.REJECTED)
+    with pytest.raises(UpdateRejectedError):
+        await client.request_plan_action(PlanAction.CONFIRM, "any", "one")
+    access.result = PlanActionResult(answer=PlanActionStatus.UNKNOWN)
     with pytest.raises(OrderOutcomeUnknownError):
-        await client.order_plan(PlanAction.CONFIRM, "any", "one")
+        await client.request_plan_action(PlanAction.CONFIRM, "any", "one")
     access.fails = True
     with pytest.raises(OrderOutcomeUnknownError):
-        await client.order_plan(PlanAction.CONFIRM, "any", "one")
+        await client.request_plan_action(PlanAction.CONFIRM, "any", "one")
 
 
 async def test_malformed_orders_are_refused(client: OperatorClient) -> None:
     with pytest.raises(PlanRefusedError) as refusal:
-        await client.order_plan(PlanAction.CONFIRM, "", "one")
+        await client.request_plan_action(PlanAction.CONFIRM, "", "one")
     assert refusal.value.body.error.code is OperatorErrorCode.MALFORMED
--- a/tests/control/test_plan_core.py
+++ b/tests/control/test_plan_core.py
@@ -2,29 +2,34 @@
 
 import random
 
-from orchidpath.consensus.core import RaftCore
 from orchidpath.consensus.effects import PersistEntries
+from orchidpath.consensus.raft_core import RaftCore
 from orchidpath.consensus.types import Membership, RaftSettings, RestoredState, Role
-from orchidpath.control.core import ControlCore
-from orchidpath.control.effects import (
+from orchidpath.control.leadership.member_manager import MemberPolicy
+from orchidpath.control.replica.control_effects import (
     ControlEffect,
-    PlanAnswered,
+    PlanActionAnswered,
     SendToNode,
-    SendWorkerOrder,
+    SendWorkerCommand,
 )
-from orchidpath.control.member_manager import MemberPolicy
-from orchidpath.control.plan_orders import PlanOrderBook
+from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.pending_plan_actions import PendingPlanActions
 from orchidpath.placement.planner import make_preview
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
 from orchidpath.state.plans import PlanStatus
-from orchidpath.wire.backend import Announcement, OrderKind, WorkerOrder, WorkerOrderReply
+from orchidpath.wire.backend import (
+    Announcement,
+    WorkerCommand,
+    WorkerCommandKind,
+    WorkerCommandReply,
+)
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
 from orchidpath.wire.messages import (
     ForwardedAnnouncements,
     PlanAction,
-    PlanOrderAnswer,
-    PlanOrderReply,
-    PlanOrderRequest,
+    PlanActionReply,
+    PlanActionRequest,
+    PlanActionStatus,
 )
 from orchidpath.wire.records import ControlMember, Stage, WorkerRecord, WorkerStatus
 
@@ -49,7 +54,7 @@
         self.core = ControlCore(member, raft, MemberPolicy(target_voters=1), 1, generator)
         self.workers: dict[str, WorkerRecord] = {}
         self.sequence = 0
-        self.orders: list[WorkerOrder] = []
+        self.orders: list[WorkerCommand] = []
 
     def pass_time(self, seconds: float) -> list[ControlEffect]:
         effects: list[ControlEffect] = []
@@ -58,7 +63,7 @@
             self.announce()
             found = self.core.tick(self.now)
             for effect in found:
-                if isinstance(effect, SendWorkerOrder):
+                if isinstance(effect, SendWorkerCommand):
                     self.obey(effect.order)
             effects += found
         return effects
@@ -70,10 +75,12 @@
         )
         self.core.receive("c", ForwardedAnnouncements(announcements=announcements), self.now)
 
-    def obey(self, order: WorkerOrder) -> None:
+    def obey(self, order: WorkerCommand) -> None:
         worker = self.workers[order.worker_id]
         self.orders.append(order)
-        status = WorkerStatus.READY if order.kind is OrderKind.RESUME else WorkerStatus.DRAINING
+        status = (
+            WorkerStatus.READY if order.kind is WorkerCommandKind.RESUME else WorkerStatus.DRAINING
+        )
         self.workers[order.worker_id] = WorkerRecord(
             worker_id=worker.worker_id,
             incarnation=worker.incarnation,
@@ -82,10 +89,10 @@
             url=worker.url,
             status=status,
         )
-        reply = WorkerOrderReply(
+        reply = WorkerCommandReply(
             accepted=True, highest_term=order.term, highest_sequence=order.sequence
         )
-        self.core.worker_order_answered(order, reply, self.now)
+        self.core.worker_command_answered(order, reply, self.now)
 
     def form(self) -> None:
         self.pass_time(3.0)
@@ -111,21 +118,21 @@
         return make_preview(self.core.state.view()).plan.plan_id
 
 
-def request(plan_id: str, order_id: str = "one", correlation: int = 5) -> PlanOrderRequest:
-    return PlanOrderRequest(
+def request(plan_id: str, order_id: str = "one", correlation: int = 5) -> PlanActionRequest:
+    return PlanActionRequest(
         correlation=correlation, order_id=order_id, action=PlanAction.CONFIRM, plan_id=plan_id
     )
 
 
-def answers(effects: list[ControlEffect]) -> list[PlanAnswered]:
-    return [effect for effect in effects if isinstance(effect, PlanAnswered)]
+def answers(effects: list[ControlEffect]) -> list[PlanActionAnswered]:
+    return [effect for effect in effects if isinstance(effect, PlanActionAnswered)]
 
 
-def replies(effects: list[ControlEffect]) -> list[tuple[str, PlanOrderReply]]:
+def replies(effects: list[ControlEffect]) -> list[tuple[str, PlanActionReply]]:
     return [
         (effect.node_id, effect.message)
         for effect in effects
-        if isinstance(effect, SendToNode) and isinstance(effect.message, PlanOrderReply)
+        if isinstance(effect, SendToNode) and isinstance(effect.message, PlanActionReply)
     ]
 
 
@@ -133,8 +140,8 @@
     one = OneControl()
     one.form()
     plan_id = one.plan_id()
-    effects = one.core.order_plan(7, request(plan_id), one.now)
-    assert answers(effects) == [PlanAnswered(7, PlanOrderAnswer.ACCEPTED)]
+    effects = one.core.request_plan_action(7, request(plan_id), one.now)
+    assert answers(effects) == [PlanActionAnswered(7, PlanActionStatus.ACCEPTED)]
     persisted = next(
         number for number, effect in enumerate(effects) if isinstance(effect, PersistEntries)
     )
@@ -145,9 +152,9 @@
     stages = sorted(worker.stage for worker in one.core.state.workers())
     assert stages == [Stage.DECODE, Stage.DECODE, Stage.DECODE, Stage.PREFILL]
     assert [order.kind for order in one.orders] == [
-        OrderKind.DRAIN,
-        OrderKind.SET_STAGE,
-        OrderKind.RESUME,
+        WorkerCommandKind.DRAIN,
+        WorkerCommandKind.SET_STAGE,
+        WorkerCommandKind.RESUME,
     ] * 2
     assert {order.term for order in one.orders} == {one.core.raft.term}
 
@@ -157,28 +164,28 @@
     one.form()
     plan_id = one.plan_id()
     stale = one.core.receive("d", request("other", "early", 3), one.now)
-    assert replies(stale) == [("d", PlanOrderReply(correlation=3, answer=PlanOrderAnswer.STALE))]
+    assert replies(stale) == [("d", PlanActionReply(correlation=3, answer=PlanActionStatus.STALE))]
     for _ in range(2):
         taken = one.core.receive("d", request(plan_id), one.now)
         assert replies(taken) == [
-            ("d", PlanOrderReply(correlation=5, answer=PlanOrderAnswer.ACCEPTED))
+            ("d", PlanActionReply(correlation=5, answer=PlanActionStatus.ACCEPTED))
         ]
     refused = one.core.receive("d", request(plan_id, "two", 6), one.now)
-    assert replies(refused)[0][1].answer is PlanOrderAnswer.REFUSED
+    assert replies(refused)[0][1].answer is PlanActionStatus.REFUSED
     again = one.core.receive("d", request("other", "early", 4), one.now)
-    assert replies(again)[0][1].answer is PlanOrderAnswer.STALE
+    assert replies(again)[0][1].answer is PlanActionStatus.STALE
 
 
 def test_a_process_that_does_not_lead_takes_no_order() -> None:
     one = OneControl()
     assert one.core.raft.role is not Role.LEADER
-    (answer,) = answers(one.core.order_plan(7, request("any"), one.now))
-    assert answer.answer is PlanOrderAnswer.NOT_TAKEN
+    (answer,) = answers(one.core.request_plan_action(7, request("any"), one.now))
+    assert answer.answer is PlanActionStatus.REJECTED
 
 
 def test_an_order_is_unknown_when_leadership_is_lost_before_it_was_applied() -> None:
-    book = PlanOrderBook()
+    book = PendingPlanActions()
     book.proposed(7, index=3, term=1)
     (answer,) = book.leadership_lost()
-    assert (answer.key, answer.answer) == (7, PlanOrderAnswer.UNKNOWN)
+    assert (answer.key, answer.answer) == (7, PlanActionStatus.UNKNOWN)
     assert not book.leadership_lost()
--- a/tests/control/test_plan_processes.py
+++ b/tests/control/test_plan_processes.py
@@ -11,11 +11,11 @@
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.common.settings import ControlSettings
 from orchidpath.consensus.types import Role
-from orchidpath.control.operator_client import OperatorClient
+from orchidpath.control.api.operator_client import OperatorClient
 from orchidpath.control.process import ControlProcess
-from orchidpath.standins.backend_shell import BackendSettings
-from orchidpath.standins.worker import ModelWorker
-from orchidpath.standins.worker_model import WorkerTiming
+from orchidpath.emulators.backend.backend_shell import BackendSettings
+from orchidpath.emulators.worker.engine_model import WorkerTiming
+from orchidpath.emulators.worker.model_worker import ModelWorker
 from orchidpath.state.plans import PlanStatus, StepPhase
 from orchidpath.wire.messages import PlanAction
 from orchidpath.wire.records import Stage, WorkerRecord
@@ -146,7 +146,7 @@
         await eventually(configured)
         await eventually(all_announced)
         plan_id = (await client.plan()).preview.plan.plan_id
-        await client.order_plan(PlanAction.CONFIRM, plan_id, "two")
+        await client.request_plan_action(PlanAction.CONFIRM, plan_id, "two")
         await eventually(second_step_began)
         lost = await fleet.leader(client)
         await fleet.controls.pop(lost).stop(0.0)
@@ -155,6 +155,6 @@
         assert stages == [Stage.DECODE, Stage.DECODE, Stage.DECODE, Stage.PREFILL]
         assert not any(worker.core.draining for worker in fleet.workers)
         # The order that the lost leader took still has its first outcome.
-        await client.order_plan(PlanAction.CONFIRM, plan_id, "two")
+        await client.request_plan_action(PlanAction.CONFIRM, plan_id, "two")
         newest = (await client.plan()).newest
         assert newest is not None and newest.plan.plan_id == plan_id
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -3,22 +3,22 @@
 import msgspec
 from stage_builders import split_configuration
 
-from orchidpath.control.stage_balancer import (
-    CALM_SECONDS,
+from orchidpath.control.leadership.stage_balancer import (
+    COMMAND_REPEAT_SECONDS,
     MOVE_SECONDS,
-    ORDER_REPEAT_SECONDS,
+    QUIET_PERIOD_SECONDS,
     TAKEOVER_SECONDS,
-    URGENT_CALM_SECONDS,
+    URGENT_QUIET_PERIOD_SECONDS,
     StageBalancer,
 )
 from orchidpath.state.commands import (
-    HoldWorker,
+    CordonWorker,
     SubmitConfiguration,
     WorkerChanged,
     encode_command,
 )
-from orchidpath.state.machine import FleetState
-from orchidpath.wire.backend import WorkerOrder, WorkerOrderReply
+from orchidpath.state.fleet_state import FleetState
+from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 from orchidpath.wire.records import Stage, WorkerRecord
 
 STEP_SECONDS = 0.25
@@ -31,7 +31,7 @@
         self.state = FleetState()
         self.now = 0.0
         self.confirms = True
-        self.orders: list[WorkerOrder] = []
+        self.orders: list[WorkerCommand] = []
         self.apply(split_configuration())
         stages = [Stage.PREFILL] * prefill + [Stage.DECODE] * decode
         for number, stage in enumerate(stages):
@@ -41,7 +41,7 @@
     def lead(self, term: int) -> None:
         self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.now)
 
-    def apply(self, command: SubmitConfiguration | WorkerChanged | HoldWorker) -> None:
+    def apply(self, command: SubmitConfiguration | WorkerChanged | CordonWorker) -> None:
         self.state.apply(self.state.applied_index + 1, encode_command(command))
 
     def announce(self, worker_id: str, stage: Stage, sequence: int) -> None:
@@ -61,33 +61,33 @@
             self.now += STEP_SECONDS
             confirmed = self.state.revision if self.confirms else 0
             self.balancer.tick(confirmed, self.now)
-            for effect in self.balancer.take_orders():
+            for effect in self.balancer.take_commands():
                 self.orders.append(effect.order)
             for command in self.balancer.take_proposals():
-                assert isinstance(command, HoldWorker)
+                assert isinstance(command, CordonWorker)
                 self.apply(command)
 
-    def obey(self, order: WorkerOrder) -> None:
-        reply = WorkerOrderReply(
+    def obey(self, order: WorkerCommand) -> None:
+        reply = WorkerCommandReply(
             accepted=True, highest_term=order.term, highest_sequence=order.sequence
         )
-        self.balancer.order_answered(order, reply)
+        self.balancer.command_answered(order, reply)
         assert order.stage is not None
         self.announce(order.worker_id, order.stage, 2)
 
-    def held(self) -> list[str]:
-        return [worker.worker_id for worker in self.state.workers() if worker.held]
+    def cordoned(self) -> list[str]:
+        return [worker.worker_id for worker in self.state.workers() if worker.cordoned]
 
 
 def test_a_surplus_is_held_ordered_and_released() -> None:
     world = World(prefill=4, decode=5)
-    world.run(TAKEOVER_SECONDS + CALM_SECONDS + 1.0)
-    assert len(world.held()) == 3
-    assert sorted({order.worker_id for order in world.orders}) == sorted(world.held())
+    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert len(world.cordoned()) == 3
+    assert sorted({order.worker_id for order in world.orders}) == sorted(world.cordoned())
     for order in list(world.orders):
         world.obey(order)
     world.run(1.0)
-    assert world.held() == []
+    assert world.cordoned() == []
     stages = [worker.stage for worker in world.state.workers()]
     assert stages.count(Stage.DECODE) == 2
 
@@ -95,21 +95,21 @@
 def test_a_new_leader_orders_nothing_while_an_order_may_be_on_its_way() -> None:
     world = World(prefill=4, decode=5)
     world.run(TAKEOVER_SECONDS - STEP_SECONDS)
-    assert world.held() == []
+    assert world.cordoned() == []
     assert world.orders == []
 
 
 def test_no_order_goes_out_before_every_router_knows_of_the_hold() -> None:
     world = World(prefill=4, decode=5)
     world.confirms = False
-    world.run(TAKEOVER_SECONDS + CALM_SECONDS + 1.0)
-    assert world.held()
+    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert world.cordoned()
     assert world.orders == []
 
 
 def test_an_order_without_an_answer_is_sent_again_under_the_same_fence() -> None:
     world = World(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + CALM_SECONDS + 1.0 + 2 * ORDER_REPEAT_SECONDS)
+    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0 + 2 * COMMAND_REPEAT_SECONDS)
     assert len(world.orders) >= 2
     assert {order.term for order in world.orders} == {1}
     assert len({order.sequence for order in world.orders}) == len(world.orders)
@@ -117,20 +117,20 @@
 
 def test_a_worker_that_never_moves_is_released() -> None:
     world = World(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + CALM_SECONDS + 1.0)
-    assert world.held() == ["w4"]
+    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert world.cordoned() == ["w4"]
     world.run(MOVE_SECONDS)
-    assert "w4" not in world.held() or world.orders[-1].worker_id == "w4"
+    assert "w4" not in world.cordoned() or world.orders[-1].worker_id == "w4"
 
 
 def test_a_successor_releases_whom_its_predecessor_held() -> None:
     world = World(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + CALM_SECONDS + 1.0)
-    assert world.held() == ["w4"]
+    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert world.cordoned() == ["w4"]
     world.lead(2)
     world.orders.clear()
     world.run(TAKEOVER_SECONDS + STEP_SECONDS)
-    assert world.held() == []
+    assert world.cordoned() == []
     assert world.orders == []
 
 
@@ -139,24 +139,24 @@
     for number in range(20, 30):
         world.run(1.0)
         world.announce(f"w{number}", Stage.PREFILL, 1)
-    assert world.held() == []
+    assert world.cordoned() == []
 
 
 def test_without_a_decode_worker_little_time_is_lost() -> None:
     world = World(prefill=3, decode=0)
     world.run(TAKEOVER_SECONDS)
     world.announce("w9", Stage.PREFILL, 1)
-    world.run(URGENT_CALM_SECONDS + 4 * STEP_SECONDS)
+    world.run(URGENT_QUIET_PERIOD_SECONDS + 4 * STEP_SECONDS)
     assert world.orders
     assert world.orders[0].stage is Stage.DECODE
 
 
 def test_a_leaving_worker_ends_its_move() -> None:
     world = World(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + CALM_SECONDS + 1.0)
+    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     entry = world.state.find_worker("w4")
     assert entry is not None
-    changed = msgspec.structs.replace(entry.record, incarnation="2", held=False)
+    changed = msgspec.structs.replace(entry.record, incarnation="2", cordoned=False)
     world.apply(WorkerChanged(record=changed, sequence=1))
     world.run(1.0)
     assert len(world.orders) >= 1
--- a/tests/control/test_stage_orders.py
+++ b/tests/control/test_stage_orders.py
@@ -7,24 +7,24 @@
 from aiohttp import web
 from stage_builders import split_configuration
 
-from orchidpath.control.stage_balancer import (
-    CALM_SECONDS,
-    ORDER_REPEAT_SECONDS,
+from command_format import PlatformCommandFormat
+from orchidpath.control.leadership.stage_balancer import (
+    COMMAND_REPEAT_SECONDS,
+    QUIET_PERIOD_SECONDS,
     TAKEOVER_SECONDS,
     StageBalancer,
 )
-from orchidpath.control.worker_orders import WORKER_ORDER_TIMEOUT_SECONDS, WorkerOrderSender
+from orchidpath.control.worker_commands import WORKER_ORDER_TIMEOUT_SECONDS, WorkerCommandSender
 from orchidpath.state.commands import (
-    HoldWorker,
+    CordonWorker,
     SubmitConfiguration,
     WorkerChanged,
-    WorkerGone,
+    WorkerRemoved,
     encode_command,
 )
-from orchidpath.state.machine import FleetState
-from orchidpath.wire.backend import OrderKind, WorkerOrder, WorkerOrderReply
+from orchidpath.state.fleet_state import FleetState
+from orchidpath.wire.backend import WorkerCommand, WorkerCommandKind, WorkerCommandReply
 from orchidpath.wire.records import Stage, WorkerRecord
-from worker_orders import PlatformOrderFormat
 
 WAIT_SECONDS = 10.0
 LEASE_SECONDS = 3.0
@@ -35,27 +35,27 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def stage_order(term: int = 3) -> WorkerOrder:
-    return WorkerOrder(
+def stage_order(term: int = 3) -> WorkerCommand:
+    return WorkerCommand(
         term=term,
         sequence=1,
         worker_id="w0",
         incarnation="w0",
-        kind=OrderKind.SET_STAGE,
+        kind=WorkerCommandKind.SET_STAGE,
         stage=Stage.DECODE,
     )
 
 
-async def answer_to(handler: Handler) -> WorkerOrderReply | None:
+async def answer_to(handler: Handler) -> WorkerCommandReply | None:
     """Send one order to a worker on loopback and return what the sender makes of its answer."""
     app = web.Application()
     app.router.add_post("/order", handler)
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
-    answered: asyncio.Future[WorkerOrderReply | None] = asyncio.get_running_loop().create_future()
-    sender = WorkerOrderSender(
-        lambda _order, reply: answered.set_result(reply), PlatformOrderFormat("front-z-0")
+    answered: asyncio.Future[WorkerCommandReply | None] = asyncio.get_running_loop().create_future()
+    sender = WorkerCommandSender(
+        lambda _order, reply: answered.set_result(reply), PlatformCommandFormat("front-z-0")
     )
     try:
         sender.send(f"http://127.0.0.1:{runner.addresses[0][1]}", stage_order())
@@ -115,7 +115,7 @@
     def __init__(self, prefill: int, decode: int) -> None:
         self.state = FleetState()
         self.now = 0.0
-        self.arrivals: list[tuple[float, str, WorkerOrder]] = []
+        self.arrivals: list[tuple[float, str, WorkerCommand]] = []
         """When an order reached a worker, from which machine."""
         self._apply(split_configuration())
         stages = [Stage.PREFILL] * prefill + [Stage.DECODE] * decode
@@ -144,7 +144,7 @@
     def restart(self, worker_id: str) -> None:
         """Have a worker come back as a new one that has forgotten every order."""
         old = self.workers.pop(worker_id)
-        self._apply(WorkerGone(worker_id=worker_id, incarnation=worker_id, sequence=99))
+        self._apply(WorkerRemoved(worker_id=worker_id, incarnation=worker_id, sequence=99))
         fresh = Worker(f"{worker_id}-again", old.stage)
         self.workers[fresh.worker_id] = fresh
         self.announce(fresh)
@@ -156,37 +156,37 @@
             self.now += STEP_SECONDS
             self.balancer.tick(self.state.revision, self.now)
             for command in self.balancer.take_proposals():
-                assert isinstance(command, HoldWorker)
+                assert isinstance(command, CordonWorker)
                 self._apply(command)
-            for effect in self.balancer.take_orders():
+            for effect in self.balancer.take_commands():
                 self._reach(effect.order, status, obeys)
 
     def ordered(self) -> list[str]:
         return [order.worker_id for _, _, order in self.arrivals]
 
-    def _reach(self, order: WorkerOrder, status: int | None, obeys: bool) -> None:
+    def _reach(self, order: WorkerCommand, status: int | None, obeys: bool) -> None:
         self.arrivals.append((self.now, self.machine, order))
         worker = self.workers.get(order.worker_id)
         if obeys and worker is not None and order.stage is not None:
             worker.stage = order.stage
             self.announce(worker)
         if status is not None:
-            form = PlatformOrderFormat(self.machine)
-            self.balancer.order_answered(order, form.read_answer(order, status, b""))
+            form = PlatformCommandFormat(self.machine)
+            self.balancer.command_answered(order, form.read_answer(order, status, b""))
 
     def _apply(
-        self, command: SubmitConfiguration | WorkerChanged | HoldWorker | WorkerGone
+        self, command: SubmitConfiguration | WorkerChanged | CordonWorker | WorkerRemoved
     ) -> None:
         self.state.apply(self.state.applied_index + 1, encode_command(command))
 
 
-UNTIL_FIRST_ORDER_SECONDS = TAKEOVER_SECONDS + CALM_SECONDS + 1.0
+UNTIL_FIRST_ORDER_SECONDS = TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0
 
 
 @pytest.mark.parametrize("status", [None, 409, 412, 421, 503])
 def test_an_order_that_was_not_taken_is_sent_again_under_one_fence(status: int | None) -> None:
     fleet = Fleet(prefill=4, decode=3)
-    fleet.run(UNTIL_FIRST_ORDER_SECONDS + 3 * ORDER_REPEAT_SECONDS, status)
+    fleet.run(UNTIL_FIRST_ORDER_SECONDS + 3 * COMMAND_REPEAT_SECONDS, status)
     orders = [order for _, _, order in fleet.arrivals]
     assert len(orders) >= 3
     assert {(order.worker_id, order.term, order.stage) for order in orders} == {
@@ -196,9 +196,9 @@
 
 def test_an_order_that_was_taken_without_an_answer_ends_the_move() -> None:
     fleet = Fleet(prefill=4, decode=3)
-    fleet.run(UNTIL_FIRST_ORDER_SECONDS + 5 * ORDER_REPEAT_SECONDS, None, obeys=True)
+    fleet.run(UNTIL_FIRST_ORDER_SECONDS + 5 * COMMAND_REPEAT_SECONDS, None, obeys=True)
     assert len(fleet.arrivals) == 1
-    assert not any(worker.held for worker in fleet.state.workers())
+    assert not any(worker.cordoned for worker in fleet.state.workers())
 
 
 def test_a_worker_that_restarts_in_its_move_gets_no_order_meant_for_the_one_before() -> None:
--- a/tests/standins/standin_harness.py
+++ b/tests/emulators/emulator_harness.py
@@ -8,12 +8,12 @@
 import aiohttp
 import msgspec
 
-from orchidpath.standins.backend_shell import BackendSettings, BackendShell
-from orchidpath.standins.faults import Fault, FaultKind
-from orchidpath.standins.reports import BackendReport
-from orchidpath.standins.service import PlainService, ServiceTiming
-from orchidpath.standins.worker import ModelWorker
-from orchidpath.standins.worker_model import WorkerTiming
+from orchidpath.emulators.backend.backend_shell import BackendSettings, BackendShell
+from orchidpath.emulators.backend.injected_faults import Fault, FaultKind
+from orchidpath.emulators.backend.reports import BackendReport
+from orchidpath.emulators.plain_service import PlainService, ServiceTiming
+from orchidpath.emulators.worker.engine_model import WorkerTiming
+from orchidpath.emulators.worker.model_worker import ModelWorker
 from orchidpath.wire.backend import (
     ATTEMPT_HEADER,
     CacheHandle,
--- a/tests/standins/test_attempt_registry.py
+++ b/tests/emulators/test_attempt_registry.py
@@ -3,7 +3,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidpath.standins.attempts import Admission, AttemptRegistry, ExecutionCounter, Phase
+from orchidpath.emulators.backend.attempts import (
+    Admission,
+    AttemptRegistry,
+    ExecutionCounter,
+    Phase,
+)
 from orchidpath.wire.backend import Ran
 
 EVENTS = st.lists(
@@ -49,7 +54,7 @@
     assert registry.ran("a", Phase.EXECUTION) is Ran.UNKNOWN
     assert registry.start("a", Phase.EXECUTION, 0.0)
     assert registry.ran("a", Phase.EXECUTION) is Ran.YES
-    assert registry.admit("other", "a", Phase.PROMPT_READ, 0.0) is Admission.DUPLICATE
+    assert registry.admit("other", "a", Phase.PREFILL_DONE, 0.0) is Admission.DUPLICATE
 
 
 def test_cancelled_before_it_arrives_is_refused_for_ever() -> None:
@@ -80,8 +85,8 @@
 def test_executions_are_counted_apart_from_prompt_reads() -> None:
     registry = AttemptRegistry()
     for attempt_id in ("a", "b"):
-        registry.admit("r", attempt_id, Phase.PROMPT_READ, 0.0)
-        registry.start(attempt_id, Phase.PROMPT_READ, 0.0)
+        registry.admit("r", attempt_id, Phase.PREFILL_DONE, 0.0)
+        registry.start(attempt_id, Phase.PREFILL_DONE, 0.0)
     registry.admit("r", "b", Phase.EXECUTION, 0.0)
     registry.start("b", Phase.EXECUTION, 0.0)
     assert registry.prompt_reads.highest == 2
--- a/tests/standins/test_backend_core.py
+++ b/tests/emulators/test_backend_core.py
@@ -1,11 +1,11 @@
 """Admission and orders of an emulated back end."""
 
 import pytest
-from standin_harness import make_record
+from emulator_harness import make_record
 
-from orchidpath.standins.attempts import Phase
-from orchidpath.standins.backend_core import AttemptOrder, BackendCore
-from orchidpath.wire.backend import ErrorCode, OrderKind, Ran, WorkerOrder
+from orchidpath.emulators.backend.attempts import Phase
+from orchidpath.emulators.backend.backend_core import AttemptDispatch, BackendCore
+from orchidpath.wire.backend import ErrorCode, Ran, WorkerCommand, WorkerCommandKind
 from orchidpath.wire.records import Stage, WorkerStatus
 
 
@@ -13,8 +13,8 @@
     return BackendCore(make_record("w1", Stage.DECODE), max_in_flight)
 
 
-def attempt(attempt_id: str, stage: Stage = Stage.DECODE, model: str = "wine") -> AttemptOrder:
-    return AttemptOrder(
+def attempt(attempt_id: str, stage: Stage = Stage.DECODE, model: str = "wine") -> AttemptDispatch:
+    return AttemptDispatch(
         request_id="r", attempt_id=attempt_id, phase=Phase.EXECUTION, stage=stage, model=model
     )
 
@@ -22,12 +22,12 @@
 def order(
     term: int,
     sequence: int,
-    kind: OrderKind = OrderKind.DRAIN,
+    kind: WorkerCommandKind = WorkerCommandKind.DRAIN,
     stage: Stage | None = None,
     incarnation: str = "i1",
     worker_id: str = "w1",
-) -> WorkerOrder:
-    return WorkerOrder(
+) -> WorkerCommand:
+    return WorkerCommand(
         term=term,
         sequence=sequence,
         worker_id=worker_id,
@@ -44,7 +44,7 @@
         (attempt("a", model="riddle"), ErrorCode.WRONG_MODEL),
     ],
 )
-def test_a_refused_attempt_is_refused_for_ever(asked: AttemptOrder, code: ErrorCode) -> None:
+def test_a_refused_attempt_is_refused_for_ever(asked: AttemptDispatch, code: ErrorCode) -> None:
     core = make_core()
     refusal = core.admit(asked, 0.0)
     assert refusal is not None
@@ -78,11 +78,11 @@
     assert core.obey(order(2, 5), 0).accepted
     assert core.draining
     for term, sequence in [(2, 5), (2, 4), (1, 9)]:
-        reply = core.obey(order(term, sequence, OrderKind.RESUME), 0)
+        reply = core.obey(order(term, sequence, WorkerCommandKind.RESUME), 0)
         assert (reply.accepted, reply.reason) == (False, "stale_order")
         assert (reply.highest_term, reply.highest_sequence) == (2, 5)
     assert core.record.status is WorkerStatus.DRAINING
-    assert core.obey(order(3, 1, OrderKind.RESUME), 0).accepted
+    assert core.obey(order(3, 1, WorkerCommandKind.RESUME), 0).accepted
     assert not core.draining
 
 
@@ -96,19 +96,19 @@
 def test_the_stage_changes_only_when_idle() -> None:
     core = make_core()
     assert core.admit(attempt("a"), 0.0) is None
-    busy = core.obey(order(1, 1, OrderKind.SET_STAGE, Stage.PREFILL), 0)
+    busy = core.obey(order(1, 1, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0)
     assert (busy.accepted, busy.reason) == (False, "not idle")
     core.leave(attempt("a"), 0.0)
-    assert not core.obey(order(1, 2, OrderKind.SET_STAGE, Stage.PREFILL), 1).accepted
-    assert not core.obey(order(1, 3, OrderKind.SET_STAGE, Stage.PLAIN), 0).accepted
-    assert core.obey(order(1, 4, OrderKind.SET_STAGE, Stage.PREFILL), 0).accepted
+    assert not core.obey(order(1, 2, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 1).accepted
+    assert not core.obey(order(1, 3, WorkerCommandKind.SET_STAGE, Stage.PLAIN), 0).accepted
+    assert core.obey(order(1, 4, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0).accepted
     assert core.record.stage is Stage.PREFILL
 
 
 def test_no_order_resumes_a_process_that_is_ending() -> None:
     core = make_core()
     core.terminate()
-    core.obey(order(1, 1, OrderKind.RESUME), 0)
+    core.obey(order(1, 1, WorkerCommandKind.RESUME), 0)
     refusal = core.admit(attempt("a"), 0.0)
     assert refusal is not None
     assert (refusal.code, refusal.ran) == (ErrorCode.DRAINING, Ran.NO)
--- a/tests/standins/test_caller.py
+++ b/tests/emulators/test_caller.py
@@ -9,12 +9,12 @@
 import pytest
 from aiohttp import web
 
-from orchidpath.standins.answers import answer_tokens, expected_call_body
-from orchidpath.standins.caller import Callers, CallerSettings
-from orchidpath.standins.caller_report import CallerProgress, CallerSummary
-from orchidpath.standins.return_policy import ReturnPolicy
-from orchidpath.standins.router_client import ChatCompletionRequest, make_session
-from orchidpath.standins.traffic_mix import (
+from orchidpath.emulators.backend.answers import answer_tokens, expected_call_body
+from orchidpath.emulators.client.caller import Callers, CallerSettings
+from orchidpath.emulators.client.caller_report import CallerProgress, CallerSummary
+from orchidpath.emulators.client.return_policy import ReturnPolicy
+from orchidpath.emulators.client.router_client import ChatCompletionRequest, make_session
+from orchidpath.emulators.client.traffic_mix import (
     CrowdBurst,
     TokenDistribution,
     TrafficKind,
--- a/tests/standins/test_standin_cli.py
+++ b/tests/emulators/test_emulator_cli.py
@@ -12,15 +12,15 @@
 import pytest
 from click.testing import CliRunner
 
-from orchidpath.cli.standin import standin
-from orchidpath.standins.backend_shell import CRASH_STATUS
-from orchidpath.standins.faults import Fault, FaultKind
-from orchidpath.standins.process import EXIT_AT_ONCE_STATUS, ReadyLine
-from orchidpath.standins.reports import BackendReport
+from orchidpath.cli.emulator import standin
+from orchidpath.emulators.backend.backend_shell import CRASH_STATUS
+from orchidpath.emulators.backend.injected_faults import Fault, FaultKind
+from orchidpath.emulators.backend.reports import BackendReport
+from orchidpath.emulators.process import EXIT_AT_ONCE_STATUS, ReadyLine
 from orchidpath.wire.backend import PrefillRequest
 from orchidpath.wire.records import WorkerStatus
 
-START = "from orchidpath.cli.standin import standin; standin()"
+START = "from orchidpath.cli.emulator import standin; standin()"
 WORKER = ["worker", "--id", "w1", "--service", "s", "--stage", "prefill", "--model", "m"]
 
 
--- a/tests/standins/test_standin_cores.py
+++ b/tests/emulators/test_emulator_cores.py
@@ -3,18 +3,17 @@
 import random
 
 import pytest
+from emulator_harness import make_record
 from hypothesis import given
 from hypothesis import strategies as st
-from standin_harness import make_record
-
-from orchidpath.standins.announcing import Announcer
-from orchidpath.standins.answers import expected_text
-from orchidpath.standins.arrivals import all_arrivals, multiplier_at
-from orchidpath.standins.faults import Fault, FaultBoard, FaultKind
-from orchidpath.standins.frames import StreamPlan, decode_frames
-from orchidpath.standins.request_plan import RequestPlanner
-from orchidpath.standins.router_selection import RouterSelection
-from orchidpath.standins.traffic_mix import (
+
+from orchidpath.emulators.backend.announcing import Announcer
+from orchidpath.emulators.backend.answers import expected_text
+from orchidpath.emulators.backend.injected_faults import Fault, FaultBoard, FaultKind
+from orchidpath.emulators.client.arrivals import all_arrivals, multiplier_at
+from orchidpath.emulators.client.request_plan import RequestPlanner
+from orchidpath.emulators.client.router_selection import RouterSelection
+from orchidpath.emulators.client.traffic_mix import (
     CrowdBurst,
     RatePoint,
     Swing,
@@ -24,13 +23,14 @@
     TrafficStream,
     decode_traffic_mix,
 )
-from orchidpath.standins.worker_model import (
+from orchidpath.emulators.worker.engine_model import (
     SerialResource,
     WorkerTiming,
     decode_interval_seconds,
     prefill_seconds,
     transfer_seconds,
 )
+from orchidpath.emulators.worker.frames import StreamPlan, decode_frames
 from orchidpath.wire.backend import AnnouncementReply, FrameKind
 from orchidpath.wire.records import Stage
 
--- a/tests/standins/test_kv_cache.py
+++ b/tests/emulators/test_kv_cache.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidpath.standins.kv_cache import (
+from orchidpath.emulators.worker.kv_cache import (
     BLOCK_TOKENS,
     HandleClaim,
     HandleTable,
@@ -56,7 +56,7 @@
     assert table.issue("r", "a", 30, now=0.0) == "i1-1"
     granted = table.take(claim(), now=1.0)
     assert (granted.verdict, granted.prompt_tokens) == (HandleVerdict.GRANTED, 30)
-    assert table.take(claim(), now=1.0).verdict is HandleVerdict.LAPSED
+    assert table.take(claim(), now=1.0).verdict is HandleVerdict.EXPIRED
 
 
 @pytest.mark.parametrize("field", ["request_id", "attempt_id", "incarnation"])
@@ -70,10 +70,10 @@
 def test_handles_lapse_by_time_by_fault_and_by_cancel() -> None:
     table = HandleTable("i1", lifetime_seconds=5.0)
     table.issue("r", "a", 30, now=0.0)
-    assert table.take(claim(), now=5.0).verdict is HandleVerdict.LAPSED
+    assert table.take(claim(), now=5.0).verdict is HandleVerdict.EXPIRED
     table.issue("r", "b", 30, now=5.0)
     table.issue("r", "c", 30, now=5.0)
     table.release("b")
     assert table.outstanding(5.0) == 1
-    assert table.lapse_all() == 1
+    assert table.expire_all() == 1
     assert table.outstanding(5.0) == 0
--- a/tests/standins/test_model_worker.py
+++ b/tests/emulators/test_model_worker.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 from aiohttp import web
-from standin_harness import (
+from emulator_harness import (
     FAST,
     Answer,
     BackendClient,
@@ -19,23 +19,23 @@
     running,
 )
 
-from orchidpath.standins.answers import expected_text
-from orchidpath.standins.backend_shell import BackendSettings, BackendShell
-from orchidpath.standins.faults import FaultKind
-from orchidpath.standins.reports import ExecutionRecord
-from orchidpath.standins.worker import ModelWorker
-from orchidpath.standins.worker_model import WorkerTiming
+from orchidpath.emulators.backend.answers import expected_text
+from orchidpath.emulators.backend.backend_shell import BackendSettings, BackendShell
+from orchidpath.emulators.backend.injected_faults import FaultKind
+from orchidpath.emulators.backend.reports import ExecutionRecord
+from orchidpath.emulators.worker.engine_model import WorkerTiming
+from orchidpath.emulators.worker.model_worker import ModelWorker
 from orchidpath.wire.backend import (
     Announcement,
     AnnouncementReply,
     CancelReply,
     ErrorCode,
     FrameKind,
-    OrderKind,
     PrefillReply,
     Ran,
-    WorkerOrder,
-    WorkerOrderReply,
+    WorkerCommand,
+    WorkerCommandKind,
+    WorkerCommandReply,
 )
 from orchidpath.wire.records import Stage, WorkerStatus
 
@@ -164,9 +164,9 @@
     timing = msgspec.structs.replace(FAST, transfer_timeout_seconds=0.5)
     async with running_pair(timing) as pair:
         handle = await pair.client.read_prompt(pair.prefill, "r", "a")
-        await pair.client.inject(pair.prefill, FaultKind.LAPSE_HANDLES)
+        await pair.client.inject(pair.prefill, FaultKind.EXPIRE_HANDLES)
         answer = await pair.client.decode(pair.decode, handle, "r", "a")
-        assert (answer.error.code, answer.error.ran) == (ErrorCode.HANDLE_LAPSED, Ran.NO)
+        assert (answer.error.code, answer.error.ran) == (ErrorCode.HANDLE_EXPIRED, Ran.NO)
         assert "p1 denied" in answer.error.message
         await pair.client.inject(pair.prefill, FaultKind.SLOW_LINK, factor=1e9)
         late = await pair.serve("b")
@@ -256,8 +256,10 @@
 async def test_orders_change_the_stage_of_an_idle_worker() -> None:
     async with running_pair() as pair:
 
-        async def send(sequence: int, kind: OrderKind, stage: Stage | None) -> WorkerOrderReply:
-            order = WorkerOrder(
+        async def send(
+            sequence: int, kind: WorkerCommandKind, stage: Stage | None
+        ) -> WorkerCommandReply:
+            order = WorkerCommand(
                 term=1,
                 sequence=sequence,
                 worker_id="p1",
@@ -266,16 +268,16 @@
                 stage=stage,
             )
             answer = await pair.client.post(f"{pair.prefill.url}/v1/orders", order)
-            return answer.decode(WorkerOrderReply)
+            return answer.decode(WorkerCommandReply)
 
         handle = await pair.client.read_prompt(pair.prefill, "r", "a")
-        assert (await send(1, OrderKind.DRAIN, None)).accepted
+        assert (await send(1, WorkerCommandKind.DRAIN, None)).accepted
         refused = await pair.client.prefill(pair.prefill, "r", "b")
         assert (refused.error.code, refused.error.ran) == (ErrorCode.DRAINING, Ran.NO)
-        assert not (await send(2, OrderKind.SET_STAGE, Stage.DECODE)).accepted
+        assert not (await send(2, WorkerCommandKind.SET_STAGE, Stage.DECODE)).accepted
         assert (await pair.client.decode(pair.decode, handle, "r", "a")).status == 200
-        assert (await send(3, OrderKind.SET_STAGE, Stage.DECODE)).accepted
-        assert not (await send(3, OrderKind.RESUME, None)).accepted
+        assert (await send(3, WorkerCommandKind.SET_STAGE, Stage.DECODE)).accepted
+        assert not (await send(3, WorkerCommandKind.RESUME, None)).accepted
         report = await pair.client.status(pair.prefill)
         assert (report.stage, report.status) == (Stage.DECODE, WorkerStatus.DRAINING)
 
--- a/tests/standins/test_plain_service.py
+++ b/tests/emulators/test_plain_service.py
@@ -5,11 +5,11 @@
 import aiohttp
 import msgspec
 import pytest
-from standin_harness import backend_client, make_service, running
+from emulator_harness import backend_client, make_service, running
 
-from orchidpath.standins.answers import is_expected_call_body
-from orchidpath.standins.faults import FaultKind
-from orchidpath.standins.reports import ExecutionList
+from orchidpath.emulators.backend.answers import is_expected_call_body
+from orchidpath.emulators.backend.injected_faults import FaultKind
+from orchidpath.emulators.backend.reports import ExecutionList
 from orchidpath.wire.backend import CallReply, ErrorCode, Ran
 
 
--- a/tests/standins/test_verification.py
+++ b/tests/emulators/test_verification.py
@@ -5,11 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidpath.standins.answers import answer_tokens, expected_call_body, expected_text
-from orchidpath.standins.caller_report import RequestResult
-from orchidpath.standins.return_policy import ReturnPolicy, may_return
-from orchidpath.standins.traffic_mix import TrafficKind
-from orchidpath.standins.verification import Outcome, StreamVerifier, judge_call
+from orchidpath.emulators.backend.answers import answer_tokens, expected_call_body, expected_text
+from orchidpath.emulators.client.caller_report import RequestResult
+from orchidpath.emulators.client.return_policy import ReturnPolicy, may_return
+from orchidpath.emulators.client.traffic_mix import TrafficKind
+from orchidpath.emulators.client.verification import Outcome, StreamVerifier, judge_call
 
 ERROR = b'event: error\ndata: {"error": {"code": "stream_broken", "ran": "yes"}}\n\n'
 DONE = b"data: [DONE]\n\n"
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -4,11 +4,11 @@
 from pathlib import Path
 
 from orchidpath.fleet.fault_runner import FaultRunner, write_fault_file
-from orchidpath.fleet.faults import CutTable, timeline
+from orchidpath.fleet.fault_timeline import CutTable, timeline
 from orchidpath.fleet.file import ScriptedFault, ScriptedFaultKind
 from orchidpath.fleet.layout import FleetLayout, ProcessKind, ProcessPlan
 from orchidpath.fleet.processes import ChildProcess
-from orchidpath.wire.faults import LinkFaultFileReader, LinkFaults
+from orchidpath.wire.link_faults import LinkFaultFileReader, LinkFaults
 
 BOUND_SECONDS = 15.0
 
--- a/tests/fleet/test_fleet_summary.py
+++ b/tests/fleet/test_fleet_summary.py
@@ -4,8 +4,19 @@
 import pytest
 
 from orchidpath.consensus.types import Role
-from orchidpath.control.operator_bodies import StatusBody
-from orchidpath.control.operator_client import OperatorClient
+from orchidpath.control.api.operator_bodies import StatusBody
+from orchidpath.control.api.operator_client import OperatorClient
+from orchidpath.emulators.backend.attempts import Phase
+from orchidpath.emulators.backend.reports import ExecutionRecord
+from orchidpath.emulators.client.caller_report import (
+    CallerSummary,
+    CodeCount,
+    OutcomeCounts,
+    Percentiles,
+    RequestResult,
+)
+from orchidpath.emulators.client.traffic_mix import TrafficKind
+from orchidpath.emulators.client.verification import Outcome
 from orchidpath.fleet.executions import (
     ExecutionKey,
     ExecutionPolicy,
@@ -15,17 +26,6 @@
 )
 from orchidpath.fleet.summary import RunEvidence, summarise
 from orchidpath.fleet.watch import ControlWatch
-from orchidpath.standins.attempts import Phase
-from orchidpath.standins.caller_report import (
-    CallerSummary,
-    CodeCount,
-    OutcomeCounts,
-    Percentiles,
-    RequestResult,
-)
-from orchidpath.standins.reports import ExecutionRecord
-from orchidpath.standins.traffic_mix import TrafficKind
-from orchidpath.standins.verification import Outcome
 from orchidpath.wire.configuration import Configuration, Route, Service, ServiceKind
 
 NONE = Percentiles(count=0, p50_seconds=0, p95_seconds=0, p99_seconds=0, maximum_seconds=0)
@@ -109,16 +109,16 @@
         execution("wine-1", "r1"),
         execution("wine-2", "r1"),
         execution("wine-1", "r2"),
-        execution("wine-1", "r3", Phase.PROMPT_READ),
-        execution("wine-2", "r3", Phase.PROMPT_READ),
-        execution("strict-1", "r4", Phase.PROMPT_READ),
-        execution("strict-1", "r4", Phase.PROMPT_READ),
+        execution("wine-1", "r3", Phase.PREFILL_DONE),
+        execution("wine-2", "r3", Phase.PREFILL_DONE),
+        execution("strict-1", "r4", Phase.PREFILL_DONE),
+        execution("strict-1", "r4", Phase.PREFILL_DONE),
         execution("board-1", "r5"),
         execution("board-1", "r5"),
     ]
     assert repeated_executions(records, POLICY) == [
         ExecutionKey("r1", Phase.EXECUTION),
-        ExecutionKey("r4", Phase.PROMPT_READ),
+        ExecutionKey("r4", Phase.PREFILL_DONE),
     ]
 
 
@@ -131,7 +131,7 @@
         result(Outcome.ANSWERED, request_id="r4"),
     ]
     records = [execution("wine-1", request_id) for request_id in ("r1", "r3", "r4")]
-    records.append(execution("wine-1", "r2", Phase.PROMPT_READ))
+    records.append(execution("wine-1", "r2", Phase.PREFILL_DONE))
     assert refused_but_ran(records, results, POLICY) == ["r1"]
 
 
