--- a/src/orchidpath/cli/simulate.py
+++ b/src/orchidpath/cli/simulate.py
@@ -32,7 +32,7 @@
     scenario: Scenario
     seeds: int
     violations: tuple[ScenarioResult, ...]
-    confirmed_updates: int
+    confirmed_updates: int = msgspec.field(name="confirmed_orders")
     fresh_checks: int
     virtual_seconds: float
     requests: int = 0
--- a/src/orchidpath/placement/execution.py
+++ b/src/orchidpath/placement/execution.py
@@ -1,7 +1,7 @@
-"""What the leader does next for the plan that runs; pure.
+"""What the leader does next for the running plan; pure.
 
 Asked on every tick with the replicated progress and what this leadership has seen since it began.
-Nothing is remembered here, so a new leader goes on from the replicated phase alone
+Nothing is remembered here, so a new leader continues from the replicated phase alone
 (docs/design/plans.md, "Execution").
 """
 
@@ -22,26 +22,27 @@
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
 COMMAND_REPEAT_SECONDS = 1.0
-"""An order that has not had its effect is sent again after this long, as a newer one."""
+"""A command that has had no effect is sent again after this long, with a higher sequence."""
 
 CORDON_SECONDS = 10.0
-"""Bound on the wait until every serving router knows of a hold; 1.7 s when one is cut off."""
+"""Bound on the wait until every serving router knows of a cordon; 1.7 s when one is
+partitioned."""
 
 SWITCH_SECONDS = 60.0
-"""Bound on the change itself; a prefill worker first waits until its KV cache handles lapse."""
+"""Bound on the change itself; a prefill worker first waits until its KV cache handles expire."""
 
 RESUME_SECONDS = 15.0
 """Bound on the wait until a worker takes requests again."""
 
 RETURN_SECONDS = 15.0
-"""Bound on the wait until a worker that was given up takes requests again in its old part."""
+"""Bound on the wait until a worker whose step was given up takes requests in its old stage."""
 
 
 class StepWatch(msgspec.Struct, frozen=True, kw_only=True):
     """What this leadership has seen of a step in its present phase.
 
-    ``since`` is when it first saw the phase, ``ordered_at`` when it last sent an order in it;
-    ``accepted`` is the newest order that the worker accepted in it.
+    ``since`` is when it first saw the phase, ``ordered_at`` when it last sent a command in
+    it; ``accepted`` is the newest command that the worker accepted in it.
     """
 
     since: float
@@ -50,7 +51,7 @@
 
 
 class Advance(msgspec.Struct, frozen=True, kw_only=True):
-    """Propose a step's next phase; with a reason when the step is given up."""
+    """Propose a step's next phase, with a reason when the step is given up."""
 
     step: int
     expected: StepPhase
@@ -59,7 +60,7 @@
 
 
 class SendStepCommand(msgspec.Struct, frozen=True, kw_only=True):
-    """Order the worker of a step."""
+    """Send a command to the worker of a step."""
 
     step: int
     kind: WorkerCommandKind
@@ -72,7 +73,7 @@
     reason: str
 
 
-PlanAction = Advance | SendStepCommand | Stop
+PlanInstruction = Advance | SendStepCommand | Stop
 
 
 class PlanSituation(msgspec.Struct, frozen=True, kw_only=True):
@@ -89,7 +90,7 @@
     now: float
 
 
-def next_actions(record: PlanRecord, situation: PlanSituation) -> list[PlanAction]:
+def next_actions(record: PlanRecord, situation: PlanSituation) -> list[PlanInstruction]:
     """Return what to do now; asking again before it took effect gives the same, at most.
 
     Parameters
@@ -99,7 +100,7 @@
     situation
         The agreed workers, and what this leadership has seen.
     """
-    actions: list[PlanAction] = []
+    actions: list[PlanInstruction] = []
     for position, progress in enumerate(record.progress.steps):
         if progress.phase in OPEN_PHASES:
             action = _open_step_action(record, position, situation)
@@ -110,12 +111,12 @@
     return actions
 
 
-def _begin_actions(record: PlanRecord, situation: PlanSituation) -> list[PlanAction]:
-    """Begin the next waiting step of each service that may hold back one worker more.
+def _begin_actions(record: PlanRecord, situation: PlanSituation) -> list[PlanInstruction]:
+    """Start the next waiting step of each service that may cordon one worker more.
 
-    One a service at a time, because whether the one after it may begin depends on this hold.
+    One step a service at a time, because whether the next may start depends on this cordon.
     """
-    actions: list[PlanAction] = []
+    actions: list[PlanInstruction] = []
     seen: set[str] = set()
     for position, step in enumerate(record.plan.steps):
         if record.progress.steps[position].phase is not StepPhase.WAITING or step.service in seen:
@@ -134,8 +135,8 @@
 
 def _open_step_action(
     record: PlanRecord, position: int, situation: PlanSituation
-) -> PlanAction | None:
-    """Return the next action of a step whose worker is held back."""
+) -> PlanInstruction | None:
+    """Return the next instruction for a step whose worker is cordoned."""
     step = record.plan.steps[position]
     phase = record.progress.steps[position].phase
     worker = situation.workers.get(step.worker_id)
@@ -143,7 +144,7 @@
         return _abandon(position, phase, f"{step.worker_id} was lost")
     if worker.incarnation != step.incarnation:
         return _abandon(position, phase, f"{step.worker_id} was restarted")
-    # Up to this phase nothing was changed, so giving up means going back.
+    # Up to this phase nothing was changed, so giving up means a rollback.
     reversible = phase in {StepPhase.CORDONING, StepPhase.DRAINING}
     if reversible and record.progress.status in {PlanStatus.CANCELLING, PlanStatus.STOPPING}:
         return Advance(step=position, expected=phase, phase=StepPhase.RETURNING)
@@ -152,7 +153,7 @@
         return Advance(step=position, expected=phase, phase=following)
     if situation.now - situation.watches[position].since > _bound_seconds(record, position):
         return _give_up(position, phase, step.worker_id)
-    return _order_action(record, position, situation)
+    return _command_instruction(record, position, situation)
 
 
 def _following_phase(
@@ -175,8 +176,8 @@
             return StepPhase.SWITCHING
         case StepPhase.SWITCHING if worker.stage is step.to_stage:
             return StepPhase.RESUMING
-        # An announcement alone may be older than a DRAIN that is still on its way: only the
-        # worker's own answer to RESUME says that no order before it can be obeyed any more.
+        # An announcement alone may be older than a DRAIN still in flight: only the worker's own
+        # reply to RESUME proves that it will execute no earlier command any more.
         case StepPhase.RESUMING if resumed and worker.stage is step.to_stage:
             return StepPhase.RELEASED
         case StepPhase.RETURNING if resumed:
@@ -184,10 +185,10 @@
     return None
 
 
-def _order_action(
+def _command_instruction(
     record: PlanRecord, position: int, situation: PlanSituation
 ) -> SendStepCommand | None:
-    """Return the order that the phase asks for, unless it was sent a moment ago."""
+    """Return the command that the phase needs, unless it was sent a moment ago."""
     phase = record.progress.steps[position].phase
     if phase is StepPhase.CORDONING:
         return None
@@ -214,7 +215,7 @@
 
 
 def _give_up(position: int, phase: StepPhase, worker_id: str) -> Advance:
-    """Give a step up after its bound: back if the worker can still be asked, else leave it."""
+    """Give a step up after its bound: roll back if the worker may still answer, else abandon."""
     reason = f"{worker_id} took too long: {phase}"
     if phase in {StepPhase.RESUMING, StepPhase.RETURNING}:
         return _abandon(position, phase, reason)
@@ -228,10 +229,10 @@
 def workers_to_resume(
     abandoned: Iterable[AbandonedWorker], workers: Mapping[str, WorkerRecord]
 ) -> list[WorkerRecord]:
-    """Return the abandoned workers that have come back drained and that no plan works on.
+    """Return the abandoned workers that have come back draining and are in no plan.
 
-    Without RESUME they would drain for ever: a worker that was lost for a while obeys the orders
-    that it was given before. One that ends anyway stays draining; the order does no harm.
+    Without RESUME they would drain for ever: a worker that was unreachable for a while still
+    executes earlier commands. One that shuts down anyway stays draining; RESUME does no harm.
     """
     found = []
     for one in abandoned:
@@ -244,9 +245,9 @@
 
 
 def step_bound_seconds(drain_seconds: float) -> float:
-    """Return how long a step holds its worker back at most, under one leader.
+    """Return how many seconds a step cordons its worker at most, under one leader.
 
     A step that runs into the bound of its change also waits for the return.
     """
-    way_there = CORDON_SECONDS + drain_seconds + SWITCH_SECONDS
-    return way_there + max(RESUME_SECONDS, RETURN_SECONDS)
+    forward_seconds = CORDON_SECONDS + drain_seconds + SWITCH_SECONDS
+    return forward_seconds + max(RESUME_SECONDS, RETURN_SECONDS)
--- a/src/orchidpath/placement/planner.py
+++ b/src/orchidpath/placement/planner.py
@@ -1,7 +1,7 @@
 """From the agreed workers and the desired counts to the plan that reaches them; pure.
 
 The plan moves the fewest workers, keeps zones and failure domains even in both stages and, among
-equals, gives up the smallest part of the prefill ring (docs/design/plans.md, "Whom to move"). It
+equals, moves the smallest share of the prefill ring (docs/design/plans.md, "Whom to move"). It
 depends on agreed state only, so every control process computes the same plan under the same id.
 """
 
@@ -42,7 +42,7 @@
 
 
 class StepPreview(msgspec.Struct, frozen=True, kw_only=True):
-    """One worker's change; ``ring_share`` is its part of the prefill ring before or after."""
+    """One worker's change; ``ring_share`` is its share of the prefill ring before or after."""
 
     step: PlanStep
     zone: str
@@ -53,8 +53,9 @@
 class ServicePreview(msgspec.Struct, frozen=True, kw_only=True):
     """What a plan means for one service.
 
-    ``moved_ring_share`` is the part of the prefill ring's keys that get another owner, and so lose
-    their cache. Times are bounds under one leader; each fail-over may add one step's bound.
+    ``moved_ring_share`` is the share of the prefill ring's keys that get another owner, and so
+    lose their prefix cache. Times are bounds under one leader; each fail-over may add the bound of
+    one step.
     """
 
     service: str
@@ -71,7 +72,7 @@
 class PlanPreview(msgspec.Struct, frozen=True, kw_only=True):
     """What would move now, in this order; nothing without steps.
 
-    ``not_counted`` are workers of the services that serve nobody now: draining or held back.
+    ``not_counted`` are workers of the services that are draining or cordoned.
     """
 
     plan: Plan
@@ -84,7 +85,7 @@
 class _ServiceMoves(msgspec.Struct, frozen=True):
     """The workers of one service that change, and the service before.
 
-    ``shares`` are those of the ring of all workers that read prompts before or after.
+    ``shares`` are those of the ring of all prefill workers before or after.
     """
 
     service: Service
@@ -164,17 +165,17 @@
 def _plan_service(service: Service, workers: list[WorkerRecord]) -> _ServiceMoves | PlanRefusal:
     """Choose the workers of one service that change, or say why none does.
 
-    The counts are what each stage needs at least; workers beyond both stay where they are. So at
-    most one stage lacks workers, and each move is needed.
+    The desired counts are minimums; workers beyond both stay where they are. So at most one stage
+    lacks workers, and each move is needed.
     """
     prefill = tuple(one for one in workers if one.stage is Stage.PREFILL)
     decode = tuple(one for one in workers if one.stage is Stage.DECODE)
-    wanted = service.prefill_workers + service.decode_workers
+    desired = service.prefill_workers + service.decode_workers
     if service.prefill_workers < 1 or service.decode_workers < 1:
         message = "each stage needs a worker to serve"
         return _refusal(service, RefusalReason.STAGE_WOULD_BE_EMPTY, message)
-    if len(prefill) + len(decode) < wanted:
-        message = f"{len(prefill) + len(decode)} workers serve, {wanted} are wanted"
+    if len(prefill) + len(decode) < desired:
+        message = f"{len(prefill) + len(decode)} workers serve, {desired} are wanted"
         return _refusal(service, RefusalReason.NOT_ENOUGH_WORKERS, message)
     lacking_prefill = service.prefill_workers - len(prefill)
     lacking_decode = service.decode_workers - len(decode)
@@ -185,7 +186,7 @@
         shares = ring_shares([one.worker_id for one in prefill])
         moved = _choose(prefill, decode, lacking_decode, shares)
     else:
-        message = f"{len(prefill)} workers read prompts and {len(decode)} decode"
+        message = f"{len(prefill)} workers prefill and {len(decode)} decode"
         return _refusal(service, RefusalReason.ALREADY_AS_DESIRED, message)
     return _ServiceMoves(service, prefill, decode, moved, shares)
 
@@ -195,20 +196,20 @@
 
 
 def _choose(
-    giving: Sequence[WorkerRecord],
-    taking: Sequence[WorkerRecord],
+    source: Sequence[WorkerRecord],
+    target: Sequence[WorkerRecord],
     count: int,
     shares: dict[str, float],
 ) -> tuple[WorkerRecord, ...]:
     """Choose the workers that leave a stage, one after another.
 
-    Each time the zone, then the failure domain, where the giving stage is furthest ahead of the
-    taking one: that keeps the sum of the squared counts of both stages smallest. Then the worker
-    whose part of the ring, and so of the caches, is smallest; then by id.
+    Each time the zone, then the failure domain, where the source stage is furthest ahead of the
+    target stage: that keeps the sum of the squared counts of both stages smallest. Then the worker
+    with the smallest share of the ring, and so of the prefix caches; then by id.
     """
-    zones = _Surplus(giving, taking, by_zone=True)
-    domains = _Surplus(giving, taking, by_zone=False)
-    left = sorted(giving, key=lambda one: (shares.get(one.worker_id, 0.0), one.worker_id))
+    zones = _Surplus(source, target, by_zone=True)
+    domains = _Surplus(source, target, by_zone=False)
+    left = sorted(source, key=lambda one: (shares.get(one.worker_id, 0.0), one.worker_id))
     chosen: list[WorkerRecord] = []
     for _ in range(count):
         # max() keeps the first of equals, which is the one with the smallest share.
@@ -224,21 +225,21 @@
     """By how many workers one stage is ahead of the other, by zone or by failure domain."""
 
     def __init__(
-        self, giving: Sequence[WorkerRecord], taking: Sequence[WorkerRecord], by_zone: bool
+        self, source: Sequence[WorkerRecord], target: Sequence[WorkerRecord], by_zone: bool
     ) -> None:
         self._by_zone = by_zone
-        self._counts = Counter(self._place(one) for one in giving)
-        self._counts.subtract(self._place(one) for one in taking)
+        self._counts = Counter(self._location(one) for one in source)
+        self._counts.subtract(self._location(one) for one in target)
 
     def of(self, worker: WorkerRecord) -> int:
         """Return the surplus where a worker is."""
-        return self._counts[self._place(worker)]
+        return self._counts[self._location(worker)]
 
     def move(self, worker: WorkerRecord) -> None:
-        """Note that a worker changes over."""
-        self._counts[self._place(worker)] -= 2
+        """Record that a worker changes its stage."""
+        self._counts[self._location(worker)] -= 2
 
-    def _place(self, worker: WorkerRecord) -> str:
+    def _location(self, worker: WorkerRecord) -> str:
         return worker.zone if self._by_zone else worker.failure_domain
 
 
@@ -286,7 +287,7 @@
 
 
 def _step_previews(moves: _ServiceMoves) -> list[StepPreview]:
-    """Show each step with the part of the ring that its worker has while it reads prompts."""
+    """Return each step with the share of the ring that its worker has as a prefill worker."""
     return [
         StepPreview(
             step=_step(worker),
--- a/src/orchidpath/placement/prefill_placement.py
+++ b/src/orchidpath/placement/prefill_placement.py
@@ -1,16 +1,18 @@
-"""Where prompts are read: which workers hold a prefix, and how much each has to read; pure.
+"""Where prompts are prefilled: which workers cache a prefix, and what each has queued; pure.
 
-The leader decides every attempt, so it knows where each shared prefix was read last and what every
-worker still has to read. The cost of a worker for a prompt is how long it would take until the
-prompt is read: what waits there, and the prompt itself without the shared part if the worker holds
-that, at the worker's own pace. The ring gives the order among equals, so a new leader, which knows
-nothing yet, and a router that decides alone choose much the same.
+The leader decides every attempt, so it knows where each shared prefix was prefilled last and what
+every worker has queued. The cost of a prefill worker for a prompt is the time until the prompt is
+prefilled: the wait in its queue, and the prompt itself, without the shared prefix if the worker
+has it cached, at the worker's own pace. The hash ring gives the order among equal costs, so a new
+leader, which knows nothing yet, and a router that decides alone choose much the same.
 
-A prompt may also be read by the decode worker itself, more slowly and between the tokens of its
-streams, but without a hand-over. That is chosen when its cost, so weighed, is lower.
+A decode worker may prefill a short prompt itself ("decode-side prefill"): more slowly and between
+the tokens of its streams, but without a KV transfer. That is chosen when its weighted cost is
+lower.
 
-All of it is soft state: it is an estimate, rebuilt by use, and a wrong one costs a prompt that is
-read again.
+All of this is soft state: an estimate, rebuilt by use. A wrong estimate costs a recomputed prefix.
+Costs are in prompt tokens, or in seconds where a worker's measured pace is known; how the weights
+were found is told in docs/measured-decisions.md and docs/large-deployments.md.
 """
 
 from collections import OrderedDict
@@ -30,71 +32,61 @@
 )
 from orchidpath.wire.records import Stage
 
-CAPACITY_SHARE = 0.8
-"""Share of a worker's KV cache that is taken to hold shared prefixes; the rest serves requests."""
+PREFIX_CACHE_SHARE = 0.8
+"""Share of a worker's KV cache assumed to hold shared prefixes; running requests use the rest."""
 
 DEFAULT_CAPACITY_TOKENS = 400_000
-"""Capacity of a worker of which the configuration says nothing."""
+"""KV cache of a worker, in tokens, when the configuration does not say."""
 
 RECOMPUTE_WEIGHT = 2.0
-"""Weight of shared tokens that a worker does not hold: reading them delays whoever comes next."""
+"""Weight of a shared token that a worker must recompute: it also delays the requests behind."""
 
-DIRECT_READ_WEIGHT = 5.0
-"""Weight of a token that a decode worker reads.
-
-It reads at half the pace of a prefill worker, and slows its streams meanwhile. With a weight of 2
-quiet days lost 0.07 of their worth: decode workers read while pairs were free.
-"""
+DECODE_SIDE_PREFILL_WEIGHT = 5.0
+"""Weight of a token prefilled by a decode worker: half the pace, and its streams slow meanwhile."""
 
 MAX_DECODE_SIDE_PREFILL_TOKENS = 6_000
-"""A decode worker is not chosen to read more: nothing else is taken up there meanwhile.
-
-Seen on the bench: 22,000 tokens kept every hand-over to one worker waiting for two seconds.
-"""
+"""Most tokens that a decode worker prefills: KV transfers to it wait until it is done."""
 
 KV_TRANSFER_TOKENS = 1_500
-"""Cost of a hand-over, in tokens that could be read meanwhile."""
+"""Fixed cost of a KV transfer, in tokens that could be prefilled meanwhile."""
 
-MOVED_TOKEN_WEIGHT = 0.05
-"""Cost of moving the KV cache of one token, in tokens that could be read meanwhile."""
+TRANSFERRED_TOKEN_WEIGHT = 0.05
+"""Cost of transferring the KV cache of one token, in tokens that could be prefilled meanwhile."""
 
-FAR_MOVE_WEIGHT = 0.25
-"""Cost of moving the KV cache of one token to another zone, beyond that of moving it in its zone.
+CROSS_ZONE_TRANSFER_WEIGHT = 0.25
+"""Cost of transferring the KV cache of one token to another zone, in tokens, beyond the same-zone
+cost: it takes longer and the traffic between zones is paid for."""
 
-Moves between zones take longer and cost money. In the same unit.
-"""
-
-FAR_REQUEST_TOKENS = 1_000
-"""Cost of a prompt that a decode worker in another zone than the router's reads, in tokens.
+CROSS_ZONE_REQUEST_TOKENS = 1_000
+"""Cost of a decode worker in another zone than the router's, in tokens.
 
 The request and its stream cross zones, over a connection that is seldom open already.
 """
 
 STREAM_TOKENS = 500
-"""Cost of reading beside one running stream, in tokens."""
-
-WAITING_TOKEN_WEIGHT = 0.5
-"""Cost for a hand-over of a token that a decode worker still has to read itself."""
+"""Cost of one attempt in flight on a worker, in tokens."""
 
+QUEUED_TOKEN_WEIGHT = 0.5
+"""Cost, for a KV transfer, of a token that the decode worker has queued to prefill itself."""
 
-MAX_AWAITED = 40_000
-"""Prompts that workers will hold soon and that are remembered."""
+MAX_PENDING_PREFIXES = 40_000
+"""Bound on the prefixes remembered as about to be cached, one an attempt and worker."""
 
-LEAST_AWAITED_TOKENS = 2_000
-"""Nobody waits for the read of a shorter shared part."""
+MIN_POSTPONED_TOKENS = 2_000
+"""A request is postponed only for a shared prefix of at least this many tokens."""
 
-LONGEST_POSTPONEMENT_SECONDS = 0.15
-"""A postponed request asks again after this long at the latest."""
+MAX_POSTPONEMENT_SECONDS = 0.15
+"""Longest time after which a postponed request asks for a decision again."""
 
-SHORTEST_POSTPONEMENT_SECONDS = 0.03
-"""A postponed request does not ask again sooner."""
+MIN_POSTPONEMENT_SECONDS = 0.03
+"""Shortest time after which a postponed request asks for a decision again."""
 
-OVERDUE_SECONDS = 1.0
-"""Nobody waits longer for a read that should have ended."""
+MAX_OVERDUE_SECONDS = 1.0
+"""No request is postponed for a prefill that should have ended this long ago."""
 
 
 class _CachedPrefixes:
-    """Prefixes that one worker is taken to hold; the one used longest ago goes first."""
+    """Prefixes that one worker is assumed to have cached; the least recently used goes first."""
 
     def __init__(self) -> None:
         self._tokens: OrderedDict[int, int] = OrderedDict()
@@ -104,6 +96,7 @@
         return prefix_key in self._tokens
 
     def use(self, prefix_key: int, tokens: int, capacity_tokens: int) -> None:
+        """Mark a prefix as used now, and evict others beyond the capacity."""
         self._total += tokens - self._tokens.pop(prefix_key, 0)
         self._tokens[prefix_key] = tokens
         while self._total > capacity_tokens and len(self._tokens) > 1:
@@ -111,39 +104,45 @@
 
 
 class PrefillPlacement:
-    """Orders the candidates of decisions by what they would have to read."""
+    """Orders the candidates of decisions by the cost of prefilling the prompt there.
+
+    Notes
+    -----
+    ``order``, ``postponed_seconds`` and ``decided`` are called in this order for each decision
+    request, ``reported`` for each batch of reports.
+    """
 
     def __init__(self) -> None:
         self._cached_prefixes: dict[str, _CachedPrefixes] = {}
         self._queues = PrefillQueues()
-        self._awaited: OrderedDict[tuple[str, str], PromptShape] = OrderedDict()
-        self._reading: dict[tuple[str, int], str] = {}
+        self._pending_prefixes: OrderedDict[tuple[str, str], PromptShape] = OrderedDict()
+        self._prefilling: dict[tuple[str, int], str] = {}
         self._capacity_tokens = DEFAULT_CAPACITY_TOKENS
         self._policy = PlacementPolicy()
         self._zones: Mapping[str, str] = {}
 
     def set_policy(self, policy: PlacementPolicy) -> None:
-        """Take which mechanisms are in use."""
+        """Set which mechanisms are in use."""
         self._policy = policy
 
     def set_capacity(self, kv_capacity_tokens: int) -> None:
-        """Take the capacity of a worker's KV cache; 0 when it is not known."""
+        """Set the KV cache of a worker, in tokens; 0 when it is not known."""
         self._capacity_tokens = kv_capacity_tokens or DEFAULT_CAPACITY_TOKENS
 
     def set_workers(self, worker_ids: frozenset[str]) -> None:
-        """Forget workers that are gone: a new incarnation holds nothing."""
+        """Forget workers that were removed: a new incarnation has nothing cached."""
         for worker_id in [one for one in self._cached_prefixes if one not in worker_ids]:
             del self._cached_prefixes[worker_id]
-        for key in [one for one in self._reading if one[0] not in worker_ids]:
-            del self._reading[key]
+        for key in [one for one in self._prefilling if one[0] not in worker_ids]:
+            del self._prefilling[key]
         self._queues.set_workers(worker_ids)
 
     def set_zones(self, zones: Mapping[str, str]) -> None:
-        """Take the zone of every worker."""
+        """Set the zone of every worker."""
         self._zones = zones
 
     def waiting_tokens(self, worker_id: str) -> int:
-        """Return the tokens that a worker still has to read, as far as is known."""
+        """Return the tokens that a worker has queued for prefill, as far as is known."""
         return self._queues.waiting_tokens(worker_id)
 
     def order(
@@ -155,8 +154,6 @@
     ) -> DecisionRequest:
         """Return the request with its candidates in the order of their cost.
 
-        Without its prefill leg, the prompt is to be read by the decode worker.
-
         Parameters
         ----------
         request
@@ -168,83 +165,65 @@
             Monotonic seconds.
         router_zone
             Zone of the router that asks; empty when it is not known.
+
+        Returns
+        -------
+        DecisionRequest
+            Without prefill candidates when the decode worker is to prefill the prompt.
         """
         prompt = request.prompt
-        per_stage = {
-            stage_candidates.stage: stage_candidates for stage_candidates in request.per_stage
-        }
-        if prompt is None or Stage.DECODE not in per_stage:
+        by_stage = {candidates.stage: candidates for candidates in request.per_stage}
+        if prompt is None or Stage.DECODE not in by_stage:
             return request
         self._queues.expire(now)
-        decode = per_stage[Stage.DECODE]
-        prefill = per_stage.get(Stage.PREFILL)
-
-        def load_cost(worker_id: str) -> float:
-            waiting = WAITING_TOKEN_WEIGHT * self.waiting_tokens(worker_id)
-            return waiting + STREAM_TOKENS * in_flight(worker_id)
-
-        def request_cost(worker_id: str) -> float:
-            is_far = bool(router_zone) and self._zones.get(worker_id, "") != router_zone
-            prefers_near = self._policy.near_requests and not request.is_read
-            return load_cost(worker_id) + (FAR_REQUEST_TOKENS if is_far and prefers_near else 0.0)
-
+        decode = by_stage[Stage.DECODE]
+        prefill = by_stage.get(Stage.PREFILL)
         if prefill is None:
-            ordered = self._sorted(decode, request_cost)
-            return msgspec.structs.replace(request, per_stage=(ordered,))
-
-        def direct_cost(worker_id: str) -> float:
-            tokens = self.waiting_tokens(worker_id) + self._uncached_tokens(worker_id, prompt)
-            return DIRECT_READ_WEIGHT * tokens + STREAM_TOKENS * in_flight(worker_id)
-
+            near_cost = self._near_cost(request, in_flight, router_zone)
+            return msgspec.structs.replace(request, per_stage=(_sorted(decode, near_cost),))
         prefill = self._order_prefill(prefill, prompt, now)
-        direct = self._sorted(decode, direct_cost)
-        if self._is_direct(prefill, direct, direct_cost, prompt, now):
-            return msgspec.structs.replace(request, per_stage=(direct,))
-        reader_zone = self._zones.get(next(iter(prefill.candidates), ""), "")
-        far_cost = FAR_MOVE_WEIGHT * (prompt.own_tokens + prompt.shared_tokens)
-
-        def kv_transfer_cost(worker_id: str) -> float:
-            is_far = self._policy.near_pairs and self._zones.get(worker_id, "") != reader_zone
-            return load_cost(worker_id) + (far_cost if is_far else 0.0)
-
-        ordered = self._sorted(decode, kv_transfer_cost)
-        return msgspec.structs.replace(request, per_stage=(prefill, ordered))
+        decode_side_cost = self._decode_side_cost(prompt, in_flight)
+        decode_side = _sorted(decode, decode_side_cost)
+        if self._is_decode_side_cheaper(prefill, decode_side, decode_side_cost, prompt, now):
+            return msgspec.structs.replace(request, per_stage=(decode_side,))
+        pair_cost = self._pair_cost(prefill, prompt, in_flight)
+        return msgspec.structs.replace(request, per_stage=(prefill, _sorted(decode, pair_cost)))
 
     def decided(self, request: DecisionRequest, reply: DecisionReply, now: float) -> float:
-        """Note where a prompt is going to be read, and which workers will hold it.
+        """Record where a prompt is going to be prefilled, and which workers will cache it.
 
         Returns
         -------
         float
-            Seconds until the prompt is expected to be read; 0 when none is to be read.
+            Seconds until the prefill is expected to end; 0 when there is none.
         """
         prompt = request.prompt
         if prompt is None or request.attempt_id in self._queues:
             return 0.0
         expected_seconds = 0.0
-        stages = [stage_candidates.stage for stage_candidates in request.per_stage]
+        first_stage = request.per_stage[0].stage if request.per_stage else None
         for choice in reply.choices:
-            if choice.stage is stages[0] and not request.is_read:
+            if choice.stage is first_stage and not request.is_read:
                 expected_seconds = self._queues.begin(
                     request.attempt_id,
                     choice.worker_id,
                     self._uncached_tokens(choice.worker_id, prompt),
                     now,
-                    shows_pace=choice.stage is Stage.PREFILL,
+                    measures_pace=choice.stage is Stage.PREFILL,
                 )
-            if choice.stage is Stage.PREFILL and not self._holds(choice.worker_id, prompt):
-                self._reading[choice.worker_id, prompt.prefix_key] = request.attempt_id
+            if choice.stage is Stage.PREFILL and not self._has_cached(choice.worker_id, prompt):
+                self._prefilling[choice.worker_id, prompt.prefix_key] = request.attempt_id
             if choice.stage in {Stage.PREFILL, Stage.DECODE}:
-                self._awaited[request.attempt_id, choice.worker_id] = prompt
-                if len(self._awaited) > MAX_AWAITED:
-                    self._awaited.popitem(last=False)
+                self._pending_prefixes[request.attempt_id, choice.worker_id] = prompt
+                if len(self._pending_prefixes) > MAX_PENDING_PREFIXES:
+                    self._pending_prefixes.popitem(last=False)
         return expected_seconds
 
     def postponed_seconds(self, request: DecisionRequest, now: float) -> float:
         """Return after how long a request should ask again; 0 when it can be decided now.
 
-        A worker that is reading a shared part does not hold it yet: a second prompt with the same
-        part, sent there meanwhile, would have all of it read twice.
+        A worker that is prefilling a shared prefix does not have it cached yet: a second prompt
+        with the same prefix, sent there meanwhile, would have all of it computed twice.
 
         Parameters
         ----------
@@ -256,108 +235,153 @@
         prompt = request.prompt
         if not self._policy.postponement:
             return 0.0
-        if prompt is None or not request.may_wait or prompt.shared_tokens < LEAST_AWAITED_TOKENS:
+        if prompt is None or not request.may_wait or prompt.shared_tokens < MIN_POSTPONED_TOKENS:
             return 0.0
         first = request.per_stage[0]
         if first.stage is not Stage.PREFILL or not first.candidates:
             return 0.0
-        attempt_id = self._reading_attempt(first.candidates[0], prompt)
+        attempt_id = self._prefilling_attempt(first.candidates[0], prompt)
         if attempt_id is None:
             return 0.0
         expected_end = self._queues.expected_end(attempt_id)
-        if expected_end is None or now > expected_end + OVERDUE_SECONDS:
+        if expected_end is None or now > expected_end + MAX_OVERDUE_SECONDS:
             return 0.0
-        left = min(expected_end - now, LONGEST_POSTPONEMENT_SECONDS)
-        return max(left, SHORTEST_POSTPONEMENT_SECONDS)
+        remaining_seconds = min(expected_end - now, MAX_POSTPONEMENT_SECONDS)
+        return max(remaining_seconds, MIN_POSTPONEMENT_SECONDS)
 
     def reported(self, reports: Sequence[AttemptReport], now: float) -> None:
-        """Note prompt reads that have ended."""
+        """Record prefills that have ended."""
         for report in reports:
             attempt_id = report.attempt_id.removesuffix(PREFILL_DONE_SUFFIX)
-            was_read = attempt_id != report.attempt_id
-            self._queues.end(attempt_id, report.worker_id, now, was_read=was_read)
-            prompt = self._awaited.pop((attempt_id, report.worker_id), None)
+            was_completed = attempt_id != report.attempt_id
+            self._queues.end(attempt_id, report.worker_id, now, was_completed=was_completed)
+            prompt = self._pending_prefixes.pop((attempt_id, report.worker_id), None)
             if prompt is None:
                 continue
-            if self._reading.get((report.worker_id, prompt.prefix_key)) == attempt_id:
-                del self._reading[report.worker_id, prompt.prefix_key]
-            if was_read:
-                self._will_cache(report.worker_id, prompt)
+            if self._prefilling.get((report.worker_id, prompt.prefix_key)) == attempt_id:
+                del self._prefilling[report.worker_id, prompt.prefix_key]
+            if was_completed:
+                self._add_cached(report.worker_id, prompt)
+
+    def _load_cost(self, worker_id: str, in_flight: Callable[[str], int]) -> float:
+        waiting = QUEUED_TOKEN_WEIGHT * self.waiting_tokens(worker_id)
+        return waiting + STREAM_TOKENS * in_flight(worker_id)
+
+    def _near_cost(
+        self, request: DecisionRequest, in_flight: Callable[[str], int], router_zone: str
+    ) -> Callable[[str], float]:
+        """Return the cost of a decode worker that needs no KV transfer from a prefill worker."""
+        prefers_near = self._policy.near_requests and not request.is_read and bool(router_zone)
+
+        def cost(worker_id: str) -> float:
+            is_far = prefers_near and self._zones.get(worker_id, "") != router_zone
+            return self._load_cost(worker_id, in_flight) + (
+                CROSS_ZONE_REQUEST_TOKENS if is_far else 0.0
+            )
+
+        return cost
+
+    def _decode_side_cost(
+        self, prompt: PromptShape, in_flight: Callable[[str], int]
+    ) -> Callable[[str], float]:
+        """Return the cost of a decode worker that prefills the prompt itself."""
+
+        def cost(worker_id: str) -> float:
+            tokens = self.waiting_tokens(worker_id) + self._uncached_tokens(worker_id, prompt)
+            return DECODE_SIDE_PREFILL_WEIGHT * tokens + STREAM_TOKENS * in_flight(worker_id)
+
+        return cost
+
+    def _pair_cost(
+        self, prefill: StageCandidates, prompt: PromptShape, in_flight: Callable[[str], int]
+    ) -> Callable[[str], float]:
+        """Return the cost of a decode worker that pulls the KV cache from the prefill worker."""
+        prefill_zone = self._zones.get(next(iter(prefill.candidates), ""), "")
+        far_cost = CROSS_ZONE_TRANSFER_WEIGHT * (prompt.own_tokens + prompt.shared_tokens)
+
+        def cost(worker_id: str) -> float:
+            is_far = self._policy.near_pairs and self._zones.get(worker_id, "") != prefill_zone
+            return self._load_cost(worker_id, in_flight) + (far_cost if is_far else 0.0)
+
+        return cost
 
     def _order_prefill(
-        self, stage_candidates: StageCandidates, prompt: PromptShape, now: float
+        self, candidates: StageCandidates, prompt: PromptShape, now: float
     ) -> StageCandidates:
-        holders = {
-            one
-            for one in stage_candidates.candidates
-            if self._holds(one, prompt) or self._reading_attempt(one, prompt) is not None
-        }
-        if not holders:
-            # A former leader, and every router that decides alone, sends it to the first one.
-            holders = set(stage_candidates.candidates[:1])
-        if not self._policy.prefix_affinity:
-            holders = set(stage_candidates.candidates)
+        cached_workers = self._cached_workers(candidates, prompt)
 
         def cost(worker_id: str) -> float:
             tokens = float(prompt.own_tokens)
-            if worker_id not in holders:
+            if worker_id not in cached_workers:
                 tokens += RECOMPUTE_WEIGHT * prompt.shared_tokens
             wait_seconds = self._queues.wait_seconds(worker_id, now)
             return wait_seconds + tokens * self._queues.seconds_per_token(worker_id)
 
-        return self._sorted(stage_candidates, cost)
+        return _sorted(candidates, cost)
 
-    def _is_direct(
+    def _cached_workers(self, candidates: StageCandidates, prompt: PromptShape) -> set[str]:
+        """Return the candidates that have the shared prefix cached, or will have it soon."""
+        if not self._policy.prefix_affinity:
+            return set(candidates.candidates)
+        found = {
+            one
+            for one in candidates.candidates
+            if self._has_cached(one, prompt) or self._prefilling_attempt(one, prompt) is not None
+        }
+        # A former leader, and every router that decides alone, sends it to the first one.
+        return found or set(candidates.candidates[:1])
+
+    def _is_decode_side_cheaper(
         self,
         prefill: StageCandidates,
-        direct: StageCandidates,
-        direct_cost: Callable[[str], float],
+        decode_side: StageCandidates,
+        decode_side_cost: Callable[[str], float],
         prompt: PromptShape,
         now: float,
     ) -> bool:
-        """Whether the first decode candidate reads the prompt at a lower cost than a pair."""
-        if not prefill.candidates or not direct.candidates or not self._policy.direct_reads:
+        """Whether the first decode candidate prefills the prompt at a lower cost than a pair."""
+        if not prefill.candidates or not decode_side.candidates or not self._policy.direct_reads:
             return False
-        if self._uncached_tokens(direct.candidates[0], prompt) > MAX_DECODE_SIDE_PREFILL_TOKENS:
+        decode_worker = decode_side.candidates[0]
+        if self._uncached_tokens(decode_worker, prompt) > MAX_DECODE_SIDE_PREFILL_TOKENS:
             return False
-        first = prefill.candidates[0]
+        prefill_worker = prefill.candidates[0]
         total_tokens = prompt.own_tokens + prompt.shared_tokens
-        wait_seconds = self._queues.wait_seconds(first, now)
+        wait_seconds = self._queues.wait_seconds(prefill_worker, now)
         pair_cost = (
             wait_seconds / self._queues.typical_seconds_per_token()
-            + self._uncached_tokens(first, prompt)
+            + self._uncached_tokens(prefill_worker, prompt)
             + KV_TRANSFER_TOKENS
-            + MOVED_TOKEN_WEIGHT * total_tokens
-        )
-        return direct_cost(direct.candidates[0]) < pair_cost
-
-    @staticmethod
-    def _sorted(stage_candidates: StageCandidates, cost: Callable[[str], float]) -> StageCandidates:
-        """Return a leg by cost; workers that were tried come last, and the order is kept else."""
-
-        def key(worker_id: str) -> tuple[bool, float]:
-            return worker_id in stage_candidates.tried, cost(worker_id)
-
-        return msgspec.structs.replace(
-            stage_candidates, candidates=tuple(sorted(stage_candidates.candidates, key=key))
+            + TRANSFERRED_TOKEN_WEIGHT * total_tokens
         )
+        return decode_side_cost(decode_worker) < pair_cost
 
-    def _holds(self, worker_id: str, prompt: PromptShape) -> bool:
+    def _has_cached(self, worker_id: str, prompt: PromptShape) -> bool:
         cached = self._cached_prefixes.get(worker_id)
         return cached is not None and prompt.prefix_key in cached
 
-    def _reading_attempt(self, worker_id: str, prompt: PromptShape) -> str | None:
-        """Return the attempt that has a worker read the shared part of a prompt now."""
-        attempt_id = self._reading.get((worker_id, prompt.prefix_key))
+    def _prefilling_attempt(self, worker_id: str, prompt: PromptShape) -> str | None:
+        """Return the attempt for which a worker is prefilling the shared prefix of a prompt."""
+        attempt_id = self._prefilling.get((worker_id, prompt.prefix_key))
         return attempt_id if attempt_id is not None and attempt_id in self._queues else None
 
     def _uncached_tokens(self, worker_id: str, prompt: PromptShape) -> int:
-        if self._holds(worker_id, prompt):
+        if self._has_cached(worker_id, prompt):
             return prompt.own_tokens
         return prompt.own_tokens + prompt.shared_tokens
 
-    def _will_cache(self, worker_id: str, prompt: PromptShape) -> None:
+    def _add_cached(self, worker_id: str, prompt: PromptShape) -> None:
         if prompt.shared_tokens:
             cached = self._cached_prefixes.setdefault(worker_id, _CachedPrefixes())
-            capacity_tokens = int(self._capacity_tokens * CAPACITY_SHARE)
+            capacity_tokens = int(self._capacity_tokens * PREFIX_CACHE_SHARE)
             cached.use(prompt.prefix_key, prompt.shared_tokens, capacity_tokens)
+
+
+def _sorted(candidates: StageCandidates, cost: Callable[[str], float]) -> StageCandidates:
+    """Return candidates by cost; workers tried already come last, equal costs keep their order."""
+
+    def key(worker_id: str) -> tuple[bool, float]:
+        return worker_id in candidates.tried, cost(worker_id)
+
+    ordered = tuple(sorted(candidates.candidates, key=key))
+    return msgspec.structs.replace(candidates, candidates=ordered)
--- a/src/orchidpath/placement/recommendation.py
+++ b/src/orchidpath/placement/recommendation.py
@@ -1,8 +1,8 @@
-"""Which split of a service's workers the observed load wants: a recommendation, never an action.
+"""Which split of a service's workers suits the observed load: a recommendation, never an action.
 
-Prompt reading and decoding are each loaded by their own tokens. The split that the load wants gives
-both stages the same utilization; it is recommended only if the busier stage gains enough, so that
-a mix that swings around a border does not make workers move to and fro (docs/design/plans.md).
+Prefill and decode are each loaded by their own tokens. The recommended split gives both stages the
+same utilization; it is recommended only if the busier stage gains enough, so that a load that
+swings around a threshold does not make workers switch back and forth (docs/design/plans.md).
 """
 
 import math
@@ -13,18 +13,18 @@
 
 
 class NoSplitError(OrchidpathError):
-    """There are too few workers for two stages, or a rate or capacity is no sensible number."""
+    """There are too few workers for two stages, or a rate or capacity is out of range."""
 
 
 class TokenRates(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens a second of a service: prompts read (without cached ones) and output generated."""
+    """Tokens a second of a service: prompt tokens (without cached ones) and output tokens."""
 
     prompt_tokens_per_second: float
     output_tokens_per_second: float
 
 
 class WorkerCapacity(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens a second that one worker manages in either part."""
+    """Tokens a second that one worker processes in either stage."""
 
     prompt_tokens_per_second: float
     output_tokens_per_second: float
@@ -44,7 +44,7 @@
 class Recommendation(msgspec.Struct, frozen=True, kw_only=True):
     """The split to put into the configuration; ``change`` is false if the present one is to stay.
 
-    Utilizations are those of the busier stage: above 1 the workers do not suffice in that split.
+    Utilizations are those of the busier stage; above 1 the split is overloaded.
     """
 
     prefill_workers: int
@@ -69,13 +69,13 @@
         self._measured_at = 0.0
 
     def add(self, rates: TokenRates, now: float) -> TokenRates:
-        """Take the rates measured since the measurement before, and return the average."""
+        """Add the rates measured since the last measurement, and return the average."""
         if self._rates is None:
             self._rates = rates
         else:
             age_seconds = max(0.0, now - self._measured_at)
-            kept = 0.5 ** (age_seconds / self._half_life_seconds)
-            self._rates = _mix(self._rates, rates, kept)
+            retained_share = 0.5 ** (age_seconds / self._half_life_seconds)
+            self._rates = _mix(self._rates, rates, retained_share)
         self._measured_at = now
         return self._rates
 
@@ -87,14 +87,14 @@
     decode_workers: int,
     policy: SplitPolicy,
 ) -> Recommendation:
-    """Return the split of the present workers that the load wants.
+    """Return the split of the present workers that suits the load.
 
     Parameters
     ----------
     rates
         Averaged rates.
     capacity
-        What one worker manages.
+        Capacity of one worker.
     prefill_workers, decode_workers
         The present split.
     policy
@@ -114,10 +114,10 @@
     prompt_load = rates.prompt_tokens_per_second / capacity.prompt_tokens_per_second
     output_load = rates.output_tokens_per_second / capacity.output_tokens_per_second
     total = prefill_workers + decode_workers
-    wanted = _wanted_prefill(prompt_load, output_load, total)
+    desired = _desired_prefill(prompt_load, output_load, total)
     now_used = max(prompt_load / prefill_workers, output_load / decode_workers)
-    then_used = max(prompt_load / wanted, output_load / (total - wanted))
-    if wanted == prefill_workers or then_used >= now_used * (1.0 - policy.minimum_gain):
+    then_used = max(prompt_load / desired, output_load / (total - desired))
+    if desired == prefill_workers or then_used >= now_used * (1.0 - policy.minimum_gain):
         return Recommendation(
             prefill_workers=prefill_workers,
             decode_workers=decode_workers,
@@ -126,15 +126,15 @@
             utilization_then=now_used,
         )
     return Recommendation(
-        prefill_workers=wanted,
-        decode_workers=total - wanted,
+        prefill_workers=desired,
+        decode_workers=total - desired,
         change=True,
         utilization_now=now_used,
         utilization_then=then_used,
     )
 
 
-def _wanted_prefill(prompt_load: float, output_load: float, total: int) -> int:
+def _desired_prefill(prompt_load: float, output_load: float, total: int) -> int:
     """Return the number of prefill workers that makes the busier stage least busy."""
     if prompt_load + output_load == 0:
         return total // 2
@@ -146,10 +146,10 @@
     )
 
 
-def _mix(old: TokenRates, new: TokenRates, kept: float) -> TokenRates:
+def _mix(old: TokenRates, new: TokenRates, retained_share: float) -> TokenRates:
     return TokenRates(
-        prompt_tokens_per_second=kept * old.prompt_tokens_per_second
-        + (1.0 - kept) * new.prompt_tokens_per_second,
-        output_tokens_per_second=kept * old.output_tokens_per_second
-        + (1.0 - kept) * new.output_tokens_per_second,
+        prompt_tokens_per_second=retained_share * old.prompt_tokens_per_second
+        + (1.0 - retained_share) * new.prompt_tokens_per_second,
+        output_tokens_per_second=retained_share * old.output_tokens_per_second
+        + (1.0 - retained_share) * new.output_tokens_per_second,
     )
--- a/tests/placement/test_prefill_placement.py
+++ b/tests/placement/test_prefill_placement.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from orchidpath.placement.prefill_placement import (
-    LONGEST_POSTPONEMENT_SECONDS,
-    OVERDUE_SECONDS,
-    SHORTEST_POSTPONEMENT_SECONDS,
+    MAX_OVERDUE_SECONDS,
+    MAX_POSTPONEMENT_SECONDS,
+    MIN_POSTPONEMENT_SECONDS,
     PrefillPlacement,
 )
-from orchidpath.placement.prefill_queues import READ_TTL_SECONDS
+from orchidpath.placement.prefill_queues import PREFILL_TTL_SECONDS
 from orchidpath.wire.configuration import PlacementPolicy
 from orchidpath.wire.messages import (
     PREFILL_DONE_SUFFIX,
@@ -121,7 +121,7 @@
 def test_a_read_without_a_report_is_forgotten() -> None:
     placement = PrefillPlacement()
     place(placement, request(1))
-    place(placement, request(2, prefix=9), now=READ_TTL_SECONDS + 1.0)
+    place(placement, request(2, prefix=9), now=PREFILL_TTL_SECONDS + 1.0)
     assert placement.waiting_tokens("p1") <= 16_700
 
 
@@ -226,8 +226,8 @@
     placement = PrefillPlacement()
     asked = request(1)
     place(placement, asked)
-    assert postponed_seconds(placement, request(2), 0.01) == LONGEST_POSTPONEMENT_SECONDS
-    assert postponed_seconds(placement, request(2), 0.41) == SHORTEST_POSTPONEMENT_SECONDS
+    assert postponed_seconds(placement, request(2), 0.01) == MAX_POSTPONEMENT_SECONDS
+    assert postponed_seconds(placement, request(2), 0.41) == MIN_POSTPONEMENT_SECONDS
     assert postponed_seconds(placement, request(2, prefix=8), 0.01) == 0.0
     assert postponed_seconds(placement, request(2, shared=500), 0.01) == 0.0
     assert postponed_seconds(placement, request(2), 0.01, may_wait=False) == 0.0
@@ -240,7 +240,7 @@
     placement = PrefillPlacement()
     asked = request(1)
     place(placement, asked)
-    assert postponed_seconds(placement, request(2), 1.0 + OVERDUE_SECONDS) == 0.0
+    assert postponed_seconds(placement, request(2), 1.0 + MAX_OVERDUE_SECONDS) == 0.0
     failed = AttemptReport(
         request_id=asked.request_id,
         attempt_id=asked.attempt_id,
--- a/tests/placement/test_prefill_queues.py
+++ b/tests/placement/test_prefill_queues.py
@@ -2,7 +2,7 @@
 
 from orchidpath.placement.prefill_queues import (
     DEFAULT_SECONDS_PER_TOKEN,
-    READ_TTL_SECONDS,
+    PREFILL_TTL_SECONDS,
     PrefillQueues,
 )
 
@@ -17,18 +17,18 @@
     """Order reads of 20,000 tokens at once; the worker takes them in turn."""
     tokens = 20_000
     for number in range(count):
-        queues.begin(f"{worker_id}{number}", worker_id, tokens, 0.0, shows_pace=True)
+        queues.begin(f"{worker_id}{number}", worker_id, tokens, 0.0, measures_pace=True)
     for number in range(count):
         ended_at = (number + 1) * tokens / tokens_per_second
-        queues.end(f"{worker_id}{number}", worker_id, ended_at, was_read=True)
+        queues.end(f"{worker_id}{number}", worker_id, ended_at, was_completed=True)
 
 
 def test_a_prompt_waits_for_what_is_still_to_be_read() -> None:
     queues = PrefillQueues()
-    queues.begin("a", "w", 40_000, 10.0, shows_pace=True)
-    queues.begin("b", "w", 40_000, 10.2, shows_pace=True)
+    queues.begin("a", "w", 40_000, 10.0, measures_pace=True)
+    queues.begin("b", "w", 40_000, 10.2, measures_pace=True)
     assert close(queues.wait_seconds("w", 10.5), 80_000 * DEFAULT_SECONDS_PER_TOKEN - 0.5)
-    queues.end("a", "w", 11.0, was_read=True)
+    queues.end("a", "w", 11.0, was_completed=True)
     assert queues.waiting_tokens("w") == 40_000
     assert queues.wait_seconds("w", 30.0) == 0.0
     assert queues.wait_seconds("another", 11.0) == 0.0
@@ -46,49 +46,49 @@
     queues = PrefillQueues()
     for worker_id in ("a", "b", "c"):
         read_one_after_the_other(queues, worker_id, 50_000)
-    queues.begin("few", "new", 500, 0.0, shows_pace=True)
-    queues.end("few", "new", 5.0, was_read=True)
+    queues.begin("few", "new", 500, 0.0, measures_pace=True)
+    queues.end("few", "new", 5.0, was_completed=True)
     assert close(queues.seconds_per_token("new"), 1 / 50_000)
 
 
 def test_a_read_that_shares_the_worker_with_streams_shows_no_pace() -> None:
     queues = PrefillQueues()
-    queues.begin("a", "w", 20_000, 0.0, shows_pace=False)
-    queues.end("a", "w", 9.0, was_read=True)
+    queues.begin("a", "w", 20_000, 0.0, measures_pace=False)
+    queues.end("a", "w", 9.0, was_completed=True)
     assert queues.seconds_per_token("w") == DEFAULT_SECONDS_PER_TOKEN
 
 
 def test_many_ends_heard_at_once_are_no_infinite_pace() -> None:
     queues = PrefillQueues()
     for name in ("a", "b"):
-        queues.begin(name, "w", 20_000, 1.0, shows_pace=True)
+        queues.begin(name, "w", 20_000, 1.0, measures_pace=True)
     for name in ("a", "b"):
-        queues.end(name, "w", 1.0, was_read=True)
+        queues.end(name, "w", 1.0, was_completed=True)
     assert queues.seconds_per_token("w") > 0.0
 
 
 def test_an_end_that_was_heard_twice_or_of_another_worker_changes_nothing() -> None:
     queues = PrefillQueues()
-    queues.begin("a", "w", 20_000, 0.0, shows_pace=True)
-    queues.end("a", "other", 1.0, was_read=True)
+    queues.begin("a", "w", 20_000, 0.0, measures_pace=True)
+    queues.end("a", "other", 1.0, was_completed=True)
     assert queues.waiting_tokens("w") == 20_000
-    queues.end("a", "w", 1.0, was_read=True)
-    queues.end("a", "w", 1.0, was_read=True)
+    queues.end("a", "w", 1.0, was_completed=True)
+    queues.end("a", "w", 1.0, was_completed=True)
     assert queues.waiting_tokens("w") == 0
 
 
 def test_reads_of_which_nothing_is_heard_are_forgotten() -> None:
     queues = PrefillQueues()
-    queues.begin("a", "w", 20_000, 0.0, shows_pace=True)
-    queues.begin("b", "w", 5_000, 5.0, shows_pace=True)
-    queues.expire(READ_TTL_SECONDS + 0.1)
+    queues.begin("a", "w", 20_000, 0.0, measures_pace=True)
+    queues.begin("b", "w", 5_000, 5.0, measures_pace=True)
+    queues.expire(PREFILL_TTL_SECONDS + 0.1)
     assert queues.waiting_tokens("w") == 5_000
 
 
 def test_a_worker_that_is_gone_is_forgotten_with_its_reads() -> None:
     queues = PrefillQueues()
-    queues.begin("a", "w", 20_000, 0.0, shows_pace=True)
+    queues.begin("a", "w", 20_000, 0.0, measures_pace=True)
     queues.set_workers(frozenset())
     assert queues.waiting_tokens("w") == 0
-    queues.end("a", "w", 1.0, was_read=True)
+    queues.end("a", "w", 1.0, was_completed=True)
     assert queues.waiting_tokens("w") == 0
--- a/tests/placement/test_stage_allocation.py
+++ b/tests/placement/test_stage_allocation.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from orchidpath.placement.stage_allocation import next_moves, wanted_decode_workers
+from orchidpath.placement.stage_allocation import desired_decode_workers, next_moves
 from orchidpath.wire.configuration import Service, ServiceKind
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
@@ -37,7 +37,7 @@
     [(0, 0), (1, 1), (2, 1), (3, 1), (4, 2), (5, 2), (9, 2), (10, 2), (11, 3), (70, 14)],
 )
 def test_the_share_is_kept_within_what_there_is(count: int, wanted: int) -> None:
-    assert wanted_decode_workers(service(), count) == wanted
+    assert desired_decode_workers(service(), count) == wanted
 
 
 def test_of_three_workers_two_read_prompts() -> None:
