--- a/bench/planning.py
+++ b/bench/planning.py
@@ -39,7 +39,7 @@
 
 
 def make_view(prefill: int, wanted_prefill: int) -> FleetView:
-    """Return a fleet with ``prefill`` workers that read prompts and another wanted count."""
+    """Return a fleet with ``prefill`` workers that prefill prompts and another wanted count."""
     workers = tuple(
         WorkerRecord(
             worker_id=f"worker-{number:04d}",
--- a/bench/ring_cache_hits.py
+++ b/bench/ring_cache_hits.py
@@ -1,9 +1,9 @@
 """Simulated share of prefix cache hits: hash ring with bounded load against other choices.
 
 Requests arrive at random and name one of many prompt prefixes, whose popularity follows Zipf's
-law. Each prefill worker reads prompts one at a time and keeps the prefixes it read last; a prompt
-whose prefix it holds takes a fraction of the time. Every choice sees the same arrivals, and loads
-are known exactly, as by one router; with many routers they would be a little old.
+law. Each prefill worker prefills prompts one at a time and keeps the prefixes it read last; a
+prompt whose prefix it holds takes a fraction of the time. Every choice sees the same arrivals, and
+loads are known exactly, as by one router; with many routers they would be slightly stale.
 
 Run ``python bench/ring_cache_hits.py`` for JSON on standard output.
 """
--- a/bench/role_change.py
+++ b/bench/role_change.py
@@ -1,4 +1,4 @@
-"""Requests lost and time to first token while workers change their part, on the local fleet.
+"""Requests lost and time to first token while workers change their stage, on the local fleet.
 
 Four runs of the same traffic on loopback: undisturbed; a confirmed plan that turns two of four
 prefill workers into decode workers; and the same two workers restarted one after the other
--- a/bench/router_overhead.py
+++ b/bench/router_overhead.py
@@ -1,6 +1,6 @@
 """Measures what one real router adds: time to the first token, time between tokens, processor time.
 
-One control process, one router and stand-in workers run as processes of their own. The same caller
+One control process, one router and emulator workers run as processes of their own. The same caller
 asks in turn through the router and straight at the workers, in one run, so that the machine's noise
 meets both. Then the router's processor time is measured against requests and tokens a second.
 Prints one JSON line. The figures are those of docs/CAPACITY.md.
--- a/src/orchidpath/cli/emulator.py
+++ b/src/orchidpath/cli/emulator.py
@@ -1,4 +1,4 @@
-"""Commands that run stand-ins: emulated model workers, plain services and callers.
+"""Commands that run emulators: emulated model workers, plain services and callers.
 
 An option that sets one field of a settings struct bears the field's name, and its default is the
 struct's own.
--- a/src/orchidpath/cli/plan.py
+++ b/src/orchidpath/cli/plan.py
@@ -58,7 +58,7 @@
 """Each order about a plan is a command of its own, with this help."""
 
 
-def _add_order_command(action: PlanAction, help_text: str) -> None:
+def _add_plan_command(action: PlanAction, help_text: str) -> None:
     @plan.command(name=action.value, help=help_text)
     @click.argument("plan_id")
     @_order_id_option
@@ -76,7 +76,7 @@
 
 
 for _action, _help_text in _ORDERS.items():
-    _add_order_command(_action, _help_text)
+    _add_plan_command(_action, _help_text)
 
 
 def _order(
--- a/src/orchidpath/emulators/backend/attempts.py
+++ b/src/orchidpath/emulators/backend/attempts.py
@@ -1,10 +1,10 @@
 """Registry of attempt ids: each runs at most once, and a refused one never runs.
 
-A back end that says ``ran=no`` promises that the attempt did not run and never will
-(:mod:`orchidpath.wire.backend`). The registry keeps that promise within bounded memory: an attempt
-id is remembered for at least ``retention_seconds``, which is far longer than any request may live.
-When the memory is full of younger ids, new attempts are turned away *without* the promise, because
-a promise that will be forgotten must not be given.
+A back end that says ``ran=no`` guarantees that the attempt did not run and never will
+(:mod:`orchidpath.wire.backend`). The registry keeps that guarantee within bounded memory: an
+attempt id is remembered for at least ``retention_seconds``, which is far longer than any request
+may live. When the memory is full of younger ids, new attempts are turned away *without* the
+guarantee, because a guarantee that will be forgotten must not be given.
 """
 
 from collections import OrderedDict
@@ -168,7 +168,7 @@
         return True
 
     def finish(self, attempt_id: str, phase: Phase, now: float) -> None:
-        """Note that a phase is over, whether it ran or was turned away."""
+        """Record that a phase is over, whether it ran or was turned away."""
         entry = self._entries.get(attempt_id)
         if entry is None or phase not in entry.phases:
             return
@@ -196,7 +196,7 @@
         Returns
         -------
         Ran
-            NO is the promise; YES when a phase has started; UNKNOWN when nothing more can be
+            NO is the guarantee; YES when a phase has started; UNKNOWN when nothing more can be
             remembered.
         """
         entry = self._entries.get(attempt_id)
--- a/src/orchidpath/emulators/backend/backend_core.py
+++ b/src/orchidpath/emulators/backend/backend_core.py
@@ -1,6 +1,6 @@
-"""Decisions that every emulated back end makes: what it takes in, refuses and obeys.
+"""Decisions that every emulated back end makes: what it takes in, refuses and applies.
 
-Overload is answered with a refusal that promises ``ran=no``; workers send neither a throttle nor
+Overload is answered with a refusal that guarantees ``ran=no``; workers send neither a throttle nor
 a retry-after (design page, "Workers send neither").
 """
 
@@ -23,7 +23,7 @@
 
 
 class AttemptDispatch(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of any execution order that admission looks at."""
+    """The part of any dispatch that admission looks at."""
 
     request_id: str
     attempt_id: str
@@ -122,7 +122,7 @@
     def refuse(
         self, order: AttemptDispatch, code: ErrorCode, message: str, now: float
     ) -> ErrorBody:
-        """Refuse an attempt that did not start, and promise that it never will."""
+        """Refuse an attempt that did not start, and guarantee that it never will."""
         ran = self.attempts.refuse(order.attempt_id, order.phase, now)
         return self.error(order, code, message, ran)
 
@@ -147,14 +147,14 @@
         )
 
     def obey(self, order: WorkerCommand, handles_outstanding: int) -> WorkerCommandReply:
-        """Obey a fenced order, or say why not.
+        """Apply a fenced order, or say why not.
 
         Parameters
         ----------
         order : WorkerCommand
             The order.
         handles_outstanding : int
-            KV caches still held for a hand-over; a worker that holds any is not idle.
+            KV caches still held for a KV transfer; a worker that holds any is not idle.
 
         Returns
         -------
@@ -198,7 +198,7 @@
 
     def _turn_away(self, order: AttemptDispatch, admission: Admission) -> ErrorBody:
         if admission is Admission.FULL:
-            # Nothing is remembered of this attempt, so nothing may be promised about it.
+            # Nothing is remembered of this attempt, so nothing may be guaranteed about it.
             return self.error(order, ErrorCode.OVERLOADED, "attempt memory full", Ran.UNKNOWN)
         ran = self.attempts.ran(order.attempt_id, order.phase)
         return self.error(order, ErrorCode.ATTEMPT_REFUSED, f"attempt id: {admission}", ran)
--- a/src/orchidpath/emulators/backend/backend_shell.py
+++ b/src/orchidpath/emulators/backend/backend_shell.py
@@ -87,7 +87,7 @@
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """The client session for announcements and hand-overs."""
+        """The client session for announcements and KV transfers."""
         if self._session is None:
             # A connection is never reused: a repeated GET must not be sent behind our back.
             connector = aiohttp.TCPConnector(force_close=True, limit=0)
@@ -157,7 +157,7 @@
         return asyncio.get_running_loop().time()
 
     def handles_outstanding(self) -> int:
-        """Return how many KV caches are held for a hand-over."""
+        """Return how many KV caches are held for a KV transfer."""
         return 0
 
     def on_cancelled(self, attempt_id: str) -> None:
--- a/src/orchidpath/emulators/backend/command_fence.py
+++ b/src/orchidpath/emulators/backend/command_fence.py
@@ -7,7 +7,7 @@
     """The highest ``(term, sequence)`` that an incarnation has seen.
 
     The fence rises with every order that is addressed to this incarnation, also with one that is
-    then refused for another reason: a lower one that arrives later must not be obeyed either way.
+    then refused for another reason: a lower one that arrives later must not be applied either way.
     """
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         Returns
         -------
         bool
-            False for a repeated or older order, which must not be obeyed.
+            False for a repeated or older order, which must not be applied.
         """
         if (order.term, order.sequence) <= (self.term, self.sequence):
             return False
--- a/src/orchidpath/emulators/backend/reports.py
+++ b/src/orchidpath/emulators/backend/reports.py
@@ -12,7 +12,7 @@
 
 
 class ExecutionRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One start of a prompt read or of an execution; ``number`` counts from 1."""
+    """One start of a prefill or of an execution; ``number`` counts from 1."""
 
     number: int
     worker_id: str
--- a/src/orchidpath/emulators/process.py
+++ b/src/orchidpath/emulators/process.py
@@ -1,4 +1,4 @@
-"""Runs a stand-in as a process of its own: the ready line and the signals."""
+"""Runs an emulator as a process of its own: the ready line and the signals."""
 
 import asyncio
 import os
--- a/src/orchidpath/emulators/worker/engine_model.py
+++ b/src/orchidpath/emulators/worker/engine_model.py
@@ -23,7 +23,7 @@
 
 
 def prefill_seconds(timing: WorkerTiming, prompt_tokens: int, cached_tokens: int) -> float:
-    """Return the time of one prompt read; tokens found in the cache cost nothing.
+    """Return the time of one prefill; tokens found in the cache cost nothing.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
 
 
 def transfer_seconds(timing: WorkerTiming, prompt_tokens: int) -> float:
-    """Return the time that the hand-over of a prompt's KV cache takes on an idle link."""
+    """Return the time that the KV transfer of a prompt's KV cache takes on an idle link."""
     return transfer_bytes(timing, prompt_tokens) / timing.link_bytes_per_second
 
 
--- a/src/orchidpath/emulators/worker/kv_cache.py
+++ b/src/orchidpath/emulators/worker/kv_cache.py
@@ -1,6 +1,6 @@
-"""The emulated KV cache: a prefix cache by blocks, and handles for the hand-over.
+"""The emulated KV cache: a prefix cache by blocks, and handles for the KV transfer.
 
-A handle is bound to one request, one attempt and one incarnation of the worker, lapses after a
+A handle is bound to one request, one attempt and one incarnation of the worker, expires after a
 while and can be used once; anything else is refused.
 """
 
@@ -45,7 +45,7 @@
 
 
 class PrefixCache:
-    """Blocks of read prompts with least-recently-used eviction.
+    """Blocks of prefilled prompts with least-recently-used eviction.
 
     Parameters
     ----------
@@ -135,7 +135,7 @@
     incarnation : str
         The worker's incarnation.
     lifetime_seconds : float
-        A handle lapses after this long.
+        A handle expires after this long.
     """
 
     def __init__(self, incarnation: str, lifetime_seconds: float) -> None:
@@ -196,12 +196,12 @@
         return count
 
     def outstanding(self, now: float) -> int:
-        """Return how many handles are held and not lapsed."""
+        """Return how many handles are held and not expired."""
         self._drop_expired(now)
         return len(self._handles)
 
     def _drop_expired(self, now: float) -> None:
-        # Every handle lives equally long, so the oldest lapses first.
+        # Every handle lives equally long, so the oldest expires first.
         while self._handles:
             handle_id, held = next(iter(self._handles.items()))
             if held.expires_at > now:
--- a/src/orchidpath/emulators/worker/kv_pull.py
+++ b/src/orchidpath/emulators/worker/kv_pull.py
@@ -1,4 +1,4 @@
-"""The decode side of a hand-over: pulls the KV cache from the prefill worker."""
+"""The decode side of a KV transfer: pulls the KV cache from the prefill worker."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 class KvTransferFailure(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a KV cache could not be had: its prefill worker denied it, or was not reached."""
+    """Why a KV cache could not be had: its prefill worker rejected it, or was not reached."""
 
     code: ErrorCode
     message: str
--- a/src/orchidpath/emulators/worker/model_worker.py
+++ b/src/orchidpath/emulators/worker/model_worker.py
@@ -1,4 +1,4 @@
-"""The asyncio shell of an emulated model worker: prompt reads, hand-overs and decode streams."""
+"""The asyncio shell of an emulated model worker: prefills, KV transfers and decode streams."""
 
 import asyncio
 
@@ -81,14 +81,14 @@
         self._transfers = 0
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the prompt read, the decode and the hand-over."""
+        """Add the prefill, the decode and the KV transfer."""
         super().add_routes(app)
         app.router.add_post("/v1/prefill", self._prefill)
         app.router.add_post("/v1/decode", self._decode)
         app.router.add_get("/v1/kv/{handle_id}", self._transfer_kv)
 
     def handles_outstanding(self) -> int:
-        """Return how many KV caches are held for a hand-over or being handed over."""
+        """Return how many KV caches are held for a KV transfer or being handed over."""
         return self._handles.outstanding(self.now()) + self._transfers
 
     def on_cancelled(self, attempt_id: str) -> None:
--- a/src/orchidpath/fleet/executions.py
+++ b/src/orchidpath/fleet/executions.py
@@ -65,7 +65,7 @@
     results: Sequence[RequestResult],
     policy: ExecutionPolicy,
 ) -> list[str]:
-    """Return the requests whose last answer promised "not run" and that ran all the same."""
+    """Return the requests whose last answer guaranteed "not run" and that ran all the same."""
     promised = {
         result.request_id
         for result in results
--- a/src/orchidpath/fleet/fault_runner.py
+++ b/src/orchidpath/fleet/fault_runner.py
@@ -136,7 +136,7 @@
             async with session.post(f"http://{address}/v1/faults", data=content) as response:
                 await response.read()
         except (aiohttp.ClientError, TimeoutError):
-            return  # a crash gives no answer; a worker that is gone needs no fault
+            return  # a crash gives no answer; a worker that was removed needs no fault
 
 
 def write_fault_file(path: Path, cuts: CutTable) -> None:
--- a/src/orchidpath/fleet/summary.py
+++ b/src/orchidpath/fleet/summary.py
@@ -25,7 +25,7 @@
 
 
 class FleetSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run of the local fleet showed; ``failures`` is empty when all went as promised."""
+    """What one run of the local fleet showed; ``failures`` is empty when all went as expected."""
 
     fleet: str
     seconds: float
@@ -125,7 +125,7 @@
     """Tell whether a refusal said honestly that the call did not run and when to come back.
 
     The local fleet's callers send only valid requests, so a refusal of the request itself counts
-    as a broken promise as well.
+    as a broken guarantee as well.
     """
     if result.outcome is not Outcome.REFUSED:
         return True
--- a/src/orchidpath/placement/execution.py
+++ b/src/orchidpath/placement/execution.py
@@ -79,7 +79,7 @@
 class PlanSituation(msgspec.Struct, frozen=True, kw_only=True):
     """All that the next actions depend on besides the replicated plan.
 
-    ``watches`` has one entry a step. ``confirmed_revision`` is the newest revision in force at
+    ``watches`` has one entry a step. ``confirmed_revision`` is the newest revision applied at
     every serving router.
     """
 
--- a/src/orchidpath/router/chat/attempt_trace.py
+++ b/src/orchidpath/router/chat/attempt_trace.py
@@ -40,7 +40,7 @@
         self._unanswered: _Sent | None = None
 
     def sent(self, worker_id: str, stage: Stage) -> None:
-        """Note that an order is on its way to a worker."""
+        """Record that an order is on its way to a worker."""
         self._unanswered = _Sent(worker_id, stage, self._clock())
         self._sent[stage] = self._unanswered
 
@@ -52,7 +52,7 @@
         return Delay(worker_id=sent.worker_id, seconds=now - sent.at)
 
     def ended(self, report: Report) -> TraceEntry:
-        """Note how an attempt ended for one worker, and return what was noted."""
+        """Record how an attempt ended for one worker, and return what was noted."""
         sent = self._sent.get(report.stage)
         was_sent = sent is not None and sent.worker_id == report.report.worker_id
         latency_seconds = self._clock() - sent.at if sent is not None and was_sent else 0.0
--- a/src/orchidpath/router/chat/backend_client.py
+++ b/src/orchidpath/router/chat/backend_client.py
@@ -81,7 +81,7 @@
     async def prefill(
         self, target: OrderTarget, order: PrefillRequest, check: SendCheck, emit: Emit
     ) -> None:
-        """Order a prompt read and emit how it ended.
+        """Order a prefill and emit how it ended.
 
         Parameters
         ----------
--- a/src/orchidpath/router/chat/http_edge.py
+++ b/src/orchidpath/router/chat/http_edge.py
@@ -59,7 +59,7 @@
 """A caller of a stopping router comes back at once, to another one."""
 
 SHUTDOWN_GRACE_SECONDS = 0.5
-"""After the drain time, what still runs is cut off within this."""
+"""After the drain time, what still runs is aborted within this."""
 
 CLIENT_DISCONNECTED_STATUS = 499
 """Nobody reads it; it only marks the request in the library's own records."""
@@ -146,7 +146,7 @@
             await self._client.close()
 
     def view_adopted(self, view: FleetView) -> None:
-        """Obey a newly adopted view."""
+        """Apply a newly adopted view."""
         self._state.adopt(view)
 
     def circuits_received(self, circuits: CircuitsView) -> None:
@@ -257,7 +257,7 @@
         try:
             await runner.run()
         except ConnectionError:
-            # The caller is gone, or reads nothing: there is nobody left to answer.
+            # The caller disconnected, or reads nothing: there is nobody left to answer.
             self._logger.debug("caller_gone", request_id=intake.routed.plan.request_id)
             return sink.response or web.Response(status=CLIENT_DISCONNECTED_STATUS)
         except Exception:
--- a/src/orchidpath/router/chat/request_runner.py
+++ b/src/orchidpath/router/chat/request_runner.py
@@ -138,7 +138,7 @@
         now = self._environment.clock()
         self._record_event(event, now)
         instructions = self._machine.handle(event, now)
-        # The caller last: if it is gone, the workers and the leader still hear what they must.
+        # The caller last: if it disconnected, the workers and the leader still hear what they must.
         for instruction in instructions:
             self._execute(instruction)
         for instruction in instructions:
@@ -154,13 +154,13 @@
             case events.Relay():
                 await self._sink.relay(instruction.frames)
             case events.Finish():
-                await self._sink.finish(instruction.body, self._wanted_trace())
+                await self._sink.finish(instruction.body, self._requested_trace())
             case events.Reject():
                 self._outcome = instruction.error.code.value
-                await self._sink.reject(instruction.error, self._wanted_trace())
+                await self._sink.reject(instruction.error, self._requested_trace())
             case events.BreakStream():
                 self._outcome = instruction.error.code.value
-                await self._sink.break_stream(instruction.error, self._wanted_trace())
+                await self._sink.break_stream(instruction.error, self._requested_trace())
             case _:
                 pass
 
@@ -171,7 +171,7 @@
             self._environment.metrics.time_to_first_token.labels(route).observe(seconds)
         await self._sink.commit()
 
-    def _wanted_trace(self) -> DecisionTrace | None:
+    def _requested_trace(self) -> DecisionTrace | None:
         return self._trace.result() if self._request.wants_trace else None
 
     # Everything else
@@ -179,7 +179,7 @@
     def _execute(self, instruction: events.RequestInstruction) -> None:
         match instruction:
             case events.RequestDecision():
-                self._ask(instruction)
+                self._apply_decision_request(instruction)
             case events.SendPrefill() | events.SendDecode() | events.SendCall():
                 self._send(instruction)
             case events.AbortExchange():
@@ -200,7 +200,7 @@
         loop = asyncio.get_running_loop()
         self._timers.append(loop.call_later(max(seconds, 0.0), self._events.post, event))
 
-    def _ask(self, instruction: events.RequestDecision) -> None:
+    def _apply_decision_request(self, instruction: events.RequestDecision) -> None:
         self._attempts += 1
         if self._attempts > 1:
             self._environment.metrics.retries.labels(self._plan.route.name).inc()
--- a/src/orchidpath/router/decision_maker.py
+++ b/src/orchidpath/router/decision_maker.py
@@ -35,7 +35,7 @@
 class DecisionSubject(msgspec.Struct, frozen=True, kw_only=True):
     """What a request's decisions are about; ``prefix_key`` places its prompt on the ring.
 
-    ``prefill_worker_id`` is the worker that has read the prompt already, for a decode alone.
+    ``prefill_worker_id`` is the worker that has prefilled the prompt already, for a decode alone.
     """
 
     request_id: str
@@ -85,9 +85,9 @@
         self._loads = LoadView()
 
     async def decide(
-        self, subject: DecisionSubject, ask: RequestDecision
+        self, subject: DecisionSubject, query: RequestDecision
     ) -> DecisionMade | NoCandidates:
-        """List the candidates and have one chosen for every leg.
+        """List the candidates and have one chosen for every stage.
 
         Parameters
         ----------
@@ -99,14 +99,14 @@
         Returns
         -------
         DecisionMade or NoCandidates
-            NoCandidates when the adopted view has no worker for a leg.
+            NoCandidates when the adopted view has no worker for a stage.
         """
         self._state.refresh()
-        per_stage = self._candidates_per_stage(subject, ask.per_stage)
+        per_stage = self._candidates_per_stage(subject, query.per_stage)
         request = DecisionRequest(
             correlation=0,
             request_id=subject.request_id,
-            attempt_id=ask.attempt_id,
+            attempt_id=query.attempt_id,
             service=subject.service,
             per_stage=per_stage,
             prompt=subject.prompt,
@@ -121,10 +121,10 @@
         if missing:
             self._record(request, _NOBODY, DecidedBy.ROUTER)
             reason = f"no usable {' and no usable '.join(missing)} worker in {subject.service}"
-            return NoCandidates(attempt_id=ask.attempt_id, reason=reason)
+            return NoCandidates(attempt_id=query.attempt_id, reason=reason)
         reply = await self._query_leader_or_fall_back(request)
         self._loads.begin([choice.worker_id for choice in reply.choices])
-        return DecisionMade(attempt_id=ask.attempt_id, reply=reply)
+        return DecisionMade(attempt_id=query.attempt_id, reply=reply)
 
     def report(self, report: AttemptReport, entry: TraceEntry) -> None:
         """Report how an attempt ended for one worker, here and to the leader."""
@@ -139,7 +139,7 @@
             self._obey(throttle.observe_refusal(report.worker_id, report.request_id, now))
 
     def record_prefill_done(self, request_id: str, attempt_id: str, worker_id: str) -> None:
-        """Tell the leader that a prompt was read; how the attempt ended is reported later."""
+        """Tell the leader that a prompt was prefilled; how the attempt ended is reported later."""
         report = AttemptReport(
             request_id=request_id,
             attempt_id=attempt_id + PREFILL_DONE_SUFFIX,
@@ -149,7 +149,7 @@
         self._fleet.report((report,))
 
     def observe_delay(self, worker_id: str, request_id: str, delay_seconds: float) -> None:
-        """Note how long a worker took to its answer, or to its first token."""
+        """Record how long a worker took to its answer, or to its first token."""
         now = self._clock()
         throttle = self._state.throttle
         self._obey(throttle.observe_delay(worker_id, request_id, delay_seconds, now))
--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -65,7 +65,7 @@
     """Is told what the link learns; everything is called in the event loop and must not block."""
 
     def view_adopted(self, view: FleetView) -> None:
-        """Obey this view in every decision from now on."""
+        """Apply this view in every decision from now on."""
 
     def circuits_received(self, circuits: CircuitsView) -> None:
         """Take the agreed circuits as the last known ones."""
@@ -220,14 +220,14 @@
     async def _turn_forever(self) -> None:
         while True:
             now = self._clock()
-            self._links.set_addresses(self._wanted_addresses(now))
+            self._links.set_addresses(self._peer_addresses(now))
             self._execute(self._core.tick(now))
             if self._finder.should_query(now):
                 self._query_everyone(now)
             self._send_queued(now)
             await asyncio.sleep(TURN_SECONDS)
 
-    def _wanted_addresses(self, now: float) -> set[str]:
+    def _peer_addresses(self, now: float) -> set[str]:
         addresses = self._finder.addresses(now)
         view = self._core.view
         if view is not None and self._finder.is_leader_silent(now):
--- a/src/orchidpath/router/fleet_link/fleet_access.py
+++ b/src/orchidpath/router/fleet_link/fleet_access.py
@@ -44,7 +44,7 @@
         Parameters
         ----------
         request
-            Candidates and tried workers of each leg.
+            Candidates and tried workers of each stage.
         timeout_seconds
             Bound on the whole wait.
 
--- a/src/orchidpath/router/fleet_link/leader_finder.py
+++ b/src/orchidpath/router/fleet_link/leader_finder.py
@@ -66,7 +66,7 @@
         return changed
 
     def leader_heard(self, now: float) -> None:
-        """Note a word of the leader."""
+        """Record a word of the leader."""
         self._leader_heard_at = now
 
     def is_leader_silent(self, now: float) -> bool:
--- a/src/orchidpath/router/observability/decision_recorder.py
+++ b/src/orchidpath/router/observability/decision_recorder.py
@@ -58,7 +58,7 @@
         self._configuration_version = 0
 
     def configuration(self, configuration: Configuration, version: int) -> None:
-        """Record the policy in force, if it is another one than before.
+        """Record the policy applied, if it is another one than before.
 
         Parameters
         ----------
--- a/src/orchidpath/router/routing_state.py
+++ b/src/orchidpath/router/routing_state.py
@@ -1,7 +1,7 @@
 """What one router derives from its adopted view: routes, candidates, budgets, circuits, admission.
 
 Everything is rebuilt when the view's revision grows, before the next decision is made, so every
-decision obeys the newest adopted view.
+decision applies the newest adopted view.
 """
 
 from random import Random
@@ -70,7 +70,7 @@
         return self._configuration_version
 
     def refresh(self) -> bool:
-        """Obey the newest adopted view; false while there is none."""
+        """Apply the newest adopted view; false while there is none."""
         view = self._fleet.view()
         if view is None:
             return False
--- a/src/orchidpath/routing/admission.py
+++ b/src/orchidpath/routing/admission.py
@@ -1,7 +1,7 @@
-"""Admission: what one router takes in at once, by count, by cost and by tenant.
+"""Admission: what one router has in flight at once, by count, by cost and by tenant.
 
-Nothing waits here. A request is either taken in or answered at once with the time after which it
-is worth coming back, estimated from how fast requests leave. Every admitted request
+Nothing queues here. A request is either admitted or rejected at once with a retry-after, estimated
+from the rate at which requests complete. Every admitted request
 is released exactly once, whatever its end.
 """
 
@@ -16,48 +16,48 @@
 """The tenant share binds only while the router would be fuller than this share of a bound."""
 
 INITIAL_DURATION_SECONDS = 1.0
-"""Time that a request is taken to last before one has completed."""
+"""Assumed duration of a request before one has completed."""
 
 DURATION_WEIGHT = 0.1
 """Weight of the newest completion in the moving average of durations."""
 
 MINIMUM_RETRY_AFTER_SECONDS = 0.1
-"""Callers are never told to come back sooner than this."""
+"""Shortest retry-after."""
 
 MAXIMUM_RETRY_AFTER_SECONDS = 30.0
-"""Callers are never told to stay away for longer than this."""
+"""Longest retry-after."""
 
 MAX_QUEUE_TURNOVERS = 2
-"""Places are promised at most this many mean durations ahead: until then all have been freed."""
+"""Places are reserved at most this many mean durations ahead: by then all have been freed."""
 
 
 class RejectionReason(StrEnum):
-    """Why a request was not taken in."""
+    """Why a request was rejected."""
 
     REQUESTS_IN_FLIGHT = "requests_in_flight"
     COST_IN_FLIGHT = "cost_in_flight"
     TENANT_SHARE = "tenant_share"
     TOO_LARGE = "too_large"
-    """The request alone costs more than the whole bound: coming back does not help."""
+    """The request alone costs more than the bound: a retry can not help."""
     DUPLICATE_REQUEST = "duplicate_request"
     """A request with the same id is in flight on this router."""
 
 
 class Admitted(msgspec.Struct, frozen=True, kw_only=True):
-    """The request was taken in; it must be released when it ends."""
+    """The request was admitted; it must be released when it ends."""
 
     request_id: str
 
 
 class Rejected(msgspec.Struct, frozen=True, kw_only=True):
-    """The request was not taken in; ``retry_after_seconds`` is None when a retry can't help."""
+    """The request was rejected; ``retry_after_seconds`` is None when a retry can't help."""
 
     reason: RejectionReason
     retry_after_seconds: float | None
 
 
 class _Load(msgspec.Struct):
-    """Requests in flight, what they cost, and until when their places are promised."""
+    """Requests in flight, what they cost, and until when their places are reserved."""
 
     requests: int = 0
     cost_tokens: int = 0
@@ -109,7 +109,7 @@
 
 
 class AdmissionController:
-    """Counts what is in flight on one router and takes in no more than its policy allows.
+    """Counts what is in flight on one router and admits no more than its policy allows.
 
     Parameters
     ----------
@@ -135,7 +135,7 @@
         return self._total.cost_tokens
 
     def set_policy(self, policy: AdmissionPolicy) -> None:
-        """Obey other bounds from now on; requests already in flight stay.
+        """Apply other bounds from now on; requests already in flight stay.
 
         Parameters
         ----------
@@ -147,7 +147,7 @@
     def admit(
         self, request_id: str, tenant: str, cost_tokens: int, now: float
     ) -> Admitted | Rejected:
-        """Take a request in, or say why not and when to come back.
+        """Admit a request, or say why not and when to retry.
 
         Parameters
         ----------
@@ -254,13 +254,13 @@
     def _reject(
         self, reason: RejectionReason, completions: float, load: _Load, now: float
     ) -> Rejected:
-        """Promise the next free places in turn, so that rejected callers come back spread out."""
+        """Reserve the next free places in turn, so that rejected callers retry spread out."""
         duration = self._durations.mean_seconds(now)
         wait = max(completions, 1.0) * duration / max(load.requests, 1)
-        promised = max(load.reserved_until, now) + wait
+        reserved_until = max(load.reserved_until, now) + wait
         # Bounded, so that one caller who asks too often can't push the others' time out for long.
         latest = now + max(MAX_QUEUE_TURNOVERS * duration, wait)
-        load.reserved_until = min(promised, latest)
+        load.reserved_until = min(reserved_until, latest)
         retry_after = _bounded_retry_after(load.reserved_until - now)
         return Rejected(reason=reason, retry_after_seconds=retry_after)
 
--- a/src/orchidpath/routing/decision_log.py
+++ b/src/orchidpath/routing/decision_log.py
@@ -40,7 +40,7 @@
 
 
 class PolicyLine(msgspec.Struct, frozen=True, kw_only=True, tag="policy"):
-    """Policy in force from here on: at each start, change, and beginning of a file.
+    """Policy applied from here on: at each start, change, and beginning of a file.
 
     Attributes
     ----------
@@ -79,8 +79,8 @@
     request_id, attempt_id, service
         What was decided about.
     configuration_version
-        Version of the configuration that the router obeyed.
-    legs
+        Version of the configuration that the router applied.
+    stages
         Candidates and tried workers of each stage.
     decided_by
         Whose state ``states`` is.
@@ -89,11 +89,11 @@
     states
         The candidates as read; one that is missing here was not eligible.
     choices
-        The chosen workers; empty for a denial.
-    denial
+        The chosen workers; empty for a rejection.
+    rejection
         Why there is no choice.
     retry_after_seconds
-        When to come back after a denial.
+        When to come back after a rejection.
     """
 
     time: str
--- a/src/orchidpath/routing/freshness.py
+++ b/src/orchidpath/routing/freshness.py
@@ -1,8 +1,8 @@
 """A router's adopted fleet view and its lease to serve by it; pure, no input or output.
 
-Holds the rule that a confirmed configuration is obeyed within about 2 s by every router that serves
-and that no router slides back (docs/design/freshness.md). A lease always counts from the moment
-that the question was *sent*, never from when its answer came: an answer that was held up on
+Holds the rule that a confirmed configuration is applied within about 2 s by every router that
+serves and that no router slides back (docs/design/freshness.md). A lease always counts from the
+moment that the question was *sent*, never from when its answer came: an answer that was held up on
 the way cannot stretch a lease.
 """
 
@@ -24,26 +24,26 @@
 from orchidpath.wire.records import FleetView, RouterRecord, WorkerRecord, WorkerStatus
 
 LEADER_TIMEOUT_SECONDS = 0.7
-"""Without an answer of the leader for this long, the witnesses are asked as well."""
+"""Without a reply of the leader for this long, the witnesses are queried as well."""
 
 ACKNOWLEDGE_SECONDS = 0.01
 """An adopted view is acknowledged within this time, if nothing was acknowledged lately."""
 
 ACKNOWLEDGE_PERIOD_SECONDS = 0.2
-"""Least time between two acknowledgements: in a storm of changes one word about many is enough."""
+"""Least time between two acknowledgements: in a burst of changes one for many is enough."""
 
 FIRST_ACKNOWLEDGE_PERIOD_SECONDS = 0.05
 """The same for a router that holds no lease."""
 
 WITNESS_QUERY_RETRY_SECONDS = 0.25
-"""A router that lacks a revision asks for it once in this time, and not while it gets others."""
+"""A router that lacks a revision requests it once in this time, and not while it gets others."""
 
 REMEMBERED_SENDS = 16
 """How many sent heartbeats or queries are remembered; older ones are past their lease anyway."""
 
 
 class FreshnessGuard(StrEnum):
-    """Guards that a test may turn off to see the checker catch what they hold."""
+    """Safety rules that a test may disable, to see that the checkers notice."""
 
     LEASE_FROM_SEND_TIME = "lease_from_send_time"
     ADOPT_BEFORE_LEASE = "adopt_before_lease"
@@ -68,7 +68,7 @@
 
 
 class ViewAdopted(msgspec.Struct, frozen=True):
-    """From now on every decision obeys this view."""
+    """From now on every decision applies this view."""
 
     view: FleetView
 
@@ -76,8 +76,8 @@
 class AcknowledgeSoon(msgspec.Struct, frozen=True):
     """Call `heartbeat` after ``delay_seconds``, once for all views adopted until then.
 
-    The leader waits for this router's word before it calls a revision confirmed; but while a fleet
-    forms there are hundreds of revisions a second, and one word about the newest is enough.
+    The leader waits for this router's acknowledgement before it calls a revision confirmed; but
+    while a fleet forms there are hundreds of revisions a second, and one for the newest is enough.
     """
 
     delay_seconds: float
@@ -194,7 +194,7 @@
         return self.heartbeat(now)
 
     def heartbeat(self, now: float) -> list[FreshnessEffect]:
-        """Send a heartbeat at once, and ask the witnesses if the leader is silent."""
+        """Send a heartbeat at once, and query the witnesses if the leader does not reply."""
         self._next_heartbeat_at = now + ROUTER_HEARTBEAT_SECONDS
         self._last_heartbeat_at = now
         effects: list[FreshnessEffect] = [SendToLeader(self._heartbeat_message(now))]
@@ -218,7 +218,7 @@
         if behind and FreshnessGuard.ADOPT_BEFORE_LEASE not in self._disabled:
             # Most likely the push is on its way; asking at once would double every change.
             is_getting_others = now - self._adopted_at < WITNESS_QUERY_RETRY_SECONDS
-            return [] if is_getting_others else self._ask(now)
+            return [] if is_getting_others else self._request_update(now)
         if reply.registered:
             self._leader_lease_from = max(self._leader_lease_from, sent_at)
         return []
@@ -231,7 +231,7 @@
             return []
         view = self._apply(update)
         if view is None:
-            return self._ask(now)
+            return self._request_update(now)
         self._view = view
         self._adopted_at = now
         return [ViewAdopted(view), AcknowledgeSoon(self._acknowledge_delay_seconds(now))]
@@ -241,8 +241,8 @@
     ) -> list[FreshnessEffect]:
         """Answer another router as a witness, or as any process that knows a view.
 
-        A router that has not been fresh since its start keeps silent: it may have known, before it
-        restarted, a newer revision than it knows now, and a majority must not be built on that.
+        A router that has not been fresh since its start does not reply: before it restarted it may
+        have known a newer revision than now, and a majority must not count its older one.
         """
         self.is_fresh(now)
         remembers = self._was_fresh or FreshnessGuard.WITNESS_REMEMBERS in self._disabled
@@ -287,7 +287,7 @@
         earliest = self._last_heartbeat_at + period_seconds
         return max(ACKNOWLEDGE_SECONDS, earliest - now)
 
-    def _ask(self, now: float) -> list[FreshnessEffect]:
+    def _request_update(self, now: float) -> list[FreshnessEffect]:
         if now - self._queried_at < WITNESS_QUERY_RETRY_SECONDS:
             return []
         self._queried_at = now
--- a/src/orchidpath/routing/kv_transfer_evidence.py
+++ b/src/orchidpath/routing/kv_transfer_evidence.py
@@ -1,4 +1,4 @@
-"""Charges a failed hand-over of KV cache to the side that the evidence points at.
+"""Charges a failed KV transfer to the side that the evidence points at.
 
 The decode worker fetches the KV cache from the prefill worker, so a failure may lie with either of
 them or with the network between them. A worker must not be charged for another one's fault, so a
@@ -9,7 +9,7 @@
 - the same decode worker fails with several prefill workers: the decode side;
 - only one pair fails, or the evidence points both ways: the link. Both workers stay uncharged and
   the pair is avoided for a while;
-- the handle lapsed, or did not belong to the request: neutral.
+- the handle expired, or did not belong to the request: neutral.
 
 Only failures since a worker last exchanged KV cache with any peer count against it: a worker that
 works with one peer and not with another has a link problem. In a network split, where failures
@@ -24,7 +24,7 @@
 from orchidpath.wire.messages import AttemptEffect
 
 EVIDENCE_WINDOW_SECONDS = 30.0
-"""Failures and successes of hand-overs count as evidence for this long."""
+"""Failures and successes of KV transfers count as evidence for this long."""
 
 REACHABILITY_WINDOW_SECONDS = 5.0
 """This router's own view of whether it reaches a prefill worker counts for this long."""
@@ -46,7 +46,7 @@
 
 
 class TransferEvidence(StrEnum):
-    """What the decode worker reported about a failed hand-over."""
+    """What the decode worker reported about a failed KV transfer."""
 
     UNREACHABLE = "unreachable"
     """It could not connect to the prefill worker."""
@@ -61,7 +61,7 @@
 
 
 class TransferVerdict(StrEnum):
-    """Who is charged for a failed hand-over."""
+    """Who is charged for a failed KV transfer."""
 
     PREFILL_SIDE = "prefill_side"
     DECODE_SIDE = "decode_side"
@@ -70,7 +70,7 @@
 
 
 class TransferFailure(msgspec.Struct, frozen=True, kw_only=True):
-    """One failed hand-over; ``handle_expires_at`` is when the handle was due to lapse."""
+    """One failed KV transfer; ``handle_expires_at`` is when the handle was due to expire."""
 
     prefill_worker_id: str
     decode_worker_id: str
@@ -205,7 +205,7 @@
         self._times: dict[str, float] = {}
 
     def record(self, worker_id: str, now: float) -> None:
-        """Note that it happened."""
+        """Record that it happened."""
         self._times.pop(worker_id, None)
         self._times[worker_id] = now
         if len(self._times) > MAXIMUM_WORKERS:
@@ -221,7 +221,7 @@
 
 
 class TransferEvidenceTable:
-    """Keeps the recent evidence about hand-overs and gives a verdict on each failed one.
+    """Recent evidence about KV transfers; gives a verdict on each failed one.
 
     Memory is bounded: at most ``MAXIMUM_WORKERS`` workers with ``MAXIMUM_PEERS`` peers each.
 
@@ -239,7 +239,7 @@
         self._last_unreachable = _LatestTimes()
 
     def record_reached(self, prefill_worker_id: str) -> None:
-        """Note that this router got an answer from a prefill worker.
+        """Record that this router got an answer from a prefill worker.
 
         Parameters
         ----------
@@ -249,7 +249,7 @@
         self._last_unreachable.forget(prefill_worker_id)
 
     def record_unreachable(self, prefill_worker_id: str, now: float) -> None:
-        """Note that this router itself could not reach a prefill worker.
+        """Record that this router itself could not reach a prefill worker.
 
         Parameters
         ----------
@@ -261,7 +261,7 @@
         self._last_unreachable.record(prefill_worker_id, now)
 
     def record_success(self, prefill_worker_id: str, decode_worker_id: str, now: float) -> None:
-        """Note a hand-over that worked: it clears the pair and speaks for both workers.
+        """Record a KV transfer that worked: it clears the pair and speaks for both workers.
 
         Parameters
         ----------
@@ -277,7 +277,7 @@
         self._last_success.record(decode_worker_id, now)
 
     def record_failure(self, failure: TransferFailure, now: float) -> TransferVerdict:
-        """Judge one failed hand-over.
+        """Judge one failed KV transfer.
 
         Parameters
         ----------
@@ -325,6 +325,6 @@
 
 def _is_neutral(failure: TransferFailure, now: float) -> bool:
     if failure.evidence is TransferEvidence.HANDLE_DENIED:
-        # A prefill worker forgets a lapsed handle; denying it then is no fault.
+        # A prefill worker forgets an expired handle; denying it then is no fault.
         return now >= failure.handle_expires_at
     return failure.evidence in (TransferEvidence.HANDLE_EXPIRED, TransferEvidence.HANDLE_MISMATCH)
--- a/src/orchidpath/routing/pairing.py
+++ b/src/orchidpath/routing/pairing.py
@@ -24,10 +24,10 @@
 from orchidpath.wire.records import FleetView, Stage, WorkerRecord, WorkerStatus
 
 CANDIDATE_LIMIT = 8
-"""Candidates that go into one leg of a decision."""
+"""Candidates that go into one stage of a decision."""
 
 CONSIDERED_WORKERS = 4 * CANDIDATE_LIMIT
-"""Workers looked at for one leg; bounds the work of a decision in a large fleet."""
+"""Workers looked at for one stage; bounds the work of a decision in a large fleet."""
 
 DRAWN_WORKERS = 2
 """Workers of a plain service that are compared by their load, of each of near and anywhere."""
@@ -46,7 +46,8 @@
     """One attempt of a chat completion that needs a pair of workers.
 
     ``key`` is the prompt's :func:`~orchidpath.routing.ring.prefix_key`. With
-    ``prefill_worker_id`` set the prompt was already read there and only a decode worker is wanted.
+    ``prefill_worker_id`` set the prompt was already prefilled there and only a decode worker is
+    wanted.
     """
 
     service: str
@@ -90,7 +91,7 @@
         service : str
             Name of the service.
         stage : Stage
-            Part that the workers play.
+            Stage of the workers.
         worker_ids : tuple[str, ...]
             The workers, sorted.
 
@@ -127,7 +128,7 @@
     avoidance : PairAvoidance
         Pairs with a failed link; put last.
     candidate_limit : int
-        Candidates of one leg.
+        Candidates of one stage.
     zone : str
         Zone of the router; empty when it is not known.
     """
@@ -166,7 +167,7 @@
     def model_candidates(
         self, query: ModelQuery, in_flight: Mapping[str, int], now: float
     ) -> tuple[StageCandidates, ...]:
-        """Return the legs of a decision about a chat completion.
+        """Return the stages of a decision about a chat completion.
 
         Parameters
         ----------
@@ -180,8 +181,8 @@
         Returns
         -------
         tuple[StageCandidates, ...]
-            Prefill and decode, or decode alone when the prompt was already read. A leg without
-            candidates means that no worker is eligible.
+            Prefill and decode, or decode alone when the prompt was already prefilled. A stage
+            without candidates means that no worker is eligible.
         """
         if query.prefill_worker_id:
             return (self.decode_candidates(query, query.prefill_worker_id, in_flight, now),)
@@ -224,7 +225,7 @@
         """Order decode workers by the cost of the link from a prefill worker, then by load.
 
         Avoided pairs come last, then workers over the load bound, then those in another zone than
-        the prefill worker, or than this router when no other worker reads the prompt; the load
+        the prefill worker, or than this router when no other worker prefills the prompt; the load
         decides next and the ring makes the order stable. The load bound goes before the zone:
         otherwise a zone with one decode worker would drown it.
 
@@ -268,13 +269,13 @@
 
     def _spread_over_zones(self, ordered: Sequence[str]) -> list[str]:
         """Put the best of every other zone among the first candidates, after half of the best."""
-        kept = self._candidate_limit // 2
+        retained = self._candidate_limit // 2
         by_zone: dict[str, list[str]] = {}
-        for worker_id in ordered[kept:]:
+        for worker_id in ordered[retained:]:
             by_zone.setdefault(self._zones.get(worker_id, ""), []).append(worker_id)
         nearest = by_zone.pop(self._zones.get(ordered[0], ""), []) if ordered else []
         by_turns = [one for group in zip_longest(*by_zone.values()) for one in group]
-        return [*ordered[:kept], *(one for one in by_turns if one is not None), *nearest]
+        return [*ordered[:retained], *(one for one in by_turns if one is not None), *nearest]
 
     def plain_candidates(self, query: PlainQuery, in_flight: Mapping[str, int]) -> StageCandidates:
         """Order the workers of a plain service: the least loaded of a few first, near ones before.
@@ -320,7 +321,7 @@
         service : str
             Name of the service.
         stage : Stage
-            Part that the workers play.
+            Stage of the workers.
         model : str
             Model that they must serve; ignored for plain workers.
 
--- a/src/orchidpath/routing/request/attempt_reports.py
+++ b/src/orchidpath/routing/request/attempt_reports.py
@@ -15,7 +15,7 @@
 from orchidpath.wire.messages import AttemptEffect, AttemptReport, Choice
 from orchidpath.wire.records import Stage
 
-_HANDOVER_EVIDENCE = MappingProxyType(
+_TRANSFER_EVIDENCE_BY_CODE = MappingProxyType(
     {
         ErrorCode.HANDLE_EXPIRED: TransferEvidence.HANDLE_EXPIRED,
         ErrorCode.HANDLE_MISMATCH: TransferEvidence.HANDLE_MISMATCH,
@@ -23,12 +23,12 @@
         ErrorCode.UPSTREAM_FAILED: TransferEvidence.TRANSFER_FAILED,
     }
 )
-"""What a decode worker's error code says about its hand-over (backend protocol)."""
+"""What a decode worker's error code says about its KV transfer (backend protocol)."""
 
 
 def transfer_evidence(error: ErrorBody | None) -> TransferEvidence | None:
-    """Return what a decode worker's error says about the hand-over; None when nothing."""
-    return _HANDOVER_EVIDENCE.get(error.code) if error is not None else None
+    """Return what a decode worker's error says about the KV transfer; None when nothing."""
+    return _TRANSFER_EVIDENCE_BY_CODE.get(error.code) if error is not None else None
 
 
 class AttemptRecord(msgspec.Struct, kw_only=True):
@@ -113,7 +113,7 @@
     def report_kv_transfer(
         self, attempt: AttemptRecord, charge: TransferCharge, reason: str
     ) -> list[Report]:
-        """Report both workers of a pair whose hand-over failed."""
+        """Report both workers of a pair whose KV transfer failed."""
         return [
             *self.report(attempt, Stage.PREFILL, charge.prefill_effect, reason),
             *self.report(attempt, Stage.DECODE, charge.decode_effect, reason),
--- a/src/orchidpath/routing/request/core.py
+++ b/src/orchidpath/routing/request/core.py
@@ -41,10 +41,10 @@
 from orchidpath.wire.records import Stage
 
 CANCEL_TIMEOUT_SECONDS = 1.0
-"""How long a caller waits for the promise that a call of unknown fate did not run."""
+"""How long a caller waits for the guarantee that a call of unknown fate did not run."""
 
 DEADLINE_CHARGE_SHARE = 0.5
-"""A worker that held an order for this share of the route's deadline counts as timed out."""
+"""A worker that took a dispatch for this share of the route's deadline counts as timed out."""
 
 ATTEMPT_ID_BITS = 96
 """Enough that no two attempts of a fleet share an id."""
@@ -80,7 +80,7 @@
     plan
         The request.
     shared
-        Retry budget of the request's service, hand-over ledger and randomness.
+        Retry budget of the request's service, KV transfer evidence and randomness.
     disabled_guards
         For tests only: safety rules to leave out.
     """
@@ -95,7 +95,7 @@
         self._shared = shared
         self._disabled = disabled_guards
         self._phase = Phase.NEW
-        self._orders = DispatchLog(plan.route)
+        self._dispatches = DispatchLog(plan.route)
         self._reports = ReportBuffer(plan.request_id, disabled_guards)
         self._retries = RetryState(plan, disabled_guards)
         self._attempt_id = ""
@@ -134,11 +134,11 @@
             self._plan.request_id, self._attempt_id, self._plan.streaming, self._disabled
         )
 
-    def _record_order(self, stage: Stage, now: float) -> str:
+    def _record_dispatch(self, stage: Stage, now: float) -> str:
         # In doubt from here on: the shell may have written bytes when it fails.
         worker_id = self._current().worker(stage)
         self._retries.record_dispatch(stage, worker_id)
-        self._orders.add(self._attempt_id, worker_id, stage)
+        self._dispatches.add(self._attempt_id, worker_id, stage)
         self._sent_at = now
         return worker_id
 
@@ -169,13 +169,13 @@
         return self._timer(events.TimerKind.CANCEL, seconds, Phase.CANCELLING)
 
     def _cancels(self) -> Sequence[RequestInstruction]:
-        """Cancel what may still run, and free the KV cache of a prompt read that is not used."""
+        """Cancel what may still run, and free the KV cache of a prefill that is not used."""
         workers = []
-        order = self._orders.current
-        if order is not None and self._orders.is_in_doubt():
-            workers.append(order.worker_id)
-        unused_prefill = order is not None and order.stage is Stage.DECODE
-        if unused_prefill and not self._decode.is_kv_transferred:
+        dispatch = self._dispatches.current
+        if dispatch is not None and self._dispatches.is_in_doubt():
+            workers.append(dispatch.worker_id)
+        has_unused_prefill = dispatch is not None and dispatch.stage is Stage.DECODE
+        if has_unused_prefill and not self._decode.is_kv_transferred:
             workers.append(self._current().worker(Stage.PREFILL))
         return [
             events.Cancel(
@@ -186,14 +186,14 @@
             for worker_id in workers
         ]
 
-    def _may_dispatch_again(self) -> bool:
+    def _may_retry(self) -> bool:
         if Guard.GUARANTEE_BEFORE_RETRY in self._disabled:
             return True
-        return self._orders.may_dispatch_again()
+        return self._dispatches.may_retry()
 
     def _start_retry(self, wait_seconds: float, now: float) -> list[RequestInstruction]:
         """Retry if every bound allows it, otherwise answer at once (paper, bounded retries)."""
-        if not self._may_dispatch_again() or not self._retries.attempts_left():
+        if not self._may_retry() or not self._retries.attempts_left():
             return self._reject(self._give_up)
         if not self._retries.fits(wait_seconds, now):
             return self._reject(self._give_up)
@@ -215,17 +215,17 @@
         return events.StartTimer(kind=kind, number=self._timer_number, seconds=seconds)
 
     def _charge_deadline(self, now: float) -> Sequence[RequestInstruction]:
-        """Charge a worker that held its order for most of what the route allows.
+        """Charge a worker that took most of the time of what the route allows.
 
         A shorter deadline is the caller's choice, and no worker is charged for it.
         """
-        order = self._orders.current
-        held_seconds = now - self._sent_at
+        dispatch = self._dispatches.current
+        elapsed_seconds = now - self._sent_at
         allowed_seconds = DEADLINE_CHARGE_SHARE * self._plan.route.deadline_seconds
-        if self._attempt is None or order is None or held_seconds < allowed_seconds:
+        if self._attempt is None or dispatch is None or elapsed_seconds < allowed_seconds:
             return ()
         effect = classify(AttemptObservation(observed=Observed.TIMED_OUT))
-        return self._reports.report(self._attempt, order.stage, effect, "held past the deadline")
+        return self._reports.report(self._attempt, dispatch.stage, effect, "held past the deadline")
 
     def _drop(self, reason: str) -> list[RequestInstruction]:
         """Let go of the running attempt; neutral for every worker not reported yet."""
@@ -247,7 +247,7 @@
         return events.BreakStream(error=error)
 
     def _ran(self) -> Ran:
-        return Ran.NO if Guard.HONEST_RAN in self._disabled else self._orders.ran()
+        return Ran.NO if Guard.HONEST_RAN in self._disabled else self._dispatches.ran()
 
     def _current(self) -> AttemptRecord:
         assert self._attempt is not None
--- a/src/orchidpath/routing/request/decode.py
+++ b/src/orchidpath/routing/request/decode.py
@@ -21,7 +21,7 @@
 )
 """What each way in which a stream can be broken counts as."""
 
-_AFTER_HANDOVER = frozenset({FrameKind.CONTENT, FrameKind.USAGE, FrameKind.DONE})
+_AFTER_KV_TRANSFER = frozenset({FrameKind.CONTENT, FrameKind.USAGE, FrameKind.DONE})
 """Frames that a decode worker can only send once it holds the KV cache."""
 
 
@@ -61,16 +61,16 @@
         """Judge the end of the response body."""
         return self._validator.end()
 
-    def note(self, frame: DecodeFrame) -> bool:
-        """Note what a valid frame proves.
+    def observe(self, frame: DecodeFrame) -> bool:
+        """Record what a valid frame proves.
 
         Returns
         -------
         bool
-            Whether it is the first one that proves the hand-over of the KV cache.
+            Whether it is the first one that proves the KV transfer.
         """
         self.has_content = self.has_content or frame.kind is FrameKind.CONTENT
-        if self.is_kv_transferred or frame.kind not in _AFTER_HANDOVER:
+        if self.is_kv_transferred or frame.kind not in _AFTER_KV_TRANSFER:
             return False
         self.is_kv_transferred = True
         return True
--- a/src/orchidpath/routing/request/errors.py
+++ b/src/orchidpath/routing/request/errors.py
@@ -79,7 +79,7 @@
 
 
 def not_fresh(retry_after_seconds: float) -> GiveUp:
-    """Return how to give up when this router's lease to serve has lapsed."""
+    """Return how to give up when this router's lease to serve has expired."""
     message = "this router may not serve at the moment"
     return GiveUp(
         code=ErrorCode.NOT_FRESH, message=message, retry_after_seconds=retry_after_seconds
@@ -97,5 +97,5 @@
 
 
 def stream_broken(reason: str) -> GiveUp:
-    """Return how a committed stream breaks; nothing is promised about coming back."""
+    """Return how a committed stream breaks; no retry-after is given."""
     return GiveUp(code=ErrorCode.STREAM_BROKEN, message=reason, retry_after_seconds=None)
--- a/src/orchidpath/routing/request/events.py
+++ b/src/orchidpath/routing/request/events.py
@@ -54,14 +54,14 @@
 
 
 class DecisionMade(msgspec.Struct, frozen=True, kw_only=True):
-    """Workers were chosen for an attempt, or denied (from the leader or from the fallback)."""
+    """Workers were chosen for an attempt, or rejected (from the leader or from the fallback)."""
 
     attempt_id: str
     reply: DecisionReply
 
 
 class NoCandidates(msgspec.Struct, frozen=True, kw_only=True):
-    """The adopted view holds no worker that could serve a leg of the attempt."""
+    """The adopted view holds no worker that could serve a stage of the attempt."""
 
     attempt_id: str
     reason: str
@@ -76,7 +76,7 @@
 
 
 class PrefillSucceeded(msgspec.Struct, frozen=True, kw_only=True):
-    """The prompt was read; the reply's identifiers have not been checked yet."""
+    """The prompt was prefilled; the reply's identifiers have not been checked yet."""
 
     attempt_id: str
     request_id: str
@@ -87,7 +87,7 @@
     """The exchange of the attempt's current order failed.
 
     ``dispatch_left`` is false only if no byte of the order left this router. ``error`` is the back
-    end's own answer; it is a promise only if ``echoed_attempt_id`` is this attempt's.
+    end's own answer; it is a guarantee only if ``echoed_attempt_id`` is this attempt's.
     """
 
     attempt_id: str
@@ -182,14 +182,14 @@
 
 
 class SendPrefill(msgspec.Struct, frozen=True, kw_only=True):
-    """Order the prompt read."""
+    """Dispatch the prefill."""
 
     worker_id: str
     attempt_id: str
 
 
 class SendDecode(msgspec.Struct, frozen=True, kw_only=True):
-    """Order the decode with the handle that this attempt's prompt read gave."""
+    """Dispatch the decode with the handle that this attempt's prefill gave."""
 
     worker_id: str
     attempt_id: str
@@ -197,7 +197,7 @@
 
 
 class SendCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Order the plain call."""
+    """Dispatch the plain call."""
 
     worker_id: str
     attempt_id: str
@@ -278,7 +278,7 @@
 )
 
 SEND_INSTRUCTIONS = (SendPrefill, SendDecode, SendCall)
-"""Instructions that put an execution order on the wire."""
+"""Instructions that put a dispatch on the wire."""
 
 TERMINAL_INSTRUCTIONS = (Finish, Reject, BreakStream)
 """Instructions after which the caller gets nothing more."""
--- a/src/orchidpath/routing/request/request_machine.py
+++ b/src/orchidpath/routing/request/request_machine.py
@@ -9,9 +9,9 @@
 - each eligible worker once before reuse, full jitter between transient retries, commit at the
   first content frame, no retry after it, one transient failure a worker (paper, "Circuit breakers
   and bounded retries");
-- a call that may not be repeated is sent again only when no earlier order of it can run, and
+- a call that may not be repeated is sent again only when no earlier dispatch of it can run, and
   ``ran=no`` is only said when that is so (brief, "What must never happen");
-- an attempt has its own id, and a handle is used by the attempt that read it and no other.
+- an attempt has its own id, and a handle is used by the attempt whose prefill gave it and no other.
 """
 
 from collections.abc import Callable, Sequence
@@ -49,7 +49,7 @@
     plan
         The request.
     shared
-        Retry budget of the request's service, hand-over ledger and randomness.
+        Retry budget of the request's service, KV transfer evidence and randomness.
     disabled_guards
         For tests only: safety rules to leave out.
     """
@@ -101,10 +101,10 @@
         self._attempt = attempt
         if self._plan.is_model:
             self._phase = Phase.PREFILLING
-            worker_id = self._record_order(Stage.PREFILL, now)
+            worker_id = self._record_dispatch(Stage.PREFILL, now)
             return [events.SendPrefill(worker_id=worker_id, attempt_id=self._attempt_id)]
         self._phase = Phase.CALLING
-        worker_id = self._record_order(Stage.PLAIN, now)
+        worker_id = self._record_dispatch(Stage.PLAIN, now)
         return [events.SendCall(worker_id=worker_id, attempt_id=self._attempt_id)]
 
     def _no_candidates(self, event: events.NoCandidates, now: float) -> list[RequestInstruction]:
@@ -127,7 +127,7 @@
     # Orders
 
     def _send_refused(self, event: events.SendRefused, now: float) -> list[RequestInstruction]:
-        self._orders.settle(DispatchState.NEVER_LEFT)
+        self._dispatches.resolve(DispatchState.NEVER_LEFT)
         instructions = [*self._cancels(), *self._neutral(self._current(), event.refusal.value)]
         if event.refusal is events.SendRefusal.NOT_FRESH:
             return [*instructions, *self._reject(not_fresh(event.retry_after_seconds))]
@@ -137,15 +137,15 @@
     def _prompt_read(self, event: events.PrefillSucceeded, now: float) -> list[RequestInstruction]:
         if not self._is_own_handle(event.request_id, event.handle):
             return self._crossed(Stage.PREFILL, now)
-        self._orders.settle(DispatchState.COMPLETED)
+        self._dispatches.resolve(DispatchState.COMPLETED)
         self._handle_expires_at = now + event.handle.expires_in_seconds
         self._shared.kv_transfer_evidence.record_reached(self._current().worker(Stage.PREFILL))
         self._phase = Phase.DECODING
-        worker_id = self._record_order(Stage.DECODE, now)
-        order = events.SendDecode(
+        worker_id = self._record_dispatch(Stage.DECODE, now)
+        dispatch = events.SendDecode(
             worker_id=worker_id, attempt_id=self._attempt_id, handle=event.handle
         )
-        return [order]
+        return [dispatch]
 
     def _is_own_handle(self, request_id: str, handle: CacheHandle) -> bool:
         if Guard.HANDLE_BOUND_TO_ATTEMPT in self._disabled:
@@ -164,7 +164,7 @@
         if event.frame.kind is FrameKind.ERROR:
             return self._error_frame(event.frame, now)
         reports: Sequence[RequestInstruction] = ()
-        if self._decode.note(event.frame):
+        if self._decode.observe(event.frame):
             reports = self._kv_transferred(now)
         relayed = self._relay(event.frame)
         if verdict is not StreamVerdict.COMPLETE:
@@ -194,7 +194,7 @@
         return [events.Commit(), *self._complete(event.body)]
 
     def _complete(self, body: bytes | None) -> Sequence[RequestInstruction]:
-        self._orders.settle(DispatchState.COMPLETED)
+        self._dispatches.resolve(DispatchState.COMPLETED)
         self._phase = Phase.ENDED
         reports = self._reports.report_rest(self._current(), AttemptEffect.SUCCESS, "completed")
         return [*reports, events.Finish(body=body)]
@@ -223,25 +223,25 @@
         return self._fail(Stage.DECODE, observation, reason, error, now)
 
     def _attempt_failed(self, event: events.AttemptFailed, now: float) -> list[RequestInstruction]:
-        order = self._orders.current
-        assert order is not None
+        dispatch = self._dispatches.current
+        assert dispatch is not None
         if event.dispatch_left:
             self._accept_not_executed_guarantee(event.error, event.echoed_attempt_id)
         else:
-            self._orders.settle(DispatchState.NEVER_LEFT)
-        if order.stage is Stage.PREFILL and not event.dispatch_left:
-            self._shared.kv_transfer_evidence.record_unreachable(order.worker_id, now)
-        return self._fail(order.stage, event.observation, event.reason, event.error, now)
+            self._dispatches.resolve(DispatchState.NEVER_LEFT)
+        if dispatch.stage is Stage.PREFILL and not event.dispatch_left:
+            self._shared.kv_transfer_evidence.record_unreachable(dispatch.worker_id, now)
+        return self._fail(dispatch.stage, event.observation, event.reason, event.error, now)
 
     def _accept_not_executed_guarantee(
         self, error: ErrorBody | None, echoed_attempt_id: str
     ) -> None:
-        """Settle the order if the error promises that this very attempt did not run."""
+        """Resolve the dispatch if the error guarantees that this very attempt was not executed."""
         if error is None or error.ran is not Ran.NO or self._decode.has_content:
             return
         named = {echoed_attempt_id, error.attempt_id or echoed_attempt_id}
         if named == {self._attempt_id} or Guard.ECHO_CHECKED_GUARANTEE in self._disabled:
-            self._orders.settle(DispatchState.NOT_EXECUTED_GUARANTEED)
+            self._dispatches.resolve(DispatchState.NOT_EXECUTED_GUARANTEED)
 
     def _fail(
         self,
@@ -264,13 +264,13 @@
         # Nothing may be sent again once content has reached the caller (paper, commit rule).
         if self._phase is Phase.STREAMING and Guard.NO_RETRY_AFTER_COMMIT not in self._disabled:
             return [*instructions, self._break_stream(reason)]
-        in_doubt = self._orders.is_in_doubt() and not self._may_dispatch_again()
-        if in_doubt and self._orders.would_guarantee_allow_retry():
+        in_doubt = self._dispatches.is_in_doubt() and not self._may_retry()
+        if in_doubt and self._dispatches.would_guarantee_allow_retry():
             return [*instructions, self._await_not_executed_guarantee(now)]
         is_handle_expiry = error is not None and error.code is ErrorCode.HANDLE_EXPIRED
         wait_seconds = 0.0
         if effect in _WAIT_BEFORE_RETRY or is_handle_expiry:
-            # Handles lapse all at once: without the jitter the re-reads would come at once, too.
+            # Handles expire all at once: without the jitter the prefills would come at once, too.
             wait_seconds = self._jitter()
         return [*instructions, *self._start_retry(wait_seconds, now)]
 
@@ -279,15 +279,18 @@
     def _cancel_answered(
         self, event: events.CancelAnswered, now: float
     ) -> list[RequestInstruction]:
-        order = self._orders.current
-        assert order is not None
+        dispatch = self._dispatches.current
+        assert dispatch is not None
         # The prefill worker's answer about the same attempt says nothing about the decode.
-        is_ordered_worker = event.worker_id == order.worker_id
-        if not is_ordered_worker and Guard.GUARANTEE_OF_THE_DISPATCHED_WORKER not in self._disabled:
+        is_dispatched_worker = event.worker_id == dispatch.worker_id
+        if (
+            not is_dispatched_worker
+            and Guard.GUARANTEE_OF_THE_DISPATCHED_WORKER not in self._disabled
+        ):
             return []
         if event.ran is not Ran.NO or not self._may_know(event):
             return self._reject(self._give_up)
-        self._orders.settle(DispatchState.NOT_EXECUTED_GUARANTEED)
+        self._dispatches.resolve(DispatchState.NOT_EXECUTED_GUARANTEED)
         return self._start_retry(self._jitter(), now)
 
     def _may_know(self, event: events.CancelAnswered) -> bool:
--- a/src/orchidpath/routing/request/retries.py
+++ b/src/orchidpath/routing/request/retries.py
@@ -1,4 +1,4 @@
-"""Bounds on the attempts of one request: who was tried, how often, how long to wait.
+"""Bounds on the attempts of one request: which workers were tried, how often, how long to wait.
 
 Sources: paper, "Circuit breakers and bounded retries" (a first pass over the eligible workers
 before any reuse, full jitter, a retry time honoured only when it fits the deadline); design page.
@@ -52,21 +52,21 @@
         )
 
     def record_dispatch(self, stage: Stage, worker_id: str) -> None:
-        """Note that a worker was given an order."""
+        """Record that a worker was sent a dispatch."""
         if worker_id not in self._tried[stage]:
             self._tried[stage].append(worker_id)
 
     def record_attempt_failure(
         self, worker_id: str, effect: AttemptEffect, retry_after_seconds: float | None, now: float
     ) -> None:
-        """Note how a worker failed and when it asked to be left alone until."""
+        """Record how a worker failed, and its retry-after."""
         if effect in _NOT_RETRIED:
             self._excluded.add(worker_id)
         if retry_after_seconds is not None:
             self._not_before[worker_id] = now + retry_after_seconds
 
     def seconds_until_a_worker_returns(self, now: float) -> float | None:
-        """Return how long until the first worker that asked for a pause may be tried again."""
+        """Return the seconds until the first worker with a retry-after may be tried again."""
         waits = [
             until - now
             for worker_id, until in self._not_before.items()
@@ -79,7 +79,7 @@
         return self.attempts_made < self._plan.retry.max_attempts
 
     def fits(self, wait_seconds: float, now: float) -> bool:
-        """Whether a wait leaves enough of the deadline to be worth it."""
+        """Whether a wait leaves enough of the deadline for the retry."""
         if Guard.WAIT_FITS_DEADLINE in self._disabled:
             return True
         remaining_seconds = self._plan.deadline - now
--- a/src/orchidpath/routing/retry_budget.py
+++ b/src/orchidpath/routing/retry_budget.py
@@ -40,8 +40,8 @@
             self._buckets.append((newest, count + 1))
         else:
             self._buckets.append((index, 1))
-        oldest_kept = math.floor((now - MAXIMUM_WINDOW_SECONDS) / BUCKET_SECONDS)
-        while self._buckets[0][0] < oldest_kept:
+        oldest_retained = math.floor((now - MAXIMUM_WINDOW_SECONDS) / BUCKET_SECONDS)
+        while self._buckets[0][0] < oldest_retained:
             self._buckets.popleft()
 
     def certainly_since(self, start: float) -> int:
@@ -88,7 +88,7 @@
 
     @property
     def window_seconds(self) -> float:
-        """Length of the window in force, widened where the minimum would be under one retry."""
+        """Length of the window applied, widened where the minimum would be under one retry."""
         window = self._policy.budget_window_seconds
         if self._policy.budget_minimum_per_second > 0:
             one_retry = self._router_count / self._policy.budget_minimum_per_second
@@ -96,7 +96,7 @@
         return min(window, MAXIMUM_WINDOW_SECONDS)
 
     def set_policy(self, policy: RetryPolicy) -> None:
-        """Obey another policy from now on; what was counted stays counted.
+        """Apply another policy from now on; what was counted stays counted.
 
         Parameters
         ----------
--- a/src/orchidpath/routing/ring.py
+++ b/src/orchidpath/routing/ring.py
@@ -52,8 +52,8 @@
     int
         A 64-bit key.
     """
-    whole_blocks = min(len(prompt) // PREFIX_BLOCK_CHARACTERS, PREFIX_BLOCKS)
-    prefix = prompt[: whole_blocks * PREFIX_BLOCK_CHARACTERS] if whole_blocks else prompt
+    full_blocks = min(len(prompt) // PREFIX_BLOCK_CHARACTERS, PREFIX_BLOCKS)
+    prefix = prompt[: full_blocks * PREFIX_BLOCK_CHARACTERS] if full_blocks else prompt
     return _hash_text(model + _FIELD_SEPARATOR + prefix)
 
 
--- a/src/orchidpath/simulation/control_node.py
+++ b/src/orchidpath/simulation/control_node.py
@@ -156,7 +156,7 @@
         self._post(lambda core: core.receive(sender_id, message, self.now))
 
     def submit(self, order: SubmitConfiguration, handler: AnswerHandler) -> None:
-        """Take an operator's order, here or forwarded to the leader."""
+        """Take a configuration update, here or forwarded to the leader."""
         core = self.core
         if core is None or self.frozen:
             return
--- a/src/orchidpath/simulation/fault_driver.py
+++ b/src/orchidpath/simulation/fault_driver.py
@@ -244,7 +244,7 @@
         """Empty one disk while every process loses power, with another voter behind.
 
         What was confirmed is then held by those voters only that had synced it and still have their
-        disks: of three voters, by a single one if the third was cut off at that moment.
+        disks: of three voters, by a single one if the third was partitioned at that moment.
         """
         leader = self._fleet.leader()
         if leader is None or not self._is_complete(leader):
@@ -261,7 +261,7 @@
         """Empty two of five disks, the second while every process loses power.
 
         The first one's voter is being replaced at that moment, and a third voter is behind, being
-        cut off: of five voters two are left that hold what was confirmed.
+        partitioned: of five voters two are left that hold what was confirmed.
         """
         leader = self._fleet.leader()
         if leader is None or not self._is_complete(leader):
--- a/src/orchidpath/simulation/fleet_checks.py
+++ b/src/orchidpath/simulation/fleet_checks.py
@@ -35,7 +35,7 @@
         self._router_revision: dict[tuple[str, int], int] = {}
 
     def sent(self, order_id: str, base_version: int) -> None:
-        """Note that an operator sent an order."""
+        """Record that an operator sent an order."""
         order = self.orders.setdefault(order_id, OrderHistory(order_id, base_version))
         order.sent += 1
 
@@ -81,7 +81,7 @@
         )
 
     def revision_confirmed(self, revision: int) -> None:
-        """Note that the leader holds a revision to be in force at every router that serves."""
+        """Record that the leader holds a revision to be applied at every router that serves."""
         self.confirmed_revision = max(self.confirmed_revision, revision)
 
     def leaders_observed(self, leaders: list[str]) -> None:
--- a/src/orchidpath/simulation/plan_simulation.py
+++ b/src/orchidpath/simulation/plan_simulation.py
@@ -1,11 +1,11 @@
 """Plans on a simulated fleet under faults: real control cores, routers' leases, workers' fences.
 
 Operators change the desired split and confirm, halt, resume and cancel plans while control
-processes are killed, frozen and cut off, workers fall silent or restart, and orders to workers are
-lost, late and doubled. What must hold (docs/design/plans.md): a worker changes its part only while
-no router that serves would give it a request; a plan holds back no more workers than it may; and
-once the faults are over, nobody is left held back or draining, and the next plan reaches the
-desired split.
+processes are killed, frozen and partitioned, workers fall silent or restart, and commands to
+workers are lost, late and doubled. What must hold (docs/design/plans.md): a worker changes its
+stage only while no router that serves would give it a request; a plan cordons no more workers than
+it may; and once the faults are over, nobody is left cordoned or draining, and the next plan reaches
+the desired split.
 
 Run ``python -m orchidpath.simulation.plan_simulation --seeds 0..99``.
 """
@@ -89,7 +89,7 @@
 
 
 class PlanWorker:
-    """One worker: announces itself through random routers and obeys orders as the stand-in does.
+    """One worker: announces itself through random routers and applies orders as the emulator does.
 
     Parameters
     ----------
@@ -114,7 +114,7 @@
         self._simulation.fleet.world.schedule(duration_seconds, self._wake)
 
     def restart(self) -> None:
-        """Begin anew as another incarnation in the part that it had."""
+        """Begin again as another incarnation in the part that it had."""
         self._restarts += 1
         record = msgspec.structs.replace(
             self.core.record,
--- a/src/orchidpath/simulation/requests/backend_dispatches.py
+++ b/src/orchidpath/simulation/requests/backend_dispatches.py
@@ -65,7 +65,7 @@
 
 
 def prefill_order(message: PrefillRequest) -> AttemptDispatch:
-    """Return what admission looks at in a prompt read."""
+    """Return what admission looks at in a prefill."""
     return AttemptDispatch(
         request_id=message.request_id,
         attempt_id=message.attempt_id,
--- a/src/orchidpath/simulation/requests/backend_faults.py
+++ b/src/orchidpath/simulation/requests/backend_faults.py
@@ -51,7 +51,7 @@
         self._repeat(6.0, self._leave_one_and_spoil_it)
 
     def drain_workers(self) -> None:
-        """Drain back ends while prompts are read slowly, cut routers off and freeze them."""
+        """Drain back ends while prompts are prefilled slowly, cut routers off and freeze them."""
         self._repeat(0.8, self._drain)
         self._repeat(1.5, self._slow_down)
         self._repeat(3.0, self._freeze_router)
@@ -59,12 +59,12 @@
         self._repeat(0.3, self._restart_drained)
 
     def expire_handles(self) -> None:
-        """Let all handles lapse at once, again and again, and mix some up."""
+        """Let all handles expire at once, again and again, and mix some up."""
         self._repeat(0.02, self._expire_all)
         self._repeat(1.0, self._mix_up_handles)
 
     def slow_links(self) -> None:
-        """Cut one prefill worker from one decode worker, and slow the other hand-overs."""
+        """Cut one prefill worker from one decode worker, and slow the other KV transfers."""
         prefill = self._pick(Stage.PREFILL).address
         decode = self._pick(Stage.DECODE).address
         self._fleet.requests.cut_pairs.add((prefill, decode))
@@ -83,7 +83,7 @@
         self._repeat(BACKEND_FAULT_PERIOD_SECONDS, self._spoil)
 
     def replace_services(self) -> None:
-        """Drain, stop and start every back end anew, one after the other."""
+        """Drain, stop and start every back end again, one after the other."""
         for number, backend in enumerate(self._fleet.backends):
             at = 0.5 + 2.0 * number
             self._world.schedule(at, backend.drain)
--- a/src/orchidpath/simulation/requests/exchange_messages.py
+++ b/src/orchidpath/simulation/requests/exchange_messages.py
@@ -14,7 +14,7 @@
     CHAT = "chat"
     """May be repeated."""
     CHAT_ONCE = "chat-once"
-    """Must run at most once, its prompt read included."""
+    """Must run at most once, its prefill included."""
     CHAT_READ_AGAIN = "chat-read-again"
     """Must run at most once; its prompt may be read again."""
     LOOKUP = "lookup"
--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -58,8 +58,8 @@
 class Unusable(msgspec.Struct, kw_only=True):
     """Since when an incarnation is to get no new order.
 
-    ``in_force_at`` is when a majority of the witnesses had adopted that: a leader that is cut off
-    from them may have applied it long before, and the fleet's rule counts from here
+    ``in_force_at`` is when a majority of the witnesses had adopted that: a leader that is
+    partitioned from them may have applied it long before, and the fleet's rule counts from here
     (docs/design/freshness.md).
     """
 
@@ -92,7 +92,7 @@
     world
         Gives the true time.
     retry
-        The retry policy in force.
+        The retry policy applied.
     """
 
     def __init__(self, world: World, retry: RetryPolicy) -> None:
@@ -117,7 +117,7 @@
     # Callers and routers
 
     def submitted(self, request: CallerRequest) -> Submission:
-        """Note that a router has got a request."""
+        """Record that a router has got a request."""
         self.counts.submitted += 1
         submission = Submission(
             request=request, arrived_at=self._world.time, texts=[], transients=[]
@@ -169,7 +169,7 @@
         submission.is_ended = True
 
     def told(self, submission: Submission, error: ErrorBody) -> None:
-        """Check the promise that a caller is given together with an error."""
+        """Check the guarantee that a caller is given together with an error."""
         if error.ran is not Ran.NO:
             return
         self._check(not submission.has_run, f"{_name(submission)} has run and was told ran=no")
@@ -227,7 +227,7 @@
         self._check_probe(worker, attempt_id)
 
     def heard_draining(self, router: str, epoch: int, record: WorkerRecord) -> None:
-        """Note what a worker told a router of itself."""
+        """Record what a worker told a router of itself."""
         key = (router, epoch, record.worker_id, record.incarnation)
         if record.status is WorkerStatus.READY:
             self._heard_draining.discard(key)
@@ -252,7 +252,7 @@
         self._agreed = present
 
     def in_force(self, revision: int) -> None:
-        """Note that a majority of the witnesses has adopted a revision."""
+        """Record that a majority of the witnesses has adopted a revision."""
         for unusable in self._unusable.values():
             if unusable.in_force_at is None and unusable.revision <= revision:
                 unusable.in_force_at = self._world.time
@@ -274,7 +274,7 @@
     # Back ends
 
     def executed(self, incarnation: str, order: AttemptDispatch) -> None:
-        """Check the start of a prompt read or an execution on a back end."""
+        """Check the start of a prefill or an execution on a back end."""
         submission = self._submission_of_attempt.get(order.attempt_id)
         if submission is None:
             raise InvariantError(f"{incarnation} runs an attempt that no router ordered")
@@ -316,7 +316,7 @@
         self._granted.add(claim.handle_id)
 
     def kv_transfer_failed(self, attempt_id: str, prefill: str, decode: str) -> None:
-        """Note a hand-over that failed while only the link of this pair was cut."""
+        """Record a KV transfer that failed while only the link of this pair was cut."""
         if (prefill, decode) not in self.cut_pairs:
             return
         self.counts.kv_transfers_interrupted += 1
--- a/src/orchidpath/simulation/requests/serving_fleet.py
+++ b/src/orchidpath/simulation/requests/serving_fleet.py
@@ -138,7 +138,7 @@
         return router
 
     def make_workers(self, shape: FleetShape) -> None:
-        """Make back ends: a third each for prompt reads, decodes and plain calls."""
+        """Make back ends: a third each for prefills, decodes and plain calls."""
         stages = (Stage.PREFILL, Stage.DECODE, Stage.PLAIN)
         self.backends = [
             SimulatedBackend(
@@ -182,7 +182,7 @@
         """Learn what is agreed from a router too.
 
         A leader may commit and push a revision in the same turn in which its lease ends, and then
-        no control process has shown it to the checks when the first router obeys it.
+        no control process has shown it to the checks when the first router applies it.
         """
         if view.revision > self._agreed_revision:
             self._note_agreed(view)
@@ -194,7 +194,7 @@
         self._witnesses = view.witnesses
 
     def _check_in_force(self) -> None:
-        """Tell the history of the newest revision that every set of witnesses obeys by majority.
+        """Tell the history of the newest revision that every set of witnesses applies by majority.
 
         A router goes by the witnesses of the view that it has, so an older set counts as long as
         any router has it (docs/design/freshness.md, condition 1).
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -126,7 +126,7 @@
             super().announce(announcement)
 
     def on_view_adopted(self, view: FleetView) -> None:
-        """Obey a newly adopted view."""
+        """Apply a newly adopted view."""
         self.access.view_adopted(view)
         self.state.adopt(view)
         self.on_adopted(view)
--- a/src/orchidpath/simulation/requests/simulated_backend.py
+++ b/src/orchidpath/simulation/requests/simulated_backend.py
@@ -193,7 +193,7 @@
     def _failure(self, order: AttemptDispatch) -> ErrorBody | None:
         """Return an injected failure of work that has been done."""
         if self.foreign_guarantees > 0:
-            # A promise about another attempt, such as a confused intermediary would pass on.
+            # A guarantee about another attempt, such as a confused intermediary would pass on.
             self.foreign_guarantees -= 1
             error = self.core.error(order, ErrorCode.INTERNAL, "not run", Ran.NO)
             return msgspec.structs.replace(error, attempt_id=f"{order.attempt_id}-other")
@@ -227,7 +227,7 @@
             return former
         return handle
 
-    # Hand-over
+    # KV transfer
 
     def _transfer_kv(self, exchange: Exchange, message: PullCache) -> None:
         answer = self.handles.take(message.claim, self.now)
--- a/src/orchidpath/simulation/router_node.py
+++ b/src/orchidpath/simulation/router_node.py
@@ -146,7 +146,7 @@
                     self.on_view_adopted(effect.view)
 
     def on_view_adopted(self, view: FleetView) -> None:
-        """Obey a newly adopted view; a router without requests has nothing to do."""
+        """Apply a newly adopted view; a router without requests has nothing to do."""
 
     def _acknowledge_soon(self, delay_seconds: float) -> None:
         if not self._acknowledging:
--- a/src/orchidpath/simulation/scenarios.py
+++ b/src/orchidpath/simulation/scenarios.py
@@ -38,7 +38,7 @@
 POWER_CUT_SCENARIOS = {Scenario.DISK_LOST_IN_POWER_CUT, Scenario.TWO_DISKS_LOST_IN_POWER_CUT}
 
 WITNESSES_CUT_OFF = {Scenario.CONTROL_LOST_UNDER_LOAD, Scenario.MIXED_WITH_REQUESTS}
-"""In these a leader may apply what no witness ever learns of, being cut off or killed."""
+"""In these a leader may apply what no witness ever learns of, being partitioned or killed."""
 
 REQUESTS_PER_SECOND_AFTERWARDS = 4.0
 """Load once the faults are over: enough to see that the fleet serves again."""
--- a/src/orchidpath/simulation/worker_node.py
+++ b/src/orchidpath/simulation/worker_node.py
@@ -1,4 +1,4 @@
-"""A simulated worker's announcements: it starts, drains, dies and comes back anew."""
+"""A simulated worker's announcements: it starts, drains, dies and restarts."""
 
 import msgspec
 
--- a/src/orchidpath/simulation/world.py
+++ b/src/orchidpath/simulation/world.py
@@ -1,4 +1,4 @@
-"""Virtual time, the network and processes that can be killed, frozen and cut off.
+"""Virtual time, the network and processes that can be killed, frozen and partitioned.
 
 Everything that happens in a run follows from its seed: one generator, one event queue ordered by
 time and then by the order in which events were made.
--- a/src/orchidpath/tools/decision_replay.py
+++ b/src/orchidpath/tools/decision_replay.py
@@ -20,7 +20,7 @@
 - A repeated answer to a repeated question, which carries no states: not compared.
 - Decisions that the router made from its last known state: not compared; their reports count.
 - A worker whose circuit and whose domain's capacity circuit are open at once: the log has one wait
-  for both, and it is taken as the circuit's, so that the kind of a denial may differ.
+  for both, and it is taken as the circuit's, so that the kind of a rejection may differ.
 """
 
 from collections import OrderedDict
--- a/src/orchidpath/tools/hollow.py
+++ b/src/orchidpath/tools/hollow.py
@@ -62,8 +62,8 @@
 class HollowSize(msgspec.Struct, frozen=True, kw_only=True):
     """Largest size of a hollow fleet.
 
-    ``candidates`` is how many workers each leg of a decision names; ``attempt_seconds`` how long an
-    attempt counts as running before it is reported. With ``at_once`` everything starts together;
+    ``candidates`` is how many workers each stage of a decision names; ``attempt_seconds`` how long
+    an attempt counts as running before it is reported. With ``at_once`` everything starts together;
     otherwise in groups, each when the one before is in service.
     """
 
@@ -92,7 +92,7 @@
         self.leader_heard_at: dict[int, float] = {}
 
     def view_adopted(self, view: FleetView) -> None:
-        """Note the first adoption of each configuration version."""
+        """Record the first adoption of each configuration version."""
         if not self.adoptions or view.configuration_version > self.adoptions[-1].version:
             self.adoptions.append(Adoption(view.configuration_version, self._clock()))
 
@@ -255,7 +255,7 @@
         await self._wait(self._all_fresh, timeout_seconds, "not every router holds a lease")
 
     async def wait_until_adopted(self, version: int, timeout_seconds: float) -> None:
-        """Wait until every router obeys a configuration version; see :meth:`start`."""
+        """Wait until every router applies a configuration version; see :meth:`start`."""
 
         def adopted() -> bool:
             return all(router.listener.adopted_at(version) for router in self.started())
--- a/src/orchidpath/tools/journal.py
+++ b/src/orchidpath/tools/journal.py
@@ -77,7 +77,7 @@
     dirty
         Whether the sources differed from that commit.
     site
-        Deployment; empty for a run that was cut off.
+        Deployment; empty for a run that was interrupted.
     figures
         Figures by name; ``gate`` is 1 where a deployment passed.
     score
--- a/src/orchidpath/tools/replay_table.py
+++ b/src/orchidpath/tools/replay_table.py
@@ -48,7 +48,7 @@
     def read_stage_candidates(
         self, stage_candidates: StageCandidates, attempt_id: str, now: float
     ) -> StageCircuits:
-        """Read the candidates of one leg; one without a recorded state was not eligible."""
+        """Read the candidates of one stage; one without a recorded state was not eligible."""
         read = super().read_stage_candidates(stage_candidates, attempt_id, now)
         candidates = tuple(
             self._as_recorded(candidate)
