--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -92,12 +92,12 @@
     candidates = tuple(f"worker-{position}" for position in range(candidate_count))
     table = make_table(candidates)
     chosen = [decide(table, candidates, number) for number in range(IN_FLIGHT_ATTEMPTS)]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for number in range(IN_FLIGHT_ATTEMPTS, IN_FLIGHT_ATTEMPTS + rounds):
         chosen.append(decide(table, candidates, number))
         oldest = number - IN_FLIGHT_ATTEMPTS
         end(table, chosen[oldest], oldest, number * ROUND_SECONDS)
-    return rounds / (time.perf_counter() - began)
+    return rounds / (time.perf_counter() - started_at)
 
 
 def measure(candidate_count: int, rounds: int, repeats: int) -> Result:
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -44,8 +44,8 @@
 VOTERS = 3
 READY_TIMEOUT_SECONDS = 30.0
 POLL_SECONDS = 0.01
-FREEZE_HOLD_SECONDS = 1.0
-SETTLE_SECONDS = 1.5
+FREEZE_SECONDS = 1.0
+CONVERGENCE_SECONDS = 1.5
 STOP_TIMEOUT_SECONDS = 10.0
 FLEET_FILE = Path(__file__).parent.parent / "examples" / "vinbrug.toml"
 
@@ -129,7 +129,7 @@
                 fault, repair = (_kill, _start) if part == "kill" else (_freeze, _wake)
                 leader = await cluster.leader()
                 outages.append(await _one_outage(cluster, fleet, leader, fault))
-                await asyncio.sleep(FREEZE_HOLD_SECONDS)
+                await asyncio.sleep(FREEZE_SECONDS)
                 await repair(leader)
                 await _wait_until_settled(cluster)
         finally:
@@ -189,7 +189,7 @@
             if len(applied) == 1 and all(one is not None and one.ready for one in found):
                 break
             await asyncio.sleep(5 * POLL_SECONDS)
-    await asyncio.sleep(SETTLE_SECONDS)
+    await asyncio.sleep(CONVERGENCE_SECONDS)
 
 
 async def _kill(node: ControlNode) -> None:
@@ -259,14 +259,14 @@
         storage.close()
         size = sum(path.stat().st_size for path in Path(folder).rglob("*") if path.is_file())
         started_at = monotonic_seconds()
-        again = FileLogStorage(folder, RealFiles())
-        restored = again.load()
+        reopened = FileLogStorage(folder, RealFiles())
+        restored = reopened.load()
         loaded_at = monotonic_seconds()
         state = FleetState()
         for entry in restored.entries:
             state.apply(entry.index, entry.payload)
         applied_at = monotonic_seconds()
-        again.close()
+        reopened.close()
     assert state.configuration_version == entries
     return ReplayResult(
         entries=entries,
--- a/bench/hollow_control.py
+++ b/bench/hollow_control.py
@@ -25,7 +25,7 @@
 CONTROL_PROCESSES = 4
 READY_TIMEOUT_SECONDS = 45.0
 ADOPT_TIMEOUT_SECONDS = 20.0
-SETTLE_SECONDS = 2.0
+CONVERGENCE_SECONDS = 2.0
 MEBIBYTE = 1024 * 1024
 
 
@@ -171,7 +171,7 @@
     await fleet.grow(run.routers, run.workers, READY_TIMEOUT_SECONDS)
     join_seconds = loop.time() - started_at
     await fleet.call(run.decisions_per_second)
-    await asyncio.sleep(SETTLE_SECONDS)
+    await asyncio.sleep(CONVERGENCE_SECONDS)
     terms_before = await _term(cluster)
     first = _read(cluster, traffic)
     changes = await _make_changes(run, cluster)
--- a/bench/planning.py
+++ b/bench/planning.py
@@ -38,7 +38,7 @@
     zone_spread_decode: int
 
 
-def make_view(prefill: int, wanted_prefill: int) -> FleetView:
+def make_view(prefill: int, desired_prefill: int) -> FleetView:
     """Return a fleet with ``prefill`` workers that prefill prompts and another wanted count."""
     workers = tuple(
         WorkerRecord(
@@ -58,8 +58,8 @@
         name="chat",
         kind=ServiceKind.MODEL,
         models=["model"],
-        prefill_workers=wanted_prefill,
-        decode_workers=WORKERS - wanted_prefill,
+        prefill_workers=desired_prefill,
+        decode_workers=WORKERS - desired_prefill,
         max_held_workers=8,
     )
     route = Route(name="chat", service="chat", model="model")
@@ -74,20 +74,20 @@
     return f"rack-{number % ZONES}-{number // (ZONES * WORKERS_PER_FAILURE_DOMAIN)}"
 
 
-def measure(prefill: int, wanted_prefill: int, repetitions: int) -> Case:
+def measure(prefill: int, desired_prefill: int, repetitions: int) -> Case:
     """Plan one change several times."""
-    view = make_view(prefill, wanted_prefill)
+    view = make_view(prefill, desired_prefill)
     seconds = []
     for _ in range(repetitions):
         started_at = time.perf_counter()
         preview = make_preview(view)
         seconds.append(time.perf_counter() - started_at)
-    assert len(preview.steps) == abs(prefill - wanted_prefill)
+    assert len(preview.steps) == abs(prefill - desired_prefill)
     service = preview.services[0]
     smallest = 0.0
-    if wanted_prefill < prefill:
+    if desired_prefill < prefill:
         ids = [one.worker_id for one in view.workers if one.stage is Stage.PREFILL]
-        smallest = sum(sorted(ring_shares(ids).values())[: prefill - wanted_prefill])
+        smallest = sum(sorted(ring_shares(ids).values())[: prefill - desired_prefill])
     moved = {step.step.worker_id for step in preview.steps}
     return Case(
         prefill_before=prefill,
@@ -97,7 +97,7 @@
         longest_seconds=max(seconds),
         moved_ring_share=service.moved_ring_share,
         smallest_possible_share=smallest,
-        mean_share_of_as_many=len(moved) / max(prefill, wanted_prefill),
+        mean_share_of_as_many=len(moved) / max(prefill, desired_prefill),
         zone_spread_prefill=zone_spread(view, moved, Stage.PREFILL),
         zone_spread_decode=zone_spread(view, moved, Stage.DECODE),
     )
--- a/bench/router_overhead.py
+++ b/bench/router_overhead.py
@@ -200,9 +200,9 @@
 
 async def _time_tokens(response: aiohttp.ClientResponse, mark: bytes, started_at: float) -> Timing:
     arrivals: list[float] = []
-    async for piece in response.content.iter_any():
+    async for chunk in response.content.iter_any():
         now = monotonic_seconds()
-        arrivals += [now] * piece.count(mark)
+        arrivals += [now] * chunk.count(mark)
     gaps = [later - earlier for earlier, later in itertools.pairwise(arrivals)]
     return Timing(arrivals[0] - started_at, gaps, len(arrivals))
 
--- a/src/orchidpath/cli/check.py
+++ b/src/orchidpath/cli/check.py
@@ -88,8 +88,8 @@
     convert_fleet(table, file)
 
 
-def _print_reference(ctx: click.Context, _parameter: click.Parameter, asked: bool) -> None:
-    if not asked or ctx.resilient_parsing:
+def _print_reference(ctx: click.Context, _parameter: click.Parameter, is_requested: bool) -> None:
+    if not is_requested or ctx.resilient_parsing:
         return
     from orchidpath.tools.settings_reference import settings_reference
 
--- a/src/orchidpath/cli/emulator.py
+++ b/src/orchidpath/cli/emulator.py
@@ -42,7 +42,7 @@
 
 
 class InputError(click.ClickException):
-    """Input that cannot be used; told in one line."""
+    """Input that cannot be used; reported in one line."""
 
     exit_code = 2
 
@@ -111,16 +111,24 @@
 def timing_options(command: Command) -> Command:
     """Add the options of a model worker's speeds and capacities."""
     described: list[tuple[str, ValueType, str]] = [
-        ("prefill_tokens_per_second", POSITIVE, "Speed of reading uncached prompt tokens."),
-        ("prefill_overhead_seconds", NOT_NEGATIVE, "Time of every prompt read."),
+        (
+            "prefill_tokens_per_second",
+            POSITIVE,
+            "Uncached prompt tokens prefilled a second.",
+        ),
+        ("prefill_overhead_seconds", NOT_NEGATIVE, "Fixed time of every prefill, in seconds."),
         ("decode_tokens_per_second", POSITIVE, "Speed of a stream that is alone."),
         ("batch_slowdown", NOT_NEGATIVE, "Share by which a further stream slows all."),
         ("kv_bytes_per_token", COUNT, "Size of the KV cache of a prompt token."),
-        ("link_bytes_per_second", POSITIVE, "Bandwidth of the hand-over."),
+        ("link_bytes_per_second", POSITIVE, "Bandwidth of the KV transfer."),
         ("max_in_flight", COUNT, "Attempts at once; more are refused as overloaded."),
         ("cache_capacity_tokens", COUNT, "Capacity of the prefix cache."),
-        ("handle_lifetime_seconds", POSITIVE, "Time after which an unused handle lapses."),
-        ("transfer_timeout_seconds", POSITIVE, "Longest wait for a hand-over."),
+        (
+            "handle_lifetime_seconds",
+            POSITIVE,
+            "Seconds after which an unused handle expires.",
+        ),
+        ("transfer_timeout_seconds", POSITIVE, "Longest wait for a KV transfer, in seconds."),
         ("tokens_per_frame", COUNT, "Tokens of one frame of a stream."),
     ]
     for field, value_type, help_text in reversed(described):
@@ -129,17 +137,17 @@
 
 
 @click.group()
-def standin() -> None:
+def emulator() -> None:
     """Run an emulated worker, service or caller against a fleet."""
 
 
-@standin.command()
+@emulator.command()
 @backend_options
 @click.option(
     "--stage",
     type=click.Choice([Stage.PREFILL.value, Stage.DECODE.value]),
     required=True,
-    help="Stage at the start; orders change it.",
+    help="Stage at the start; commands of the leader change it.",
 )
 @click.option("--model", "models", multiple=True, required=True, help="Model; several allowed.")
 @timing_options
@@ -155,7 +163,7 @@
     _run(lambda: ModelWorker(record, settings, timing))
 
 
-@standin.command()
+@emulator.command()
 @backend_options
 @field_option(ServiceTiming, "median_seconds", POSITIVE, "Median latency.")
 @field_option(ServiceTiming, "sigma", NOT_NEGATIVE, "Spread of the log-normal latency.")
@@ -169,7 +177,7 @@
     _run(lambda: PlainService(record, settings, timing, random.Random(record.worker_id)))
 
 
-@standin.command()
+@emulator.command()
 @click.option(
     "--router",
     "routers",
--- a/src/orchidpath/cli/main.py
+++ b/src/orchidpath/cli/main.py
@@ -1,5 +1,6 @@
 """The ``orchidpath`` command; each command's module is imported only when it is used."""
 
+import copy
 import importlib
 import importlib.util
 import sys
@@ -15,32 +16,41 @@
     "check": "orchidpath.cli.check",
     "config": "orchidpath.cli.config",
     "control": "orchidpath.cli.control",
+    "emulator": "orchidpath.cli.emulator",
     "fleet": "orchidpath.cli.fleet",
     "plan": "orchidpath.cli.plan",
     "replay": "orchidpath.cli.replay",
     "report": "orchidpath.cli.report",
     "router": "orchidpath.cli.router",
     "simulate": "orchidpath.cli.simulate",
-    "standin": "orchidpath.cli.emulator",
     "status": "orchidpath.cli.status",
 }
 """Module of each command; the command has the same name inside it."""
 
+_FORMER_NAMES = {"standin": "emulator"}
+"""Commands that were renamed: the former name still works and is not listed by ``--help``."""
+
 
 class LazyGroup(click.Group):
     """Imports a command's module on use and turns expected errors into lines on stderr."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of the commands that this installation has."""
-        return [name for name, module in _COMMANDS.items() if importlib.util.find_spec(module)]
+        present = [name for name, module in _COMMANDS.items() if importlib.util.find_spec(module)]
+        former = [name for name, current in _FORMER_NAMES.items() if current in present]
+        return [*present, *former]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """Import and return one command."""
         if cmd_name not in self.list_commands(ctx):
             return None
-        module = importlib.import_module(_COMMANDS[cmd_name])
-        command = getattr(module, cmd_name)
+        current_name = _FORMER_NAMES.get(cmd_name, cmd_name)
+        module = importlib.import_module(_COMMANDS[current_name])
+        command = getattr(module, current_name)
         assert isinstance(command, click.Command)
+        if current_name != cmd_name:
+            command = copy.copy(command)
+            command.hidden = True
         return command
 
     def invoke(self, ctx: click.Context) -> object:
--- a/src/orchidpath/cli/replay.py
+++ b/src/orchidpath/cli/replay.py
@@ -80,7 +80,7 @@
         f"{result.not_determined} not determined"
     )
     click.echo(
-        f"{result.reports} reports, {result.taken_over} states taken over, "
+        f"{result.reports} reports, {result.inherited} states taken over, "
         f"{result.dropped_lines} lines dropped by the router, {len(result.damaged)} damaged, "
         f"{len(result.differences)} differences"
     )
--- a/src/orchidpath/emulators/backend/announce_loop.py
+++ b/src/orchidpath/emulators/backend/announce_loop.py
@@ -45,11 +45,11 @@
         self._current_record = current_record
         self._is_silent = is_silent
         self._changed = asyncio.Event()
-        self._told: WorkerRecord | None = None
+        self._acknowledged_record: WorkerRecord | None = None
 
-    def has_told(self, record: WorkerRecord) -> bool:
-        """Tell whether somebody has taken this record, or there is nobody to tell."""
-        return record == self._told or not self._announcer.addresses
+    def is_acknowledged(self, record: WorkerRecord) -> bool:
+        """Whether a process has accepted this record, or no address is known."""
+        return record == self._acknowledged_record or not self._announcer.addresses
 
     def wake(self) -> None:
         """Look at once whether the record has changed."""
@@ -64,7 +64,7 @@
             if plan is not None:
                 reply = await self._send(plan)
                 if reply is not None and reply.accepted:
-                    self._told = plan.announcement.record
+                    self._acknowledged_record = plan.announcement.record
                 self._announcer.on_reply(reply, asyncio.get_running_loop().time())
 
     async def _wait_until_due(self) -> None:
--- a/src/orchidpath/emulators/backend/attempts.py
+++ b/src/orchidpath/emulators/backend/attempts.py
@@ -116,7 +116,7 @@
         self._retention_seconds = retention_seconds
         self._entries: OrderedDict[str, AttemptEntry] = OrderedDict()
         self.executions = ExecutionCounter(max_attempts)
-        self.prompt_reads = ExecutionCounter(max_attempts)
+        self.prefills = ExecutionCounter(max_attempts)
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -163,7 +163,7 @@
             return False
         entry.phases[phase] = PhaseState.RUNNING
         self._touch(attempt_id, entry, now)
-        counter = self.executions if phase is Phase.EXECUTION else self.prompt_reads
+        counter = self.executions if phase is Phase.EXECUTION else self.prefills
         counter.add(entry.request_id)
         return True
 
--- a/src/orchidpath/emulators/backend/backend_core.py
+++ b/src/orchidpath/emulators/backend/backend_core.py
@@ -81,7 +81,7 @@
         self._terminating = True
 
     def admit(
-        self, order: AttemptDispatch, now: float, refuse_all: bool = False
+        self, command: AttemptDispatch, now: float, refuse_all: bool = False
     ) -> ErrorBody | None:
         """Take in an attempt, or return why not.
 
@@ -102,39 +102,39 @@
         ErrorBody or None
             None when the attempt holds a place, to be given back by :meth:`leave`.
         """
-        admission = self.attempts.admit(order.request_id, order.attempt_id, order.phase, now)
+        admission = self.attempts.admit(command.request_id, command.attempt_id, command.phase, now)
         if admission is not Admission.ADMITTED:
-            return self._turn_away(order, admission)
-        objection = self._objection(order, refuse_all)
+            return self._turn_away(command, admission)
+        objection = self._objection(command, refuse_all)
         if objection is not None:
-            return self.refuse(order, objection, "not taken in", now)
+            return self.refuse(command, objection, "not taken in", now)
         return None
 
-    def start(self, order: AttemptDispatch, now: float) -> bool:
+    def start(self, command: AttemptDispatch, now: float) -> bool:
         """Let an admitted attempt run; false when it was cancelled meanwhile."""
-        return self.attempts.start(order.attempt_id, order.phase, now)
+        return self.attempts.start(command.attempt_id, command.phase, now)
 
-    def leave(self, order: AttemptDispatch, now: float) -> None:
+    def leave(self, command: AttemptDispatch, now: float) -> None:
         """Give back the place of an admitted attempt."""
-        self.attempts.finish(order.attempt_id, order.phase, now)
+        self.attempts.finish(command.attempt_id, command.phase, now)
         self.limit.leave()
 
     def refuse(
-        self, order: AttemptDispatch, code: ErrorCode, message: str, now: float
+        self, command: AttemptDispatch, code: ErrorCode, message: str, now: float
     ) -> ErrorBody:
         """Refuse an attempt that did not start, and guarantee that it never will."""
-        ran = self.attempts.refuse(order.attempt_id, order.phase, now)
-        return self.error(order, code, message, ran)
+        ran = self.attempts.refuse(command.attempt_id, command.phase, now)
+        return self.error(command, code, message, ran)
 
-    def error(self, order: AttemptDispatch, code: ErrorCode, message: str, ran: Ran) -> ErrorBody:
+    def error(self, command: AttemptDispatch, code: ErrorCode, message: str, ran: Ran) -> ErrorBody:
         """Make the body of a refusal and count it."""
         self.counts.refused += 1
         return ErrorBody(
             code=code,
             message=f"{self._record.worker_id}: {message}",
             ran=ran,
-            request_id=order.request_id,
-            attempt_id=order.attempt_id,
+            request_id=command.request_id,
+            attempt_id=command.attempt_id,
         )
 
     def cancel(self, attempt_id: str, now: float) -> CancelReply:
@@ -146,7 +146,7 @@
             incarnation=self._record.incarnation,
         )
 
-    def obey(self, order: WorkerCommand, handles_outstanding: int) -> WorkerCommandReply:
+    def execute(self, command: WorkerCommand, handles_outstanding: int) -> WorkerCommandReply:
         """Apply a fenced order, or say why not.
 
         Parameters
@@ -161,12 +161,12 @@
         WorkerCommandReply
             Also names the highest fence seen.
         """
-        reason = self._order_objection(order, handles_outstanding)
+        reason = self._command_objection(command, handles_outstanding)
         if reason:
             self.counts.orders_refused += 1
         else:
             self.counts.orders_obeyed += 1
-            self._carry_out(order)
+            self._carry_out(command)
         return WorkerCommandReply(
             accepted=not reason,
             highest_term=self.fence.term,
@@ -189,41 +189,41 @@
             executions=self.attempts.executions.total,
             max_executions_by_request=self.attempts.executions.highest,
             repeated_requests=tuple(self.attempts.executions.repeated),
-            prompt_reads=self.attempts.prompt_reads.total,
-            max_prompt_reads_by_request=self.attempts.prompt_reads.highest,
+            prefills=self.attempts.prefills.total,
+            max_prefills_by_request=self.attempts.prefills.highest,
             highest_term=self.fence.term,
             highest_sequence=self.fence.sequence,
             counts=self.counts,
         )
 
-    def _turn_away(self, order: AttemptDispatch, admission: Admission) -> ErrorBody:
+    def _turn_away(self, command: AttemptDispatch, admission: Admission) -> ErrorBody:
         if admission is Admission.FULL:
             # Nothing is remembered of this attempt, so nothing may be guaranteed about it.
-            return self.error(order, ErrorCode.OVERLOADED, "attempt memory full", Ran.UNKNOWN)
-        ran = self.attempts.ran(order.attempt_id, order.phase)
-        return self.error(order, ErrorCode.ATTEMPT_REFUSED, f"attempt id: {admission}", ran)
+            return self.error(command, ErrorCode.OVERLOADED, "attempt memory full", Ran.UNKNOWN)
+        ran = self.attempts.ran(command.attempt_id, command.phase)
+        return self.error(command, ErrorCode.ATTEMPT_REFUSED, f"attempt id: {admission}", ran)
 
-    def _objection(self, order: AttemptDispatch, refuse_all: bool) -> ErrorCode | None:
+    def _objection(self, command: AttemptDispatch, refuse_all: bool) -> ErrorCode | None:
         if self.draining:
             return ErrorCode.DRAINING
-        if order.stage is not self._record.stage:
+        if command.stage is not self._record.stage:
             return ErrorCode.WRONG_STAGE
-        if order.model and order.model not in self._record.models:
+        if command.model and command.model not in self._record.models:
             return ErrorCode.WRONG_MODEL
         if refuse_all or not self.limit.try_enter():
             return ErrorCode.OVERLOADED
         return None
 
-    def _order_objection(self, order: WorkerCommand, handles_outstanding: int) -> str:
-        if order.worker_id != self._record.worker_id:
+    def _command_objection(self, command: WorkerCommand, handles_outstanding: int) -> str:
+        if command.worker_id != self._record.worker_id:
             return "another worker"
-        if order.incarnation != self._record.incarnation:
+        if command.incarnation != self._record.incarnation:
             return "another incarnation"
-        if not self.fence.pass_order(order):
+        if not self.fence.pass_order(command):
             return ErrorCode.STALE_ORDER.value
-        if order.kind is not WorkerCommandKind.SET_STAGE:
+        if command.kind is not WorkerCommandKind.SET_STAGE:
             return ""
-        if order.stage is None or (order.stage is Stage.PLAIN) != (
+        if command.stage is None or (command.stage is Stage.PLAIN) != (
             self._record.stage is Stage.PLAIN
         ):
             return "impossible stage"
@@ -231,10 +231,10 @@
             return "not idle"
         return ""
 
-    def _carry_out(self, order: WorkerCommand) -> None:
-        if order.kind is WorkerCommandKind.DRAIN:
+    def _carry_out(self, command: WorkerCommand) -> None:
+        if command.kind is WorkerCommandKind.DRAIN:
             self.drain()
-        elif order.kind is WorkerCommandKind.RESUME:
+        elif command.kind is WorkerCommandKind.RESUME:
             self.resume()
-        elif order.stage is not None:
-            self._record = msgspec.structs.replace(self._record, stage=order.stage)
+        elif command.stage is not None:
+            self._record = msgspec.structs.replace(self._record, stage=command.stage)
--- a/src/orchidpath/emulators/backend/backend_shell.py
+++ b/src/orchidpath/emulators/backend/backend_shell.py
@@ -36,7 +36,7 @@
 NEVER_DARK_PATHS = frozenset({"/v1/faults", "/v1/status", "/v1/executions"})
 """The test's own entrances, answered whatever fault lasts."""
 
-TELL_DRAINING_SECONDS = 1.0
+ANNOUNCE_DRAINING_SECONDS = 1.0
 """Longest wait of an ending process until somebody has taken its announcement of draining."""
 
 CRASH_STATUS = 70
@@ -120,8 +120,8 @@
         if self._announce_loop is not None:
             self._announce_loop.wake()
 
-    def _has_told(self) -> bool:
-        return self._announce_loop is None or self._announce_loop.has_told(self.core.record)
+    def _is_record_acknowledged(self) -> bool:
+        return self._announce_loop is None or self._announce_loop.is_acknowledged(self.core.record)
 
     async def stop(self) -> None:
         """Stop listening and announcing."""
@@ -140,7 +140,9 @@
         self.core.terminate()
         self.announce_change()
         deadline = self.now() + self.settings.drain_seconds
-        await wait_until(self._has_told, min(deadline, self.now() + TELL_DRAINING_SECONDS))
+        await wait_until(
+            self._is_record_acknowledged, min(deadline, self.now() + ANNOUNCE_DRAINING_SECONDS)
+        )
         await wait_until(lambda: not self._is_busy(), deadline)
         await self.stop()
 
@@ -264,7 +266,7 @@
 
     async def _orders(self, request: web.Request) -> web.StreamResponse:
         order = await read_struct(request, WorkerCommand)
-        reply = self.core.obey(order, self.handles_outstanding())
+        reply = self.core.execute(order, self.handles_outstanding())
         if reply.accepted and order.kind is WorkerCommandKind.SET_STAGE:
             self.on_stage_set()
         self.announce_change()
--- a/src/orchidpath/emulators/backend/injected_faults.py
+++ b/src/orchidpath/emulators/backend/injected_faults.py
@@ -34,7 +34,7 @@
     """The connection is cut in the middle of the answer, after the work has started."""
     FAIL_NEXT = "fail_next"
     """The work is done and the answer is a 500 that guarantees nothing."""
-    CUT_LINK = "cut_link"
+    LINK_PARTITION = "cut_link"
     """No KV cache passes between this worker and ``worker_id`` (every worker when empty)."""
     SLOW_LINK = "slow_link"
     """The KV transfer with ``worker_id`` takes ``factor`` times as long."""
--- a/src/orchidpath/emulators/backend/reports.py
+++ b/src/orchidpath/emulators/backend/reports.py
@@ -78,13 +78,13 @@
     frames: int = 0
     refused: int = 0
     cancelled: int = 0
-    streams_cut: int = 0
+    streams_interrupted: int = msgspec.field(default=0, name="streams_cut")
     cache_hits: int = 0
     cached_tokens: int = 0
     prompt_tokens: int = 0
     handles_granted: int = 0
     handles_denied: int = 0
-    hand_overs_failed: int = 0
+    kv_transfers_failed: int = msgspec.field(default=0, name="hand_overs_failed")
     orders_obeyed: int = 0
     orders_refused: int = 0
 
@@ -107,8 +107,8 @@
     executions: int
     max_executions_by_request: int
     repeated_requests: tuple[str, ...]
-    prompt_reads: int
-    max_prompt_reads_by_request: int
+    prefills: int = msgspec.field(name="prompt_reads")
+    max_prefills_by_request: int = msgspec.field(name="max_prompt_reads_by_request")
     highest_term: int
     highest_sequence: int
     counts: BackendCounts
--- a/src/orchidpath/emulators/client/caller.py
+++ b/src/orchidpath/emulators/client/caller.py
@@ -100,29 +100,29 @@
         if self._settings.history:
             self._history = open(self._settings.history, "ab", buffering=0)  # noqa: ASYNC230, SIM115
         await asyncio.gather(*(self._probe(router) for router in self._selection.routers))
-        began_at = clock()
+        started_at = clock()
         helpers = [
-            asyncio.create_task(self._report_forever(began_at)),
+            asyncio.create_task(self._report_forever(started_at)),
             *(
                 asyncio.create_task(self._probe_forever(router))
                 for router in self._settings.routers
             ),
         ]
         try:
-            await self._send_all(began_at)
+            await self._send_all(started_at)
             await self._drain()
         finally:
             await self._close(helpers)
-        return self._tally.summary(clock() - began_at)
+        return self._tally.summary(clock() - started_at)
 
-    async def _send_all(self, began_at: float) -> None:
+    async def _send_all(self, started_at: float) -> None:
         arrivals = all_arrivals(self._settings.mix, self._settings.for_seconds, self._settings.seed)
         for arrival in arrivals:
-            await self._pause_until(began_at + arrival.at_seconds)
+            await self._pause_until(started_at + arrival.at_seconds)
             if self._stopping.is_set():
                 return
-            self._send_due(arrival, began_at)
-        await self._pause_until(began_at + self._settings.for_seconds)
+            self._send_due(arrival, started_at)
+        await self._pause_until(started_at + self._settings.for_seconds)
 
     async def _pause_until(self, at: float) -> None:
         seconds = at - asyncio.get_running_loop().time()
@@ -132,26 +132,26 @@
             return
         await wait_for_event(self._stopping, seconds)
 
-    def _send_due(self, arrival: Arrival, began_at: float) -> None:
+    def _send_due(self, arrival: Arrival, started_at: float) -> None:
         self._tally.due += 1
         if len(self._outstanding) >= MAX_OUTSTANDING:
             self._tally.not_sent += 1
             return
         request = self._planner.plan(arrival.stream)
-        task = asyncio.create_task(self._serve(request, began_at + arrival.at_seconds))
+        task = asyncio.create_task(self._serve(request, started_at + arrival.at_seconds))
         self._outstanding.add(task)
         task.add_done_callback(self._outstanding.discard)
 
     async def _serve(self, request: PlannedRequest, due_at: float) -> None:
-        tries = 1
+        attempts = 1
         result = result_of(request, Outcome.TIMED_OUT)
         try:
-            result = await self._try_routers(request, due_at, tries)
+            result = await self._try_routers(request, due_at, attempts)
             while may_return(result, self._settings.returns) and await self._stay_away(result):
-                tries += 1
+                attempts += 1
                 self._tally.returns += 1
                 now = asyncio.get_running_loop().time()
-                result = await self._try_routers(request, now, tries)
+                result = await self._try_routers(request, now, attempts)
         finally:
             # Also when it is given up at the end of the run: every request is counted.
             self._record(result)
@@ -161,7 +161,7 @@
         return not await wait_for_event(self._stopping, pause)
 
     async def _try_routers(
-        self, request: PlannedRequest, due_at: float, tries: int
+        self, request: PlannedRequest, due_at: float, attempts: int
     ) -> RequestResult:
         assert self._client is not None
         for router in self._selection.order(request.caller_id):
@@ -171,9 +171,9 @@
                 # Nothing was sent, so the next router may be tried with the same request.
                 self._selection.mark(router, ready=False)
                 continue
-            return msgspec.structs.replace(result, tries=tries)
+            return msgspec.structs.replace(result, attempts=attempts)
         unreachable = result_of(request, Outcome.UNREACHABLE)
-        return msgspec.structs.replace(unreachable, tries=tries)
+        return msgspec.structs.replace(unreachable, attempts=attempts)
 
     def _record(self, result: RequestResult) -> None:
         self._tally.add(result)
@@ -195,11 +195,11 @@
         if self._history is not None:
             self._history.close()
 
-    async def _report_forever(self, began_at: float) -> None:
+    async def _report_forever(self, started_at: float) -> None:
         second = 0
         while True:
             second += 1
-            seconds = began_at + second - asyncio.get_running_loop().time()
+            seconds = started_at + second - asyncio.get_running_loop().time()
             await asyncio.sleep(max(0.0, seconds))
             progress = self._tally.progress(
                 second, len(self._outstanding), self._selection.ready_count
--- a/src/orchidpath/emulators/client/caller_report.py
+++ b/src/orchidpath/emulators/client/caller_report.py
@@ -20,7 +20,7 @@
 class RequestResult(msgspec.Struct, frozen=True, kw_only=True):
     """How one request ended.
 
-    ``tries`` counts how often it was sent. Times count from the moment at which the request was
+    ``attempts`` counts how often it was sent. Times count from the moment at which the request was
     due, not from the one at which it was sent, so that a busy caller hides no delay.
     """
 
@@ -28,7 +28,7 @@
     stream: str
     kind: TrafficKind
     outcome: Outcome
-    tries: int = 1
+    attempts: int = msgspec.field(default=1, name="tries")
     status: int = 0
     code: str = ""
     ran: str = ""
--- a/src/orchidpath/emulators/client/request_plan.py
+++ b/src/orchidpath/emulators/client/request_plan.py
@@ -13,7 +13,7 @@
     TrafficStream,
 )
 
-WORD_HEX_DIGITS = 3
+HEX_DIGITS_PER_TOKEN = 3
 """With the space behind it a word of a prompt is four characters long, like a usual token."""
 
 
@@ -46,7 +46,7 @@
 def make_words(label: str, count: int) -> str:
     """Return so many words, the same for the same label."""
     words = [
-        xxhash.xxh3_64_hexdigest(f"{label}:{index}".encode())[:WORD_HEX_DIGITS]
+        xxhash.xxh3_64_hexdigest(f"{label}:{index}".encode())[:HEX_DIGITS_PER_TOKEN]
         for index in range(count)
     ]
     return " ".join(words)
@@ -112,7 +112,7 @@
         max_tokens = draw_tokens(stream.max_tokens, self._generator)
         own_words = make_words(request_id, draw_tokens(stream.prompt_tokens, self._generator))
         disconnects = self._generator.random() < self._mix.disconnect_share
-        reads_slowly = self._generator.random() < self._mix.slow_reader_share
+        is_slow_reader = self._generator.random() < self._mix.slow_reader_share
         return PlannedRequest(
             request_id=request_id,
             stream=stream.name,
@@ -123,7 +123,7 @@
             prompt=f"{self._draw_prefix(stream)} {own_words}",
             max_tokens=max_tokens,
             disconnect_after_chunks=self._generator.randrange(max_tokens) if disconnects else None,
-            pause_per_chunk_seconds=self._mix.slow_reader_pause_seconds if reads_slowly else 0.0,
+            pause_per_chunk_seconds=self._mix.slow_reader_pause_seconds if is_slow_reader else 0.0,
         )
 
     def _draw_prefix(self, stream: TrafficStream) -> str:
--- a/src/orchidpath/emulators/client/return_policy.py
+++ b/src/orchidpath/emulators/client/return_policy.py
@@ -36,7 +36,7 @@
         Never when the answer leaves open whether the call ran: the caller itself would then be
         the one that runs it twice.
     """
-    if result.tries > policy.max_returns:
+    if result.attempts > policy.max_returns:
         return False
     if result.outcome is Outcome.UNREACHABLE:
         return True
@@ -49,7 +49,7 @@
 
 def pause_seconds(result: RequestResult, policy: ReturnPolicy, generator: random.Random) -> float:
     """Return how long to stay away: at least what Retry-After asks for, within the bound."""
-    asked = result.retry_after_seconds
-    pause = policy.default_pause_seconds if asked is None else asked
+    requested_seconds = result.retry_after_seconds
+    pause = policy.default_pause_seconds if requested_seconds is None else requested_seconds
     jitter = 1.0 + policy.jitter_share * generator.random()
     return min(policy.max_pause_seconds, pause * jitter)
--- a/src/orchidpath/emulators/client/router_client.py
+++ b/src/orchidpath/emulators/client/router_client.py
@@ -156,8 +156,8 @@
         clock = TokenClock(self._first_token, self._between_tokens, due_at)
         clean_end = True
         try:
-            async for piece in response.content.iter_any():
-                chunks = verifier.feed(piece)
+            async for chunk in response.content.iter_any():
+                chunks = verifier.feed(chunk)
                 clock.on_content(chunks, is_slow_reader=request.pause_per_chunk_seconds > 0)
                 if _is_leaving(request, verifier):
                     response.close()
--- a/src/orchidpath/emulators/client/server_sent_events.py
+++ b/src/orchidpath/emulators/client/server_sent_events.py
@@ -18,7 +18,7 @@
         self._name = ""
         self._data: list[str] = []
 
-    def feed(self, piece: bytes) -> list[ServerSentEvent]:
+    def feed(self, chunk: bytes) -> list[ServerSentEvent]:
         """Take in a piece of the body.
 
         Parameters
@@ -31,7 +31,7 @@
         list[ServerSentEvent]
             The events completed by it.
         """
-        lines = (self._rest + piece).split(b"\n")
+        lines = (self._rest + chunk).split(b"\n")
         self._rest = lines.pop()
         events: list[ServerSentEvent] = []
         for line in lines:
--- a/src/orchidpath/emulators/client/verification.py
+++ b/src/orchidpath/emulators/client/verification.py
@@ -111,10 +111,10 @@
         """Whether the stream has said that it is complete."""
         return self._done
 
-    def feed(self, piece: bytes) -> int:
+    def feed(self, chunk: bytes) -> int:
         """Take in a piece of the body and return how many content chunks it completed."""
         before = self.content_chunks
-        for event in self._parser.feed(piece):
+        for event in self._parser.feed(chunk):
             self._take_event(event)
         return self.content_chunks - before
 
@@ -134,8 +134,8 @@
         """
         if self._wrong:
             return Outcome.WRONG_CONTENT
-        whole = self._received == len(self._expected) and self._finish_reason == "stop"
-        if self._done and whole:
+        is_complete = self._received == len(self._expected) and self._finish_reason == "stop"
+        if self._done and is_complete:
             return Outcome.ANSWERED if self.error is None else Outcome.BROKEN
         if self.error is not None and not self._done:
             return Outcome.BROKEN
--- a/src/orchidpath/emulators/worker/kv_cache.py
+++ b/src/orchidpath/emulators/worker/kv_cache.py
@@ -77,10 +77,10 @@
 
     def insert(self, keys: list[int]) -> None:
         """Hold a prompt's blocks; blocks beyond the capacity are not held."""
-        held = keys[: self._capacity_blocks]
-        for key in held:
+        handle = keys[: self._capacity_blocks]
+        for key in handle:
             self._blocks[key] = None
-        self._mark_used(held)
+        self._mark_used(handle)
         while len(self._blocks) > self._capacity_blocks:
             self._blocks.popitem(last=False)
 
@@ -175,18 +175,20 @@
         self._drop_expired(now)
         if claim.incarnation != self.incarnation:
             return ClaimAnswer(verdict=HandleVerdict.MISMATCH)
-        held = self._handles.get(claim.handle_id)
-        if held is None:
+        handle = self._handles.get(claim.handle_id)
+        if handle is None:
             return ClaimAnswer(verdict=HandleVerdict.EXPIRED)
-        if (held.request_id, held.attempt_id) != (claim.request_id, claim.attempt_id):
+        if (handle.request_id, handle.attempt_id) != (claim.request_id, claim.attempt_id):
             return ClaimAnswer(verdict=HandleVerdict.MISMATCH)
         del self._handles[claim.handle_id]
-        return ClaimAnswer(verdict=HandleVerdict.GRANTED, prompt_tokens=held.prompt_tokens)
+        return ClaimAnswer(verdict=HandleVerdict.GRANTED, prompt_tokens=handle.prompt_tokens)
 
     def release(self, attempt_id: str) -> None:
         """Drop the handles of a cancelled attempt."""
-        gone = [key for key, held in self._handles.items() if held.attempt_id == attempt_id]
-        for handle_id in gone:
+        cancelled_handles = [
+            key for key, handle in self._handles.items() if handle.attempt_id == attempt_id
+        ]
+        for handle_id in cancelled_handles:
             del self._handles[handle_id]
 
     def expire_all(self) -> int:
@@ -203,7 +205,7 @@
     def _drop_expired(self, now: float) -> None:
         # Every handle lives equally long, so the oldest expires first.
         while self._handles:
-            handle_id, held = next(iter(self._handles.items()))
-            if held.expires_at > now:
+            handle_id, handle = next(iter(self._handles.items()))
+            if handle.expires_at > now:
                 return
             del self._handles[handle_id]
--- a/src/orchidpath/emulators/worker/kv_pull.py
+++ b/src/orchidpath/emulators/worker/kv_pull.py
@@ -74,14 +74,14 @@
         if (handle.request_id, handle.attempt_id) != (order.request_id, order.attempt_id):
             return _mismatch("the handle belongs to another attempt")
         clock = asyncio.get_running_loop().time
-        if self._faults.take(FaultKind.CUT_LINK, clock(), handle.worker_id) is not None:
+        if self._faults.take(FaultKind.LINK_PARTITION, clock(), handle.worker_id) is not None:
             return _unreachable(handle, "link cut")
-        began_at = clock()
+        started_at = clock()
         try:
             async with asyncio.timeout(self._timeout_seconds):
                 failure = await self._fetch(handle)
                 factor = self._faults.factor(FaultKind.SLOW_LINK, clock(), handle.worker_id)
-                await asyncio.sleep((factor - 1.0) * (clock() - began_at))
+                await asyncio.sleep((factor - 1.0) * (clock() - started_at))
                 return failure
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError) as problem:
             return _unreachable(handle, type(problem).__name__)
--- a/src/orchidpath/emulators/worker/model_worker.py
+++ b/src/orchidpath/emulators/worker/model_worker.py
@@ -179,7 +179,7 @@
             incarnation=request.query.get("incarnation", ""),
         )
         peer = request.query.get("decode_worker", "")
-        if self.faults.take(FaultKind.CUT_LINK, self.now(), peer) is not None:
+        if self.faults.take(FaultKind.LINK_PARTITION, self.now(), peer) is not None:
             abort_connection(request)
             return web.Response()
         answer = self._handles.take(claim, self.now())
@@ -239,7 +239,7 @@
         )
         failure = await puller.pull(body)
         if failure is not None:
-            self.core.counts.hand_overs_failed += 1
+            self.core.counts.kv_transfers_failed += 1
             return error_response(
                 self.core.refuse(order, failure.code, failure.message, self.now())
             )
@@ -271,7 +271,7 @@
             await response.prepare(request)
             await self._send_frames(request, response, plan, order)
         except ConnectionError:
-            self.core.counts.streams_cut += 1
+            self.core.counts.streams_interrupted += 1
         return response
 
     def _lost_frame(self, max_tokens: int) -> int | None:
@@ -288,13 +288,13 @@
         plan: StreamPlan,
         order: AttemptDispatch,
     ) -> None:
-        cut = self.faults.take(FaultKind.TRUNCATE, self.now())
+        truncation = self.faults.take(FaultKind.TRUNCATE, self.now())
         stall = self.faults.take(FaultKind.STALL, self.now())
         for sent, frame in enumerate(decode_frames(plan)):
             if self.core.attempts.is_cancelled(order.attempt_id):
                 abort_connection(request)
                 return
-            if cut is not None and sent > cut.after_frames:
+            if truncation is not None and sent > truncation.after_frames:
                 abort_connection(request)
                 return
             if stall is not None and sent == stall.after_frames + 1:
--- a/src/orchidpath/fleet/executions.py
+++ b/src/orchidpath/fleet/executions.py
@@ -66,13 +66,13 @@
     policy: ExecutionPolicy,
 ) -> list[str]:
     """Return the requests whose last answer guaranteed "not run" and that ran all the same."""
-    promised = {
+    guaranteed = {
         result.request_id
         for result in results
         if result.outcome is Outcome.REFUSED and result.ran == Ran.NO
     }
     ran = {record.request_id for record in records if policy.must_be_once(record)}
-    return sorted(promised & ran)
+    return sorted(guaranteed & ran)
 
 
 def decode_lines(content: bytes, expected: type[StructT]) -> list[StructT]:
--- a/src/orchidpath/fleet/fault_runner.py
+++ b/src/orchidpath/fleet/fault_runner.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from orchidpath.emulators.backend.injected_faults import FaultKind
-from orchidpath.fleet.fault_timeline import CutTable, TimedAction
+from orchidpath.fleet.fault_timeline import PartitionTable, TimedAction
 from orchidpath.fleet.file import LEADER_TARGET, ScriptedFaultKind
 from orchidpath.fleet.layout import FleetLayout
 from orchidpath.fleet.processes import ChildProcess
@@ -45,16 +45,16 @@
         self._layout = layout
         self._children = children
         self._leader_name = leader_name
-        self._cuts = CutTable(seed)
+        self._partitions = PartitionTable(seed)
         self._names_by_step: dict[int, tuple[str, ...]] = {}
         self._plans = {plan.name: plan for plan in layout.processes}
 
     async def run(self, actions: list[TimedAction], report: Callable[[str], None]) -> None:
         """Wait for the time of each action and do it."""
         loop = asyncio.get_running_loop()
-        began_at = loop.time()
+        started_at = loop.time()
         for action in actions:
-            await asyncio.sleep(max(0.0, began_at + action.at_seconds - loop.time()))
+            await asyncio.sleep(max(0.0, started_at + action.at_seconds - loop.time()))
             names = self._names(action)
             report(f"fault: {action.kind} {', '.join(names) or action.fault.target}")
             await self._do(action, names)
@@ -88,14 +88,14 @@
                 await self._start(children)
             case ScriptedFaultKind.REPLACE_DISK:
                 await self._replace_disks(names)
-            case ScriptedFaultKind.CUT:
+            case ScriptedFaultKind.PARTITION:
                 others = self._resolve(action.fault.other)
-                self._cuts.cut(action.number, names, others, one_way=action.fault.one_way)
-                write_fault_file(self._layout.fault_file, self._cuts)
+                self._partitions.cut(action.number, names, others, one_way=action.fault.one_way)
+                write_fault_file(self._layout.fault_file, self._partitions)
             case ScriptedFaultKind.HEAL:
-                self._cuts.heal(action.number)
-                self._cuts.heal_nodes(names)
-                write_fault_file(self._layout.fault_file, self._cuts)
+                self._partitions.heal(action.number)
+                self._partitions.heal_nodes(names)
+                write_fault_file(self._layout.fault_file, self._partitions)
             case ScriptedFaultKind.WORKER:
                 await self._post_worker_fault(action, names)
 
@@ -139,8 +139,8 @@
             return  # a crash gives no answer; a worker that was removed needs no fault
 
 
-def write_fault_file(path: Path, cuts: CutTable) -> None:
+def write_fault_file(path: Path, partitions: PartitionTable) -> None:
     """Replace the fault file in one step, so that no process reads half of it."""
     new_path = path.with_suffix(".new")
-    new_path.write_bytes(msgspec.json.encode(cuts.as_file()))
+    new_path.write_bytes(msgspec.json.encode(partitions.as_file()))
     os.replace(new_path, path)
--- a/src/orchidpath/fleet/fault_timeline.py
+++ b/src/orchidpath/fleet/fault_timeline.py
@@ -11,7 +11,7 @@
     ScriptedFaultKind.KILL: ScriptedFaultKind.START,
     ScriptedFaultKind.STOP: ScriptedFaultKind.START,
     ScriptedFaultKind.FREEZE: ScriptedFaultKind.WAKE,
-    ScriptedFaultKind.CUT: ScriptedFaultKind.HEAL,
+    ScriptedFaultKind.PARTITION: ScriptedFaultKind.HEAL,
 }
 """What ends a fault that lasts for a time."""
 
@@ -44,12 +44,12 @@
     return sorted(actions, key=lambda action: action.at_seconds)
 
 
-class CutTable:
+class PartitionTable:
     """The links that are cut now."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
-        self._cuts: dict[int, list[LinkFault]] = {}
+        self._partitions: dict[int, list[LinkFault]] = {}
 
     def cut(
         self, number: int, sources: Sequence[str], destinations: Sequence[str], *, one_way: bool
@@ -65,7 +65,7 @@
         one_way
             Whether messages in the other direction still pass.
         """
-        self._cuts[number] = [
+        self._partitions[number] = [
             LinkFault(source=source, destination=destination, both_ways=not one_way, cut=True)
             for source in sources
             for destination in (destinations or (ANY_NODE,))
@@ -73,18 +73,18 @@
 
     def heal(self, number: int) -> None:
         """End the cut of one step."""
-        self._cuts.pop(number, None)
+        self._partitions.pop(number, None)
 
     def heal_nodes(self, names: Sequence[str]) -> None:
         """End every cut that has one of the names as its source."""
-        for number, cuts in tuple(self._cuts.items()):
-            kept = [cut for cut in cuts if cut.source not in names]
-            if kept:
-                self._cuts[number] = kept
+        for number, partitions in tuple(self._partitions.items()):
+            retained = [cut for cut in partitions if cut.source not in names]
+            if retained:
+                self._partitions[number] = retained
             else:
-                del self._cuts[number]
+                del self._partitions[number]
 
     def as_file(self) -> LinkFaultFile:
         """Return the content of the fault file."""
-        links = [link for cuts in self._cuts.values() for link in cuts]
+        links = [link for partitions in self._partitions.values() for link in partitions]
         return LinkFaultFile(seed=self._seed, links=links)
--- a/src/orchidpath/fleet/file.py
+++ b/src/orchidpath/fleet/file.py
@@ -32,7 +32,7 @@
 
 
 class FleetWorker(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One emulated back end; ``options`` go to its ``orchidpath standin`` command as they are."""
+    """One emulated back end; ``options`` go to its ``orchidpath emulator`` command as they are."""
 
     name: str
     service: str
@@ -56,7 +56,7 @@
     START = "start"
     REPLACE_DISK = "replace_disk"
     """SIGKILL, the data folder is deleted, and the process is started again."""
-    CUT = "cut"
+    PARTITION = "cut"
     """The links between ``target`` and ``other`` (all when empty) lose everything, for
     ``for_seconds`` or until ``heal``."""
     HEAL = "heal"
--- a/src/orchidpath/fleet/layout.py
+++ b/src/orchidpath/fleet/layout.py
@@ -193,7 +193,7 @@
 
     def _worker_plan(self, worker: FleetWorker, index: int) -> ProcessPlan:
         address = self._workers[worker.name]
-        arguments = ["standin", "service" if worker.stage is Stage.PLAIN else "worker"]
+        arguments = ["emulator", "service" if worker.stage is Stage.PLAIN else "worker"]
         arguments += ["--id", worker.name, "--service", worker.service]
         arguments += ["--host", LOOPBACK_HOST, "--port", address.rpartition(":")[2]]
         arguments += ["--zone", worker.zone, "--failure-domain", worker.failure_domain]
--- a/src/orchidpath/fleet/runner.py
+++ b/src/orchidpath/fleet/runner.py
@@ -151,7 +151,7 @@
 
     async def _run_callers(self, watch: ControlWatch) -> CallerSummary:
         await self._callers.start()
-        stopper = asyncio.create_task(self._stop_callers_when_told())
+        stopper = asyncio.create_task(self._stop_callers_on_request())
         try:
             while line := await self._callers.read_line():
                 report = _decode_report(line)
@@ -164,7 +164,7 @@
             await _cancel([stopper])
         raise CallersFailedError("the callers ended without a summary")
 
-    async def _stop_callers_when_told(self) -> None:
+    async def _stop_callers_on_request(self) -> None:
         await self._stop_requested.wait()
         self._callers.signal(signal.SIGTERM)
 
@@ -211,7 +211,7 @@
         return self._layout.log_folder / f"{name}.log"
 
     def _caller_arguments(self) -> list[str]:
-        arguments = ["standin", "caller", "--json", "--mix", str(self._layout.mix_file)]
+        arguments = ["emulator", "caller", "--json", "--mix", str(self._layout.mix_file)]
         arguments += ["--for", str(self._for_seconds), "--seed", str(self._fleet.seed)]
         arguments += ["--drain-seconds", str(CALLER_DRAIN_SECONDS)]
         arguments += ["--history", str(self._layout.history_file)]
--- a/src/orchidpath/simulation/fault_driver.py
+++ b/src/orchidpath/simulation/fault_driver.py
@@ -1,4 +1,4 @@
-"""Strikes the faults of a scenario upon the control part of a simulated fleet."""
+"""Injects the faults of a scenario into the control part of a simulated fleet."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 FAULT_PERIOD_SECONDS = 1.5
 LONG_FREEZE_SECONDS = 21.0
-POWER_CUTS_AT_SECONDS = (4.0, 14.0, 25.0, 36.0)
+POWER_FAILURES_AT_SECONDS = (4.0, 14.0, 25.0, 36.0)
 HEALING_SHARE = 0.5
 """Share of the halvings of control that heal before the next one."""
 FREEZE_SHARE = 0.25
@@ -20,7 +20,7 @@
 
 
 class FaultDriver:
-    """Strikes the faults of a scenario upon a simulated fleet."""
+    """Injects the faults of a scenario into a simulated fleet."""
 
     def __init__(self, fleet: FleetSimulation) -> None:
         self._fleet = fleet
@@ -28,25 +28,30 @@
         self._random = fleet.world.random
         self._active = True
         self.second_losses = 0
-        self.power_cuts = 0
+        self.power_failures = 0
 
     def stop(self) -> None:
-        """Strike no more."""
+        """Inject no further faults."""
         self._active = False
 
     def begin(self, scenario: Scenario) -> None:
         """Schedule the faults of a scenario."""
         strikes: dict[Scenario, list[Callable[[], None]]] = {
-            Scenario.CALM: [],
+            Scenario.FAULT_FREE: [],
             Scenario.KILLS: [self._kill_control, self._kill_router],
             Scenario.FREEZES: [self._freeze_control, self._freeze_router],
             Scenario.LONG_FREEZE: [],
-            Scenario.CUTS: [self._cut, self._cut_one_way, self._isolate, self._heal_links],
+            Scenario.PARTITIONS: [
+                self._partition,
+                self._partition_one_way,
+                self._isolate,
+                self._heal_links,
+            ],
             Scenario.CONTROL_LOST: [],
             Scenario.DISK_LOSS: [self._lose_disk],
             Scenario.SECOND_LOSS: [],
-            Scenario.DISK_LOST_IN_POWER_CUT: [],
-            Scenario.TWO_DISKS_LOST_IN_POWER_CUT: [],
+            Scenario.DISK_LOST_IN_POWER_FAILURE: [],
+            Scenario.TWO_DISKS_LOST_IN_POWER_FAILURE: [],
             Scenario.CONTROL_HALVED: [self._halve_control],
             Scenario.SLOW_DISKS: [self._slow_disk, self._full_disk],
             Scenario.RESTARTS: [],
@@ -67,8 +72,8 @@
             self._kill_router,
             self._freeze_control,
             self._freeze_router,
-            self._cut,
-            self._cut_one_way,
+            self._partition,
+            self._partition_one_way,
             self._isolate,
             self._heal_links,
             self._heal_links,
@@ -79,19 +84,20 @@
         ]
 
     def _begin_single(self, scenario: Scenario) -> None:
-        """Schedule what strikes once, or a few times, at a known moment."""
+        """Schedule the faults that come once, or a few times, at a known time."""
         moments: dict[Scenario, list[tuple[float, Callable[[], None]]]] = {
             Scenario.LONG_FREEZE: [(2.0, self._freeze_leader_long)],
             Scenario.CONTROL_LOST: [(3.0, self._lose_control_tier)],
             Scenario.SECOND_LOSS: [(3.0, self._lose_and_repair)],
             Scenario.RESTARTS: [(5.0, self._restart_in_turn), (22.0, self._restart_at_once)],
-            Scenario.WITNESSES_RESTARTED: [(2.0, self._cut_off_seed_routers)],
+            Scenario.WITNESSES_RESTARTED: [(2.0, self._partition_seed_routers)],
             Scenario.ROUTERS_UNHEARD: [(2.0, self._hide_routers_from_control)],
-            Scenario.DISK_LOST_IN_POWER_CUT: [
-                (seconds, self._lose_disk_in_power_cut) for seconds in POWER_CUTS_AT_SECONDS
+            Scenario.DISK_LOST_IN_POWER_FAILURE: [
+                (seconds, self._lose_disk_in_power_failure) for seconds in POWER_FAILURES_AT_SECONDS
             ],
-            Scenario.TWO_DISKS_LOST_IN_POWER_CUT: [
-                (seconds, self._lose_two_disks_in_power_cut) for seconds in POWER_CUTS_AT_SECONDS
+            Scenario.TWO_DISKS_LOST_IN_POWER_FAILURE: [
+                (seconds, self._lose_two_disks_in_power_failure)
+                for seconds in POWER_FAILURES_AT_SECONDS
             ],
         }
         for seconds, strike in moments.get(scenario, []):
@@ -143,7 +149,7 @@
             for control in self._fleet.controls:
                 self._world.cut(router.address, control.address)
 
-    def _cut_off_seed_routers(self) -> None:
+    def _partition_seed_routers(self) -> None:
         """Let a few routers, seeds among them, fall behind; then lose all that know better.
 
         The restarted routers can only learn the old view, from those few: together they would be a
@@ -164,12 +170,12 @@
                 self._world.schedule(0.1, router.start)
         self._heal_links()
 
-    def _cut(self) -> None:
+    def _partition(self) -> None:
         addresses = sorted(self._world.processes)
         side = set(self._random.sample(addresses, self._random.randint(1, len(addresses) // 2)))
         self._world.split(side)
 
-    def _cut_one_way(self) -> None:
+    def _partition_one_way(self) -> None:
         one, other = self._random.sample(sorted(self._world.processes), 2)
         self._world.cut(one, other, both_ways=False)
 
@@ -177,7 +183,7 @@
         self._world.split({self._random.choice(sorted(self._world.processes))})
 
     def _heal_links(self) -> None:
-        self._world.cut_links.clear()
+        self._world.partitioned_links.clear()
 
     def _worsen_network(self) -> None:
         self._world.network = NetworkFaults(
@@ -240,7 +246,7 @@
         self.second_losses += 1
         self._world.schedule(1.0, second.start)
 
-    def _lose_disk_in_power_cut(self) -> None:
+    def _lose_disk_in_power_failure(self) -> None:
         """Empty one disk while every process loses power, with another voter behind.
 
         What was confirmed is then held by those voters only that had synced it and still have their
@@ -248,16 +254,16 @@
         """
         leader = self._fleet.leader()
         if leader is None or not self._is_complete(leader):
-            self._world.schedule(0.05, self._lose_disk_in_power_cut)
+            self._world.schedule(0.05, self._lose_disk_in_power_failure)
             return
         behind = self._random.choice(self._voting(but=leader))
-        self._cut_off_from_control(behind)
+        self._partition_from_control(behind)
         self._world.schedule(
             self._random.uniform(0.0, LONGEST_BEHIND_SECONDS),
-            lambda: self._cut_power([self._random.choice(self._voting(but=behind))]),
+            lambda: self._fail_power([self._random.choice(self._voting(but=behind))]),
         )
 
-    def _lose_two_disks_in_power_cut(self) -> None:
+    def _lose_two_disks_in_power_failure(self) -> None:
         """Empty two of five disks, the second while every process loses power.
 
         The first one's voter is being replaced at that moment, and a third voter is behind, being
@@ -265,17 +271,17 @@
         """
         leader = self._fleet.leader()
         if leader is None or not self._is_complete(leader):
-            self._world.schedule(0.05, self._lose_two_disks_in_power_cut)
+            self._world.schedule(0.05, self._lose_two_disks_in_power_failure)
             return
         behind = self._random.choice(self._voting(but=leader))
-        self._cut_off_from_control(behind)
+        self._partition_from_control(behind)
         first = self._random.choice(self._voting(but=behind))
         second = self._random.choice([one for one in self._voting(but=behind) if one is not first])
         first.lose_disk()
         self._world.schedule(self._random.uniform(0.1, 1.0), first.start)
         self._world.schedule(
             self._random.uniform(0.0, LONGEST_REPLACEMENT_SECONDS),
-            lambda: self._cut_power([second]),
+            lambda: self._fail_power([second]),
         )
 
     def _voting(self, but: ControlNode) -> list[ControlNode]:
@@ -286,13 +292,13 @@
         voting = [one for one in self._fleet.controls if one.node_id in voters and one is not but]
         return voting or [one for one in self._fleet.controls if one is not but]
 
-    def _cut_off_from_control(self, control: ControlNode) -> None:
+    def _partition_from_control(self, control: ControlNode) -> None:
         """Cut one control process off from the others; it falls behind."""
         for other in self._fleet.controls:
             if other is not control:
                 self._world.cut(control.address, other.address)
 
-    def _cut_power(self, lost: list[ControlNode]) -> None:
+    def _fail_power(self, lost: list[ControlNode]) -> None:
         """Have every process lose power, and some their disks; links heal with the power."""
         for process in [*self._fleet.controls, *self._fleet.routers]:
             process.kill()
@@ -300,7 +306,7 @@
         for control in lost:
             control.lose_disk()
         self._heal_links()
-        self.power_cuts += 1
+        self.power_failures += 1
 
     def _halve_control(self) -> None:
         """Cut the control processes into two halves that everybody else still reaches.
--- a/src/orchidpath/simulation/fleet_checks.py
+++ b/src/orchidpath/simulation/fleet_checks.py
@@ -18,7 +18,7 @@
     sent: int = 0
     rejected: int = 0
     confirmed_version: int = 0
-    taken_version: int = 0
+    accepted_version: int = 0
     conflict: bool = False
 
 
@@ -50,7 +50,7 @@
                     self.confirmed_updates += 1
                     self.confirmed_version = max(self.confirmed_version, version)
             case UpdateStatus.CONFLICT:
-                self._check(order.taken_version == 0, f"{order_id} was taken, then refused")
+                self._check(order.accepted_version == 0, f"{order_id} was taken, then refused")
                 order.conflict = True
             case UpdateStatus.ORDER_ID_REUSED:
                 raise InvariantError(f"{order_id} was called reused; it was sent again unchanged")
@@ -88,7 +88,7 @@
         """Check that at most one process speaks for the fleet."""
         self._check(len(leaders) <= 1, f"two leaders at once: {', '.join(leaders)}")
 
-    def check_final(self, version: int, order_by_version: dict[int, str]) -> None:
+    def check_final_state(self, version: int, order_by_version: dict[int, str]) -> None:
         """Check the newest state against everything that was confirmed.
 
         Parameters
@@ -104,20 +104,20 @@
         )
         for order in self.orders.values():
             effective = [at for at, one in order_by_version.items() if one == order.order_id]
-            if order.taken_version:
+            if order.accepted_version:
                 self._check(
-                    effective == [order.taken_version],
-                    f"{order.order_id} was taken as {order.taken_version}, state has {effective}",
+                    effective == [order.accepted_version],
+                    f"{order.order_id} accepted as {order.accepted_version}, state has {effective}",
                 )
             surely_refused = order.conflict or order.rejected == order.sent
-            if surely_refused and not order.taken_version:
+            if surely_refused and not order.accepted_version:
                 self._check(not effective, f"{order.order_id} was refused and took effect")
 
     def _accepted(self, order: OrderHistory, version: int) -> None:
         self._check(not order.conflict, f"{order.order_id} was refused, then taken")
         self._check(
-            order.taken_version in {0, version},
-            f"{order.order_id} was taken as {order.taken_version} and as {version}",
+            order.accepted_version in {0, version},
+            f"{order.order_id} was taken as {order.accepted_version} and as {version}",
         )
         self._check(
             version == order.base_version + 1,
@@ -127,7 +127,7 @@
         self._check(
             winner == order.order_id, f"{winner} and {order.order_id} both became {version}"
         )
-        order.taken_version = version
+        order.accepted_version = version
 
     def _check(self, holds: bool, message: str) -> None:
         if not holds:
--- a/src/orchidpath/simulation/fleet_simulation.py
+++ b/src/orchidpath/simulation/fleet_simulation.py
@@ -128,7 +128,7 @@
     def heal(self) -> None:
         """End every fault and start what is down."""
         self.world.network = NetworkFaults()
-        self.world.cut_links.clear()
+        self.world.partitioned_links.clear()
         self.operators.answers_get_lost = False
         for control in self.controls:
             control.sync_seconds = 0.0
@@ -176,11 +176,11 @@
             raise InvariantError("no leader after the faults ended")
         state = leader.core.state
         membership = leader.core.raft.membership
-        wanted = {control.node_id for control in self.controls}
-        if len(membership.voters) != self.shape.voters or not set(membership.voters) <= wanted:
+        desired = {control.node_id for control in self.controls}
+        if len(membership.voters) != self.shape.voters or not set(membership.voters) <= desired:
             raise InvariantError(f"the voters are not whole again: {membership.voters}")
         order_by_version = {entry.version: entry.order_id for entry in state.history()}
-        self.history.check_final(state.configuration_version, order_by_version)
+        self.history.check_final_state(state.configuration_version, order_by_version)
 
     def _has_authority(self, control: ControlNode) -> bool:
         core = control.core
--- a/src/orchidpath/simulation/plan_simulation.py
+++ b/src/orchidpath/simulation/plan_simulation.py
@@ -66,15 +66,15 @@
 WORKER_FAULT_PERIOD_SECONDS = 6.0
 """Time between two workers that fall silent or restart."""
 
-LONGEST_SILENCE_SECONDS = 8.0
+MAX_SILENCE_SECONDS = 8.0
 """A worker that falls silent wakes within this long; after 2 s it counts as lost."""
 
-CONFIRM_TRIES = 5
+MAX_CONFIRM_ATTEMPTS = 5
 """After the faults an operator confirms this many times at most, a second apart."""
 
 NO_GUARD_DISABLED = DisabledGuards()
 
-SETTLE_SECONDS = 120.0
+CONVERGENCE_SECONDS = 120.0
 """A plan is over, whatever happened to it, within this long after the last fault."""
 
 
@@ -125,13 +125,13 @@
         self._waiting.clear()
         self.core = BackendCore(record, max_in_flight=8)
 
-    def obey(self, order: WorkerCommand) -> WorkerCommandReply | None:
+    def execute(self, order: WorkerCommand) -> WorkerCommandReply | None:
         """Take an order and announce what has changed; no answer from a frozen process."""
         if self._silent:
             self._waiting.append(order)
             return None
         before = self.core.record
-        reply = self.core.obey(order, handles_outstanding=0)
+        reply = self.core.execute(order, handles_outstanding=0)
         if reply.accepted and order.kind is WorkerCommandKind.SET_STAGE:
             self._simulation.worker_switched(order.worker_id)
         if self.core.record != before:
@@ -142,7 +142,7 @@
         self._silent = False
         waiting, self._waiting = self._waiting, []
         for order in waiting:
-            self.obey(order)
+            self.execute(order)
 
     def _announce_forever(self) -> None:
         self._announce()
@@ -211,17 +211,17 @@
         """Let what runs end, then one undisturbed plan reach the desired split."""
         world = self.fleet.world
         self._wait_until_over()
-        for wanted_prefill in (2, 6):
-            self._submit_split(wanted_prefill)
+        for desired_prefill in (2, 6):
+            self._submit_split(desired_prefill)
             world.run_until(world.time + 3.0)
-            self._confirm_until_taken()
+            self._confirm_until_accepted()
             self._wait_until_over()
-            self._check_settled(wanted_prefill)
+            self._check_settled(desired_prefill)
 
-    def _confirm_until_taken(self) -> None:
+    def _confirm_until_accepted(self) -> None:
         """Confirm a few times: a control process that still catches up shows an older plan."""
         world = self.fleet.world
-        for _ in range(CONFIRM_TRIES):
+        for _ in range(MAX_CONFIRM_ATTEMPTS):
             self._confirm()
             world.run_until(world.time + 1.0)
             state = self._state()
@@ -231,7 +231,7 @@
 
     def _wait_until_over(self) -> None:
         world = self.fleet.world
-        deadline = world.time + SETTLE_SECONDS
+        deadline = world.time + CONVERGENCE_SECONDS
         while True:
             state = self._state()
             plan = state.plan
@@ -244,7 +244,7 @@
             world.run_until(world.time + 1.0)
         world.run_until(world.time + LATEST_ORDER_SECONDS + 5.0)
 
-    def _check_settled(self, wanted_prefill: int) -> None:
+    def _check_settled(self, desired_prefill: int) -> None:
         state = self._state()
         for worker in state.workers():
             if worker.cordoned or worker.status is not WorkerStatus.READY:
@@ -254,9 +254,9 @@
         if len(state.workers()) != WORKERS:
             raise InvariantError("a worker is missing")
         prefill = sum(1 for worker in state.workers() if worker.stage is Stage.PREFILL)
-        if prefill != wanted_prefill:
+        if prefill != desired_prefill:
             plan = state.plan
-            raise InvariantError(f"{prefill} of {wanted_prefill}: {plan and plan.progress}")
+            raise InvariantError(f"{prefill} of {desired_prefill}: {plan and plan.progress}")
 
     def _state(self) -> FleetState:
         leader = self.fleet.leader()
@@ -285,7 +285,7 @@
         if self._random.random() < 0.3:
             worker.restart()
         else:
-            worker.fall_silent(self._random.uniform(0.5, LONGEST_SILENCE_SECONDS))
+            worker.fall_silent(self._random.uniform(0.5, MAX_SILENCE_SECONDS))
 
     def _change_split(self) -> None:
         if self.active:
@@ -359,7 +359,7 @@
         epoch = control.epoch
 
         def arrive() -> None:
-            reply = worker.obey(order)
+            reply = worker.execute(order)
             lost = self._random.random() < LOST_ORDER_SHARE or control.epoch != epoch
             if reply is None or lost:
                 return
@@ -370,7 +370,7 @@
 
 
 def _ignore(worker: PlanWorker, order: WorkerCommand) -> None:
-    worker.obey(order)
+    worker.execute(order)
 
 
 def _first_record(number: int) -> WorkerRecord:
--- a/src/orchidpath/simulation/requests/backend_dispatches.py
+++ b/src/orchidpath/simulation/requests/backend_dispatches.py
@@ -31,16 +31,16 @@
     """
 
     def __init__(
-        self, frames: Iterator[DecodeFrame], cut: Fault | None, stall: Fault | None
+        self, frames: Iterator[DecodeFrame], truncation: Fault | None, stall: Fault | None
     ) -> None:
         self.frames = frames
         self.sent = 0
-        self._cut = cut
+        self._truncation = truncation
         self._stall = stall
 
-    def is_cut(self) -> bool:
+    def is_interrupted(self) -> bool:
         """Tell whether the connection is to be cut before the next frame."""
-        return self._cut is not None and self.sent > self._cut.after_frames
+        return self._truncation is not None and self.sent > self._truncation.after_frames
 
     def stall_seconds(self) -> float:
         """Return how long the next frame is held up."""
@@ -49,7 +49,7 @@
         return self._stall.seconds
 
 
-def whole_reply(sender: AttemptDispatch, reply: PrefillReply | CallReply) -> HttpReply:
+def complete_reply(sender: AttemptDispatch, reply: PrefillReply | CallReply) -> HttpReply:
     """Return a whole answer with its header."""
     return HttpReply(echoed_attempt_id=sender.attempt_id, reply=reply)
 
--- a/src/orchidpath/simulation/requests/backend_faults.py
+++ b/src/orchidpath/simulation/requests/backend_faults.py
@@ -11,7 +11,7 @@
 CRASH_PERIOD_SECONDS = 0.8
 BURST_PERIOD_SECONDS = 4.0
 BURST_REQUESTS = 150
-ASKED_PAUSE_SECONDS = 30.0
+REQUESTED_RETRY_AFTER_SECONDS = 30.0
 SLOW_READ_FACTOR = 60.0
 CONTROL_LOST_SECONDS = 12.0
 
@@ -55,7 +55,7 @@
         self._repeat(0.8, self._drain)
         self._repeat(1.5, self._slow_down)
         self._repeat(3.0, self._freeze_router)
-        self._repeat(4.5, self._cut_off_router)
+        self._repeat(4.5, self._partition_router)
         self._repeat(0.3, self._restart_drained)
 
     def expire_handles(self) -> None:
@@ -67,7 +67,7 @@
         """Cut one prefill worker from one decode worker, and slow the other KV transfers."""
         prefill = self._pick(Stage.PREFILL).address
         decode = self._pick(Stage.DECODE).address
-        self._fleet.requests.cut_pairs.add((prefill, decode))
+        self._fleet.requests.partitioned_pairs.add((prefill, decode))
         self._world.cut(prefill, decode)
         self._repeat(1.0, self._slow_link)
 
@@ -175,13 +175,13 @@
     def _freeze_backend(self) -> None:
         self._pick().freeze(self._random.uniform(0.5, 6.0))
 
-    def _cut_off_router(self) -> None:
+    def _partition_router(self) -> None:
         fleet = [*self._fleet.controls, *self._fleet.routers]
         for router in self._random.sample(self._fleet.routers, 2):
             for other in fleet:
                 if other is not router:
                     self._world.cut(router.address, other.address)
-        self._world.schedule(4.0, self._world.cut_links.clear)
+        self._world.schedule(4.0, self._world.partitioned_links.clear)
 
     def _expire_all(self) -> None:
         for backend in self._fleet.backends:
@@ -202,7 +202,7 @@
         """Let every plain worker refuse for a moment, and ask for a long pause."""
         for backend in self._fleet.backends:
             if backend.record.stage is Stage.PLAIN:
-                backend.asked_pause_seconds = ASKED_PAUSE_SECONDS
+                backend.retry_after_seconds = REQUESTED_RETRY_AFTER_SECONDS
                 backend.inject(Fault(kind=FaultKind.REFUSE_ALL, seconds=0.5))
 
     def _lose_control_tier(self) -> None:
--- a/src/orchidpath/simulation/requests/backend_process.py
+++ b/src/orchidpath/simulation/requests/backend_process.py
@@ -54,7 +54,7 @@
         self.faults = FaultBoard()
         self.foreign_handles = 0
         self.foreign_guarantees = 0
-        self.asked_pause_seconds: float | None = None
+        self.retry_after_seconds: float | None = None
         self.exchanges = exchanges
         self.history = history
         self._record = record
@@ -101,7 +101,7 @@
         self.faults.clear()
         self.foreign_handles = 0
         self.foreign_guarantees = 0
-        self.asked_pause_seconds = None
+        self.retry_after_seconds = None
         self.core.resume()
 
     def on_start(self) -> None:
@@ -139,7 +139,7 @@
         delay_seconds = self.world.random.uniform(0.0005, self.world.network.delay_seconds)
 
         def arrive() -> None:
-            if (self.address, router.address) not in self.world.cut_links:
+            if (self.address, router.address) not in self.world.partitioned_links:
                 router.announce(announcement)
 
         self.world.schedule(delay_seconds, arrive)
--- a/src/orchidpath/simulation/requests/exchange_messages.py
+++ b/src/orchidpath/simulation/requests/exchange_messages.py
@@ -15,7 +15,7 @@
     """May be repeated."""
     CHAT_ONCE = "chat-once"
     """Must run at most once, its prefill included."""
-    CHAT_READ_AGAIN = "chat-read-again"
+    CHAT_PREFILL_REPEATED = "chat-read-again"
     """Must run at most once; its prompt may be read again."""
     LOOKUP = "lookup"
     """A plain call that may be repeated."""
@@ -23,7 +23,9 @@
     """A plain call that must run at most once."""
 
 
-MODEL_KINDS = frozenset({RequestKind.CHAT, RequestKind.CHAT_ONCE, RequestKind.CHAT_READ_AGAIN})
+MODEL_KINDS = frozenset(
+    {RequestKind.CHAT, RequestKind.CHAT_ONCE, RequestKind.CHAT_PREFILL_REPEATED}
+)
 REPEATABLE_KINDS = frozenset({RequestKind.CHAT, RequestKind.LOOKUP})
 
 
--- a/src/orchidpath/simulation/requests/exchanges.py
+++ b/src/orchidpath/simulation/requests/exchanges.py
@@ -16,7 +16,7 @@
 RETRANSMIT_SECONDS = 0.2
 """A lost segment comes this much later."""
 
-CUT_LINK_SECONDS = 3.0
+PARTITIONED_LINK_SECONDS = 3.0
 """A message that can't get through for this long ends its exchange."""
 
 CONNECT_TIMEOUT_SECONDS = 1.0
@@ -135,8 +135,8 @@
             return
         head = receiver.queue[0]
         link = (sender.process.address, receiver.process.address)
-        if link in self._world.cut_links:
-            if self._world.time - head.sent_at > CUT_LINK_SECONDS:
+        if link in self._world.partitioned_links:
+            if self._world.time - head.sent_at > PARTITIONED_LINK_SECONDS:
                 receiver.queue.clear()
                 self._end(sender)
                 self._end(receiver)
@@ -226,7 +226,7 @@
 
         def accept() -> None:
             server = self._world.processes[server_address]
-            if any(link in self._world.cut_links for link in links):
+            if any(link in self._world.partitioned_links for link in links):
                 client.after(CONNECT_TIMEOUT_SECONDS, on_failed)
             elif not server.alive:
                 on_failed()
--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -51,7 +51,7 @@
     since: float
     firsts: int = 0
     retries: int = 0
-    fewest_routers: int = 1
+    min_routers: int = 1
     most_routers: int = 1
 
 
@@ -111,8 +111,8 @@
         self._spending: dict[tuple[str, int, str], Spending] = {}
         self._probe_choices: dict[tuple[str, str], int] = {}
         self._probes: dict[tuple[str, str, int], str] = {}
-        self._cut_attempts: set[str] = set()
-        self.cut_pairs: set[tuple[str, str]] = set()
+        self._partitioned_attempts: set[str] = set()
+        self.partitioned_pairs: set[tuple[str, str]] = set()
 
     # Callers and routers
 
@@ -168,7 +168,7 @@
         self._check(not submission.is_ended, f"{_name(submission)} ended twice")
         submission.is_ended = True
 
-    def told(self, submission: Submission, error: ErrorBody) -> None:
+    def record_error_reply(self, submission: Submission, error: ErrorBody) -> None:
         """Check the guarantee that a caller is given together with an error."""
         if error.ran is not Ran.NO:
             return
@@ -267,7 +267,7 @@
         )
         submission.transients.append(report.worker_id)
         self._check(
-            report.attempt_id not in self._cut_attempts,
+            report.attempt_id not in self._partitioned_attempts,
             f"{report.worker_id} was charged for a hand-over that a cut link prevented",
         )
 
@@ -288,7 +288,7 @@
         key = (order.request_id, order.phase)
         self._executed[key] = self._executed.get(key, 0) + 1
         self._check(
-            self._executed[key] == 1 or _may_execute_again(submission.request.kind, order.phase),
+            self._executed[key] == 1 or _may_execute_twice(submission.request.kind, order.phase),
             f"{order.request_id} ({submission.request.kind.value}) has its {order.phase.value} "
             f"run a second time, on {incarnation}",
         )
@@ -310,17 +310,19 @@
         """Check a KV cache that a prefill worker hands over."""
         issued = self._issued.get(claim.handle_id)
         bound_to = (issued.request_id, issued.attempt_id) if issued is not None else ("", "")
-        taken_by = (claim.request_id, claim.attempt_id)
-        self._check(bound_to == taken_by, f"the handle of {bound_to} was granted to {taken_by}")
+        accepted_by = (claim.request_id, claim.attempt_id)
+        self._check(
+            bound_to == accepted_by, f"the handle of {bound_to} was granted to {accepted_by}"
+        )
         self._check(claim.handle_id not in self._granted, f"{claim.handle_id} was granted twice")
         self._granted.add(claim.handle_id)
 
     def kv_transfer_failed(self, attempt_id: str, prefill: str, decode: str) -> None:
         """Record a KV transfer that failed while only the link of this pair was cut."""
-        if (prefill, decode) not in self.cut_pairs:
+        if (prefill, decode) not in self.partitioned_pairs:
             return
         self.counts.kv_transfers_interrupted += 1
-        self._cut_attempts.add(attempt_id)
+        self._partitioned_attempts.add(attempt_id)
 
     def _check_usable(self, router: str, key: tuple[str, str]) -> None:
         unusable = self._unusable.get(key)
@@ -350,11 +352,9 @@
     def _spending_of(self, router: str, epoch: int, service: str, router_count: int) -> Spending:
         spending = self._spending.setdefault(
             (router, epoch, service),
-            Spending(
-                since=self._world.time, fewest_routers=router_count, most_routers=router_count
-            ),
+            Spending(since=self._world.time, min_routers=router_count, most_routers=router_count),
         )
-        spending.fewest_routers = min(spending.fewest_routers, router_count)
+        spending.min_routers = min(spending.min_routers, router_count)
         spending.most_routers = max(spending.most_routers, router_count)
         return spending
 
@@ -365,17 +365,17 @@
         window = max(policy.budget_window_seconds, spending.most_routers / minimum)
         seconds = self._world.time - spending.since + min(window, MAXIMUM_WINDOW_SECONDS)
         share = policy.budget_ratio * spending.firsts
-        return share + minimum * seconds / spending.fewest_routers + BUDGET_SLACK_RETRIES
+        return share + minimum * seconds / spending.min_routers + BUDGET_SLACK_RETRIES
 
     def _check(self, holds: bool, message: str) -> None:
         if not holds:
             raise InvariantError(message)
 
 
-def _may_execute_again(kind: RequestKind, phase: Phase) -> bool:
+def _may_execute_twice(kind: RequestKind, phase: Phase) -> bool:
     if kind in REPEATABLE_KINDS:
         return True
-    return kind is RequestKind.CHAT_READ_AGAIN and phase is Phase.PREFILL_DONE
+    return kind is RequestKind.CHAT_PREFILL_REPEATED and phase is Phase.PREFILL_DONE
 
 
 def _name(submission: Submission) -> str:
--- a/src/orchidpath/simulation/requests/response_reader.py
+++ b/src/orchidpath/simulation/requests/response_reader.py
@@ -121,7 +121,7 @@
                 require_success(self._order, ERROR_STATUS, msgspec.json.encode(envelope))
             case HttpReply():
                 self._order.echoed_attempt_id = message.echoed_attempt_id
-                self._whole(message.reply)
+                self._complete_body(message.reply)
             case StreamHead():
                 self._order.echoed_attempt_id = message.echoed_attempt_id
                 require_echo(self._order, self._target.request_id, message.echoed_attempt_id)
@@ -133,7 +133,7 @@
             case _:
                 pass
 
-    def _whole(self, reply: object) -> None:
+    def _complete_body(self, reply: object) -> None:
         assert isinstance(reply, PrefillReply | CallReply)
         require_echo(self._order, reply.request_id, reply.attempt_id)
         self.abort()
--- a/src/orchidpath/simulation/requests/served_request.py
+++ b/src/orchidpath/simulation/requests/served_request.py
@@ -125,13 +125,13 @@
         was_ended = self._machine.is_ended
         now = self._router.now
         if isinstance(event, _FIRST_ANSWERS) and not was_ended:
-            self._note_delay(now)
+            self._record_delay(now)
         for instruction in self._machine.handle(event, now):
             self._execute(instruction)
         if self._machine.is_ended and not was_ended:
             self._router.state.admission.release(self._plan.request_id, now)
 
-    def _note_delay(self, now: float) -> None:
+    def _record_delay(self, now: float) -> None:
         delay = self._trace.first_answer(now)
         if delay is not None:
             self._router.decisions.observe_delay(
@@ -141,7 +141,7 @@
     def _execute(self, instruction: events.RequestInstruction) -> None:
         match instruction:
             case events.RequestDecision():
-                self._ask(instruction)
+                self._apply_decision_request(instruction)
             case events.SendPrefill() | events.SendDecode() | events.SendCall():
                 self._send(instruction)
             case events.AbortExchange():
@@ -167,7 +167,7 @@
                 self._finish(instruction)
             case events.Reject():
                 self._answered()
-                self._history.told(self._submission, instruction.error)
+                self._history.record_error_reply(self._submission, instruction.error)
                 self._history.ended(self._submission)
                 self._caller.answer(Refused(error=instruction.error))
             case events.BreakStream():
@@ -196,7 +196,7 @@
 
     # Decisions
 
-    def _ask(self, instruction: events.RequestDecision) -> None:
+    def _apply_decision_request(self, instruction: events.RequestDecision) -> None:
         router = self._router
         place = (router.address, router.epoch, self._match.service.name, router.router_count())
         self._attempts += 1
--- a/src/orchidpath/simulation/requests/serving_fleet.py
+++ b/src/orchidpath/simulation/requests/serving_fleet.py
@@ -34,7 +34,7 @@
 
 MODEL_SERVICE = "chat"
 PLAIN_SERVICE = "plain"
-SETTLE_SECONDS = 3.0
+CONVERGENCE_SECONDS = 3.0
 """Time for workers and the first configuration to be known everywhere."""
 
 DEADLINE_SECONDS = 6.0
@@ -69,7 +69,7 @@
         method="" if is_model else "POST",
         path="" if is_model else f"/{kind.value}",
         repeatable=kind in REPEATABLE_KINDS,
-        repeat_prompt_read=kind is RequestKind.CHAT_READ_AGAIN,
+        repeat_prompt_read=kind is RequestKind.CHAT_PREFILL_REPEATED,
         deadline_seconds=DEADLINE_SECONDS,
         first_token_timeout_seconds=3.0,
         stall_timeout_seconds=1.5,
@@ -158,12 +158,12 @@
             backend.start()
         self.operators.submit(self.operators.new_order(0))
         self.callers.start()
-        self.world.run_until(self.world.time + SETTLE_SECONDS)
+        self.world.run_until(self.world.time + CONVERGENCE_SECONDS)
 
     def heal(self) -> None:
         """End every fault and start what is down."""
         super().heal()
-        self.requests.cut_pairs.clear()
+        self.requests.partitioned_pairs.clear()
         for backend in self.backends:
             backend.start()
             backend.heal()
@@ -175,7 +175,7 @@
             return
         view = core.state.view()
         if view.revision != self._agreed_revision:
-            self._note_agreed(view)
+            self._record_agreed(view)
             self._check_in_force()
 
     def _view_adopted(self, view: FleetView) -> None:
@@ -185,10 +185,10 @@
         no control process has shown it to the checks when the first router applies it.
         """
         if view.revision > self._agreed_revision:
-            self._note_agreed(view)
+            self._record_agreed(view)
         self._check_in_force()
 
-    def _note_agreed(self, view: FleetView) -> None:
+    def _record_agreed(self, view: FleetView) -> None:
         self._agreed_revision = view.revision
         self.requests.agreed(view.revision, view.workers)
         self._witnesses = view.witnesses
@@ -206,13 +206,13 @@
             revisions[router.address] = view.revision if view is not None else 0
             if view is not None:
                 sets.add(view.witnesses)
-        in_force = min((_held_by_majority(one, revisions) for one in sets if one), default=0)
+        in_force = min((_adopted_by_majority(one, revisions) for one in sets if one), default=0)
         if in_force > self._in_force_revision:
             self._in_force_revision = in_force
             self.requests.in_force(in_force)
 
 
-def _held_by_majority(witnesses: tuple[str, ...], revisions: dict[str, int]) -> int:
+def _adopted_by_majority(witnesses: tuple[str, ...], revisions: dict[str, int]) -> int:
     """Return the newest revision that a majority of these witnesses has adopted."""
     adopted = sorted(revisions.get(witness, 0) for witness in witnesses)
     return adopted[(len(adopted) - 1) // 2]
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -180,7 +180,7 @@
         if refused is not None or match is None:
             assert refused is not None
             self.history.refused_at_once(submission)
-            self.history.told(submission, refused)
+            self.history.record_error_reply(submission, refused)
             self.history.ended(submission)
             exchange.answer(Refused(error=refused))
             return
--- a/src/orchidpath/simulation/requests/simulated_backend.py
+++ b/src/orchidpath/simulation/requests/simulated_backend.py
@@ -17,9 +17,9 @@
     StreamProgress,
     call_order,
     claim_of,
+    complete_reply,
     decode_order,
     prefill_order,
-    whole_reply,
 )
 from orchidpath.simulation.requests.backend_process import TIMING, BackendProcess
 from orchidpath.simulation.requests.cache_pull import CachePull
@@ -93,7 +93,7 @@
         if refusal is not None:
             if refusal.code is ErrorCode.OVERLOADED:
                 refusal = msgspec.structs.replace(
-                    refusal, retry_after_seconds=self.asked_pause_seconds
+                    refusal, retry_after_seconds=self.retry_after_seconds
                 )
             self._refuse(exchange, order, refusal)
             return
@@ -131,7 +131,7 @@
 
         def reply(sender: AttemptDispatch) -> HttpReply:
             body = expected_call_body(sender.request_id, "POST", "/")
-            return whole_reply(
+            return complete_reply(
                 sender,
                 CallReply(
                     request_id=sender.request_id,
@@ -151,7 +151,7 @@
 
         def reply(sender: AttemptDispatch) -> HttpReply:
             handle = self._issue(order, prompt_tokens)
-            return whole_reply(
+            return complete_reply(
                 sender,
                 PrefillReply(
                     request_id=sender.request_id,
@@ -247,7 +247,7 @@
                 self._decode(exchange, order, message.max_tokens)
                 return
             prefill = message.handle.worker_id
-            if self._is_link_cut(prefill):
+            if self._is_link_partitioned(prefill):
                 self.history.kv_transfer_failed(order.attempt_id, prefill, self.address)
             error = self.core.refuse(order, failure, "no KV cache", self.now)
             self._leave(exchange, order, error)
@@ -258,9 +258,12 @@
             TIMING.transfer_timeout_seconds,
         )
 
-    def _is_link_cut(self, other: str) -> bool:
-        cut_links = self.world.cut_links
-        return (self.address, other) in cut_links or (other, self.address) in cut_links
+    def _is_link_partitioned(self, other: str) -> bool:
+        partitioned_links = self.world.partitioned_links
+        return (self.address, other) in partitioned_links or (
+            other,
+            self.address,
+        ) in partitioned_links
 
     # Streams
 
@@ -286,9 +289,9 @@
             lost_frame=1 if gap is not None else None,
             without_terminal=self.faults.take(FaultKind.MISSING_TERMINAL, self.now) is not None,
         )
-        cut = self.faults.take(FaultKind.TRUNCATE, self.now)
+        truncation = self.faults.take(FaultKind.TRUNCATE, self.now)
         stall = self.faults.take(FaultKind.STALL, self.now)
-        stream = StreamProgress(decode_frames(plan), cut, stall)
+        stream = StreamProgress(decode_frames(plan), truncation, stall)
         self.streams += 1
         exchange.answer(StreamHead(echoed_attempt_id=sender.attempt_id))
         self._next_frame(exchange, order, stream)
@@ -313,8 +316,12 @@
         if self.is_dark():
             self.after(DARK_POLL_SECONDS, lambda: self._send_frame(exchange, order, stream, frame))
             return
-        is_gone = not exchange.server.is_open
-        if is_gone or stream.is_cut() or self.core.attempts.is_cancelled(order.attempt_id):
+        is_removed = not exchange.server.is_open
+        if (
+            is_removed
+            or stream.is_interrupted()
+            or self.core.attempts.is_cancelled(order.attempt_id)
+        ):
             exchange.close_server()
             self._end_stream(order)
             return
--- a/src/orchidpath/simulation/requests/simulated_caller.py
+++ b/src/orchidpath/simulation/requests/simulated_caller.py
@@ -139,14 +139,14 @@
             self._callers,
             router.address,
             lambda exchange: self._connected(exchange, router),
-            lambda: self._come_back(0.2),
+            lambda: self._retry_later(0.2),
         )
 
     def _connected(self, exchange: Exchange, router: ServingRouter) -> None:
         request = self._request
         exchange.server.on_message = lambda _message: router.accept(exchange, request)
         exchange.client.on_message = lambda message: self._take(exchange, message)
-        exchange.client.on_broken = self._cut_off
+        exchange.client.on_broken = self._disconnect
         exchange.send(request)
         if self._callers.world.random.random() < LEAVING_SHARE:
             seconds = self._callers.world.random.uniform(0.0, 1.0)
@@ -167,7 +167,7 @@
                 self._read(message)
                 return
             case Finished():
-                self._check_whole(message)
+                self._check_complete(message)
                 self._counts.completed += 1
             case Refused():
                 self._refused(message)
@@ -188,7 +188,7 @@
         if not self._expected.startswith("".join(self._texts)):
             raise InvariantError(f"{request_id} got a stream with a part missing or out of order")
 
-    def _check_whole(self, finished: Finished) -> None:
+    def _check_complete(self, finished: Finished) -> None:
         request = self._request
         if request.kind not in MODEL_KINDS:
             body = finished.body or b""
@@ -205,16 +205,16 @@
         if refused.error.ran is not Ran.NO and is_strict:
             return
         if refused.error.retry_after_seconds is not None:
-            self._come_back(refused.error.retry_after_seconds)
+            self._retry_later(refused.error.retry_after_seconds)
 
-    def _cut_off(self) -> None:
+    def _disconnect(self) -> None:
         if self._is_over:
             return
         # Nothing is known of the request's fate: a strict caller never sends it again.
         self._is_over = True
         self._counts.unknown += 1
 
-    def _come_back(self, seconds: float) -> None:
+    def _retry_later(self, seconds: float) -> None:
         if self._request.submission > MAX_RETURNS:
             return
         self._request = msgspec.structs.replace(
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -103,7 +103,7 @@
         self._correlation = 0
         self._tier_retry_at = float("-inf")
         self._keeps_probes = PathGuard.ONE_PROBE in guards
-        self._kept_probes: dict[Stage, Choice] = {}
+        self._retained_probes: dict[Stage, Choice] = {}
 
     def view(self) -> FleetView | None:
         """Return the newest adopted view, or None before the first."""
@@ -136,7 +136,7 @@
         reply = await waiting
         if reply is None or reply.rejection is Rejection.NOT_LEADER:
             return None
-        return self._with_kept_probes(reply) if self._keeps_probes else reply
+        return self._with_retained_probes(reply) if self._keeps_probes else reply
 
     def decision_answered(self, reply: DecisionReply) -> None:
         """Take the leader's answer, in time or late."""
@@ -177,12 +177,12 @@
         """Forget what incarnations have said that are no more."""
         self._announced.view_adopted(view)
 
-    def _with_kept_probes(self, reply: DecisionReply) -> DecisionReply:
+    def _with_retained_probes(self, reply: DecisionReply) -> DecisionReply:
         """Use a granted probe for later attempts as well; for a guard left out."""
         for choice in reply.choices:
             if choice.probe_generation is not None:
-                self._kept_probes[choice.stage] = choice
-        choices = tuple(self._kept_probes.get(one.stage, one) for one in reply.choices)
+                self._retained_probes[choice.stage] = choice
+        choices = tuple(self._retained_probes.get(one.stage, one) for one in reply.choices)
         return msgspec.structs.replace(reply, choices=choices)
 
     def _give_up(self, request: DecisionRequest) -> None:
--- a/src/orchidpath/simulation/scenarios.py
+++ b/src/orchidpath/simulation/scenarios.py
@@ -35,9 +35,12 @@
 }
 """Scenarios with callers, and how many requests come to the whole fleet."""
 
-POWER_CUT_SCENARIOS = {Scenario.DISK_LOST_IN_POWER_CUT, Scenario.TWO_DISKS_LOST_IN_POWER_CUT}
+POWER_FAILURE_SCENARIOS = {
+    Scenario.DISK_LOST_IN_POWER_FAILURE,
+    Scenario.TWO_DISKS_LOST_IN_POWER_FAILURE,
+}
 
-WITNESSES_CUT_OFF = {Scenario.CONTROL_LOST_UNDER_LOAD, Scenario.MIXED_WITH_REQUESTS}
+WITNESSES_PARTITIONED = {Scenario.CONTROL_LOST_UNDER_LOAD, Scenario.MIXED_WITH_REQUESTS}
 """In these a leader may apply what no witness ever learns of, being partitioned or killed."""
 
 REQUESTS_PER_SECOND_AFTERWARDS = 4.0
@@ -66,7 +69,7 @@
 ) -> ScenarioResult:
     """Run one seed of one scenario and return what came of it."""
     shape = VINBRUG if seed % 2 == 0 else AGENCY
-    if scenario is Scenario.TWO_DISKS_LOST_IN_POWER_CUT:
+    if scenario is Scenario.TWO_DISKS_LOST_IN_POWER_FAILURE:
         shape = FIVE_VOTERS
     guards = disabled or DisabledGuards()
     has_requests = scenario in REQUESTS_PER_SECOND
@@ -110,7 +113,7 @@
     fleet.check_recovered()
     if scenario is Scenario.SECOND_LOSS and driver.second_losses == 0:
         raise InvariantError("the repair after the first loss never ended")
-    if scenario in POWER_CUT_SCENARIOS and driver.power_cuts == 0:
+    if scenario in POWER_FAILURE_SCENARIOS and driver.power_failures == 0:
         raise InvariantError("no power cut struck a whole fleet")
 
 
@@ -118,7 +121,7 @@
     world = fleet.world
     fleet.start()
     fleet.callers.requests_per_second = REQUESTS_PER_SECOND[scenario]
-    fleet.requests.witnesses_reachable = scenario not in WITNESSES_CUT_OFF
+    fleet.requests.witnesses_reachable = scenario not in WITNESSES_PARTITIONED
     driver = FaultDriver(fleet)
     driver.begin(scenario)
     requests = RequestFaultDriver(fleet)
--- a/src/orchidpath/simulation/world.py
+++ b/src/orchidpath/simulation/world.py
@@ -44,7 +44,7 @@
         self.time = 0.0
         self.random = random_module.Random(seed)
         self.network = NetworkFaults()
-        self.cut_links: set[tuple[str, str]] = set()
+        self.partitioned_links: set[tuple[str, str]] = set()
         self.processes: dict[str, SimulatedProcess] = {}
         self.events_run = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -98,7 +98,7 @@
                 delay_seconds = self.random.uniform(0.0, LATE_MESSAGE_SECONDS)
 
             def deliver() -> None:
-                if (sender.address, receiver_address) in self.cut_links:
+                if (sender.address, receiver_address) in self.partitioned_links:
                     return
                 receiver = self.processes[receiver_address]
                 if not node_id or receiver.node_id == node_id:
@@ -108,9 +108,9 @@
 
     def cut(self, one: str, other: str, both_ways: bool = True) -> None:
         """Lose every message from one address to another."""
-        self.cut_links.add((one, other))
+        self.partitioned_links.add((one, other))
         if both_ways:
-            self.cut_links.add((other, one))
+            self.partitioned_links.add((other, one))
 
     def split(self, side: set[str], both_ways: bool = True) -> None:
         """Cut every link between a side and the rest."""
--- a/src/orchidpath/tools/decision_replay.py
+++ b/src/orchidpath/tools/decision_replay.py
@@ -105,7 +105,7 @@
     not_determined: int = 0
     reports: int = 0
     agreed: int = 0
-    taken_over: int = 0
+    inherited: int = msgspec.field(default=0, name="taken_over")
     dropped_lines: int = 0
     damaged: list[DamagedLine] = []
     differences: list[Difference] = []
@@ -202,7 +202,7 @@
         if self._policy is None:
             return
         alternative = self._alternative.decide_line(line)
-        self._note_choices(line, alternative)
+        self._record_choices(line, alternative)
         kind = _kind(line, alternative)
         if kind is not None:
             self._add(number, line, kind, alternative)
@@ -233,7 +233,7 @@
         fenced = msgspec.structs.replace(report, probe_generation=generation)
         table.report_all((fenced,), now)
 
-    def _note_choices(self, line: DecisionLine, reply: DecisionReply) -> None:
+    def _record_choices(self, line: DecisionLine, reply: DecisionReply) -> None:
         """Remember what the alternative chose; what the log has no answer of is neutral."""
         chosen = frozenset(choice.worker_id for choice in reply.choices)
         recorded = {choice.worker_id for choice in line.choices}
@@ -263,7 +263,7 @@
         is_same_wait = abs(own_wait_seconds - wait_seconds) <= TIMER_TOLERANCE_SECONDS
         if _same_status(self._reference.status(worker_id, now), status) and is_same_wait:
             return
-        self.result.taken_over += 1
+        self.result.inherited += 1
         is_alike = _is_alike(self._reference, self._alternative, worker_id, now)
         self._reference.force(worker_id, status, wait_seconds, now)
         if is_alike:
--- a/src/orchidpath/tools/hollow.py
+++ b/src/orchidpath/tools/hollow.py
@@ -320,12 +320,12 @@
         request = self._make_request(f"hollow-{self._request_number}")
         link = self._random.choice(self.started()).link
         self.decisions.sent += 1
-        asked_at = self._clock()
+        sent_at = self._clock()
         reply = await link.decide(request, DECISION_TIMEOUT_SECONDS)
         if reply is None:
             self.decisions.unanswered += 1
             return
-        self.decisions.seconds.append(self._clock() - asked_at)
+        self.decisions.seconds.append(self._clock() - sent_at)
         if reply.rejection is not Rejection.NONE:
             self.decisions.denied += 1
             return
--- a/tests/compatibility/test_commands_corpus.py
+++ b/tests/compatibility/test_commands_corpus.py
@@ -5,10 +5,16 @@
 from commands_tree import command_tree, exit_codes, parameter
 from http_corpus import read_json
 
+RENAMED = {"orchidpath standin": "orchidpath emulator"}
+"""Commands with a further name since the corpus was written: both take the same."""
+
 
 def test_commands_and_options_are_the_same() -> None:
     now = command_tree()
     before = read_json("commands_tree.json")
+    for former, current in RENAMED.items():
+        renamed = {name for name in before if name.startswith(former)}
+        before |= {name.replace(former, current): before[name] for name in renamed}
     assert now.keys() == before.keys()
     for command, parameters in before.items():
         assert now[command] == parameters
--- a/tests/emulators/test_attempt_registry.py
+++ b/tests/emulators/test_attempt_registry.py
@@ -89,7 +89,7 @@
         registry.start(attempt_id, Phase.PREFILL_DONE, 0.0)
     registry.admit("r", "b", Phase.EXECUTION, 0.0)
     registry.start("b", Phase.EXECUTION, 0.0)
-    assert registry.prompt_reads.highest == 2
+    assert registry.prefills.highest == 2
     assert (registry.executions.highest, registry.executions.repeated) == (1, [])
 
 
--- a/tests/emulators/test_backend_core.py
+++ b/tests/emulators/test_backend_core.py
@@ -75,40 +75,40 @@
 
 def test_orders_at_or_below_the_fence_are_refused() -> None:
     core = make_core()
-    assert core.obey(order(2, 5), 0).accepted
+    assert core.execute(order(2, 5), 0).accepted
     assert core.draining
     for term, sequence in [(2, 5), (2, 4), (1, 9)]:
-        reply = core.obey(order(term, sequence, WorkerCommandKind.RESUME), 0)
+        reply = core.execute(order(term, sequence, WorkerCommandKind.RESUME), 0)
         assert (reply.accepted, reply.reason) == (False, "stale_order")
         assert (reply.highest_term, reply.highest_sequence) == (2, 5)
     assert core.record.status is WorkerStatus.DRAINING
-    assert core.obey(order(3, 1, WorkerCommandKind.RESUME), 0).accepted
+    assert core.execute(order(3, 1, WorkerCommandKind.RESUME), 0).accepted
     assert not core.draining
 
 
 def test_orders_to_another_are_refused_and_do_not_move_the_fence() -> None:
     core = make_core()
-    assert not core.obey(order(9, 9, incarnation="i0"), 0).accepted
-    assert not core.obey(order(9, 9, worker_id="w2"), 0).accepted
-    assert core.obey(order(1, 1), 0).accepted
+    assert not core.execute(order(9, 9, incarnation="i0"), 0).accepted
+    assert not core.execute(order(9, 9, worker_id="w2"), 0).accepted
+    assert core.execute(order(1, 1), 0).accepted
 
 
 def test_the_stage_changes_only_when_idle() -> None:
     core = make_core()
     assert core.admit(attempt("a"), 0.0) is None
-    busy = core.obey(order(1, 1, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0)
+    busy = core.execute(order(1, 1, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0)
     assert (busy.accepted, busy.reason) == (False, "not idle")
     core.leave(attempt("a"), 0.0)
-    assert not core.obey(order(1, 2, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 1).accepted
-    assert not core.obey(order(1, 3, WorkerCommandKind.SET_STAGE, Stage.PLAIN), 0).accepted
-    assert core.obey(order(1, 4, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0).accepted
+    assert not core.execute(order(1, 2, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 1).accepted
+    assert not core.execute(order(1, 3, WorkerCommandKind.SET_STAGE, Stage.PLAIN), 0).accepted
+    assert core.execute(order(1, 4, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0).accepted
     assert core.record.stage is Stage.PREFILL
 
 
 def test_no_order_resumes_a_process_that_is_ending() -> None:
     core = make_core()
     core.terminate()
-    core.obey(order(1, 1, WorkerCommandKind.RESUME), 0)
+    core.execute(order(1, 1, WorkerCommandKind.RESUME), 0)
     refusal = core.admit(attempt("a"), 0.0)
     assert refusal is not None
     assert (refusal.code, refusal.ran) == (ErrorCode.DRAINING, Ran.NO)
--- a/tests/emulators/test_emulator_cli.py
+++ b/tests/emulators/test_emulator_cli.py
@@ -12,7 +12,7 @@
 import pytest
 from click.testing import CliRunner
 
-from orchidpath.cli.emulator import standin
+from orchidpath.cli.emulator import emulator
 from orchidpath.emulators.backend.backend_shell import CRASH_STATUS
 from orchidpath.emulators.backend.injected_faults import Fault, FaultKind
 from orchidpath.emulators.backend.reports import BackendReport
@@ -20,7 +20,7 @@
 from orchidpath.wire.backend import PrefillRequest
 from orchidpath.wire.records import WorkerStatus
 
-START = "from orchidpath.cli.emulator import standin; standin()"
+START = "from orchidpath.cli.emulator import emulator; emulator()"
 WORKER = ["worker", "--id", "w1", "--service", "s", "--stage", "prefill", "--model", "m"]
 
 
@@ -39,7 +39,7 @@
     bad = tmp_path / "mix.json"
     bad.write_text('{"strems": []}')
     given = [str(bad) if argument == "BAD" else argument for argument in arguments]
-    result = CliRunner().invoke(standin, given)
+    result = CliRunner().invoke(emulator, given)
     assert result.exit_code == 2
     assert message in result.output
     assert "Traceback" not in result.output
--- a/tests/emulators/test_model_worker.py
+++ b/tests/emulators/test_model_worker.py
@@ -84,7 +84,7 @@
             cached.append(answer.decode(PrefillReply).cached_tokens)
         assert cached == [0, 32]
         report = await pair.client.status(pair.prefill)
-        assert (report.prompt_reads, report.executions, report.counts.cache_hits) == (2, 0, 1)
+        assert (report.prefills, report.executions, report.counts.cache_hits) == (2, 0, 1)
 
 
 async def test_concurrent_duplicates_run_once() -> None:
@@ -154,7 +154,7 @@
 async def test_a_cut_link_names_the_prefill_worker(side: str) -> None:
     async with running_pair() as pair:
         worker, peer = (pair.prefill, "d1") if side == "prefill" else (pair.decode, "p1")
-        await pair.client.inject(worker, FaultKind.CUT_LINK, worker_id=peer)
+        await pair.client.inject(worker, FaultKind.LINK_PARTITION, worker_id=peer)
         answer = await pair.serve()
         assert (answer.error.code, answer.error.ran) == (ErrorCode.UPSTREAM_FAILED, Ran.NO)
         assert "p1 unreachable" in answer.error.message
@@ -223,7 +223,7 @@
         waiting = asyncio.create_task(pair.client.prefill(pair.prefill, "r", "a"))
         reports = [await pair.client.status(pair.prefill) for _ in range(9)]
         assert not waiting.done()
-        assert {report.prompt_reads for report in reports} == {0}
+        assert {report.prefills for report in reports} == {0}
         await pair.client.inject(pair.prefill, FaultKind.CLEAR)
         assert (await waiting).status == 200
 
@@ -333,7 +333,7 @@
     async with running(worker), backend_client() as client:
         await client.inject(worker, FaultKind.ANSWER_LATE, delay_seconds=30.0)
         waiting = asyncio.create_task(client.prefill(worker, "r", "a"))
-        while (await client.status(worker)).prompt_reads == 0:
+        while (await client.status(worker)).prefills == 0:
             await asyncio.sleep(0)
         record = msgspec.json.decode(log.read_bytes(), type=ExecutionRecord)
         assert (record.request_id, record.attempt_id) == ("r", "a")
--- a/tests/emulators/test_verification.py
+++ b/tests/emulators/test_verification.py
@@ -79,7 +79,7 @@
 
 def test_only_calls_that_did_not_run_come_back() -> None:
     def result(
-        outcome: Outcome, ran: str = "", tries: int = 1, retry_after_seconds: float | None = None
+        outcome: Outcome, ran: str = "", attempts: int = 1, retry_after_seconds: float | None = None
     ) -> RequestResult:
         return RequestResult(
             request_id="r",
@@ -88,7 +88,7 @@
             outcome=outcome,
             ran=ran,
             status=503,
-            tries=tries,
+            attempts=attempts,
             retry_after_seconds=retry_after_seconds,
         )
 
@@ -100,4 +100,4 @@
     assert not may_return(result(Outcome.REFUSED, "yes", retry_after_seconds=1.0), policy)
     assert not may_return(result(Outcome.REFUSED), policy)
     assert not may_return(result(Outcome.BROKEN, "no"), policy)
-    assert not may_return(result(Outcome.REFUSED, "no", tries=3), policy)
+    assert not may_return(result(Outcome.REFUSED, "no", attempts=3), policy)
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from orchidpath.fleet.fault_runner import FaultRunner, write_fault_file
-from orchidpath.fleet.fault_timeline import CutTable, timeline
+from orchidpath.fleet.fault_timeline import PartitionTable, timeline
 from orchidpath.fleet.file import ScriptedFault, ScriptedFaultKind
 from orchidpath.fleet.layout import FleetLayout, ProcessKind, ProcessPlan
 from orchidpath.fleet.processes import ChildProcess
@@ -42,7 +42,7 @@
     path = tmp_path / "link-faults.json"
     faults = LinkFaults()
     reader = LinkFaultFileReader(path, faults)
-    cuts = CutTable(seed=3)
+    cuts = PartitionTable(seed=3)
     cuts.cut(0, ["control-a", "router-a"], [], one_way=False)
     cuts.cut(1, ["router-b"], ["router-c"], one_way=True)
     write_fault_file(path, cuts)
--- a/tests/fleet/test_fleet_file.py
+++ b/tests/fleet/test_fleet_file.py
@@ -134,10 +134,10 @@
     fleet = small()
     layout = make_layout(fleet, tmp_path, list(range(20_000, 20_000 + ports_needed(fleet))))
     commands = {plan.name: " ".join(plan.arguments) for plan in layout.processes}
-    assert "standin worker --id wine-2" in commands["wine-2"]
+    assert "emulator worker --id wine-2" in commands["wine-2"]
     assert "--stage decode --model wine" in commands["wine-2"]
     assert commands["wine-2"].endswith("--decode-tokens-per-second 200")
-    assert "standin service --id stock-1" in commands["stock-1"]
+    assert "emulator service --id stock-1" in commands["stock-1"]
     assert "--stage" not in commands["stock-1"]
     assert layout.process_names("a") == ("control-a", "router-a")
     assert layout.process_names("router-a") == ("router-a",)
--- a/tests/placement/plan_world.py
+++ b/tests/placement/plan_world.py
@@ -181,7 +181,7 @@
             self.on_event()
             self.apply(command)
         if self.random is not None and self.sent and self.random.random() < 0.3:
-            self.obey(self.random.choice(self.sent).order)  # a late duplicate
+            self.execute(self.random.choice(self.sent).order)  # a late duplicate
 
     def run(self, turns: int = 600) -> None:
         """Run until the plan is over."""
@@ -191,11 +191,11 @@
             self.turn()
         raise AssertionError(f"the plan does not end: {self.plan.progress}")
 
-    def obey(self, order: WorkerCommand) -> WorkerCommandReply:
+    def execute(self, order: WorkerCommand) -> WorkerCommandReply:
         """Let an order reach its worker, which announces what it has become."""
         core = self.cores[order.worker_id]
         before = core.record
-        reply = core.obey(order, handles_outstanding=0)
+        reply = core.execute(order, handles_outstanding=0)
         if reply.accepted and order.kind is WorkerCommandKind.SET_STAGE:
             self._check_switch(order)
             # An order that was taken and whose answer was lost is given again, as a newer one: a
@@ -235,7 +235,7 @@
         lost = self.random is not None and self.random.random() < 0.2
         if order.worker_id in self.unreachable or lost:
             return
-        reply = self.obey(order)
+        reply = self.execute(order)
         answer_lost = self.random is not None and self.random.random() < 0.2
         if not answer_lost:
             driver.command_answered(order, reply)
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -103,22 +103,22 @@
 
 
 @settings(max_examples=60, deadline=None)
-@example(prefill=1, decode=4, wanted_prefill=4, max_cordoned=2, seed=1333)
+@example(prefill=1, decode=4, desired_prefill=4, max_cordoned=2, seed=1333)
 @given(
     prefill=st.integers(1, 6),
     decode=st.integers(1, 6),
-    wanted_prefill=st.integers(1, 8),
+    desired_prefill=st.integers(1, 8),
     max_cordoned=st.integers(1, 3),
     seed=st.integers(0, 10_000),
 )
 def test_with_lost_and_late_orders_and_leaders_a_plan_reaches_the_desired_state(
-    prefill: int, decode: int, wanted_prefill: int, max_cordoned: int, seed: int
+    prefill: int, decode: int, desired_prefill: int, max_cordoned: int, seed: int
 ) -> None:
-    wanted_prefill = min(wanted_prefill, prefill + decode - 1)
-    wanted = service(wanted_prefill, prefill + decode - wanted_prefill, max_cordoned)
+    desired_prefill = min(desired_prefill, prefill + decode - 1)
+    wanted = service(desired_prefill, prefill + decode - desired_prefill, max_cordoned)
     random = Random(seed)
     one = PlanWorld(workers(prefill, decode), wanted, random)
-    if wanted_prefill == prefill:
+    if desired_prefill == prefill:
         assert one.confirm_plan().answer is PlanAnswer.STALE
         return
     one.start_plan()
@@ -290,7 +290,7 @@
     one.unreachable.clear()
     one.run()
     assert one.status() is PlanStatus.CANCELLED
-    assert not one.obey(late).accepted
+    assert not one.execute(late).accepted
     check_ended_well(one)
 
 
@@ -412,8 +412,8 @@
 def test_a_worker_obeys_no_leader_that_was_replaced() -> None:
     one = world()
     old, new = orders_of_two_leaders(one)
-    assert one.obey(new).accepted
-    refused = one.obey(old)
+    assert one.execute(new).accepted
+    refused = one.execute(old)
     assert not refused.accepted
     assert (refused.highest_term, refused.highest_sequence) == (new.term, new.sequence)
 
@@ -422,8 +422,8 @@
     monkeypatch.setattr(CommandFence, "pass_order", lambda *_: True)
     one = world()
     old, new = orders_of_two_leaders(one)
-    assert one.obey(new).accepted
-    assert one.obey(old).accepted
+    assert one.execute(new).accepted
+    assert one.execute(old).accepted
 
 
 def test_every_order_of_a_leader_is_above_the_one_before() -> None:
@@ -487,6 +487,6 @@
     one.apply(CancelPlan(order_id="cancel", plan_id=one.plan.plan.plan_id))
     one.run()
     assert one.status() is PlanStatus.CANCELLED
-    assert one.obey(late).accepted
+    assert one.execute(late).accepted
     with pytest.raises(AssertionError):
         check_ended_well(one)
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -45,24 +45,24 @@
         min_size=2,
         max_size=9,
     ),
-    wanted_prefill=st.integers(1, 5),
-    wanted_decode=st.integers(1, 5),
+    desired_prefill=st.integers(1, 5),
+    desired_decode=st.integers(1, 5),
 )
 def test_a_plan_reaches_the_desired_state_with_the_fewest_moves(
-    places: list[tuple[Stage, int]], wanted_prefill: int, wanted_decode: int
+    places: list[tuple[Stage, int]], desired_prefill: int, desired_decode: int
 ) -> None:
     workers = [
         record(f"w{number}", stage, zone=f"z{zone}", domain=f"d{number % 4}")
         for number, (stage, zone) in enumerate(places)
     ]
-    wanted = service(wanted_prefill, wanted_decode)
+    wanted = service(desired_prefill, desired_decode)
     preview = make_preview(view(*workers, services=[wanted]))
     before = Counter(one.stage for one in workers)
-    if len(workers) < wanted_prefill + wanted_decode:
+    if len(workers) < desired_prefill + desired_decode:
         assert preview.refusals[0].reason is RefusalReason.NOT_ENOUGH_WORKERS
         return
-    lacking = max(wanted_prefill - before[Stage.PREFILL], 0) + max(
-        wanted_decode - before[Stage.DECODE], 0
+    lacking = max(desired_prefill - before[Stage.PREFILL], 0) + max(
+        desired_decode - before[Stage.DECODE], 0
     )
     assert len(preview.steps) == lacking
     if not lacking:
@@ -70,8 +70,8 @@
         return
     moved = {step.worker_id for step in preview.plan.steps}
     after = Counter(stage_after(one, moved) for one in workers)
-    assert after[Stage.PREFILL] >= wanted_prefill
-    assert after[Stage.DECODE] >= wanted_decode
+    assert after[Stage.PREFILL] >= desired_prefill
+    assert after[Stage.DECODE] >= desired_decode
     shown = preview.services[0]
     assert (shown.prefill_after, shown.decode_after) == (after[Stage.PREFILL], after[Stage.DECODE])
     giving = preview.plan.steps[0].from_stage
@@ -104,10 +104,12 @@
     assert sum(shares.values()) == pytest.approx(1.0)
 
 
-@pytest.mark.parametrize(("wanted_prefill", "wanted_decode"), [(3, 9), (10, 2)])
-def test_the_shown_share_is_what_moves_on_the_ring(wanted_prefill: int, wanted_decode: int) -> None:
+@pytest.mark.parametrize(("prefill_workers", "decode_workers"), [(3, 9), (10, 2)])
+def test_the_shown_share_is_what_moves_on_the_ring(
+    prefill_workers: int, decode_workers: int
+) -> None:
     workers = fleet(prefill=7, decode=5, zones=3)
-    preview = make_preview(view(*workers, services=[service(wanted_prefill, wanted_decode)]))
+    preview = make_preview(view(*workers, services=[service(prefill_workers, decode_workers)]))
     moved = {step.worker_id for step in preview.plan.steps}
     old = [one.worker_id for one in workers if one.stage is Stage.PREFILL]
     new = [one.worker_id for one in workers if stage_after(one, moved) is Stage.PREFILL]
--- a/tests/simulation/test_exchanges.py
+++ b/tests/simulation/test_exchanges.py
@@ -1,6 +1,6 @@
 """Simulated exchanges keep order, lose nothing while they stand, and end as connections do."""
 
-from orchidpath.simulation.requests.exchanges import CUT_LINK_SECONDS, Exchange, Exchanges
+from orchidpath.simulation.requests.exchanges import PARTITIONED_LINK_SECONDS, Exchange, Exchanges
 from orchidpath.simulation.world import NetworkFaults, SimulatedProcess, World
 from orchidpath.wire.messages import Message
 
@@ -106,13 +106,13 @@
     exchange = pair.open()
     pair.world.cut("client", "server")
     exchange.send("first")
-    pair.wait(CUT_LINK_SECONDS / 2)
-    pair.world.cut_links.clear()
+    pair.wait(PARTITIONED_LINK_SECONDS / 2)
+    pair.world.partitioned_links.clear()
     pair.wait(1.0)
     assert pair.server.got == ["first"]
     pair.world.cut("client", "server")
     exchange.send("second")
-    pair.wait(CUT_LINK_SECONDS * 2)
+    pair.wait(PARTITIONED_LINK_SECONDS * 2)
     assert pair.server.got == ["first"]
     assert (pair.client.broken, pair.server.broken) == (1, 1)
 
--- a/tests/simulation/test_fleet_simulation.py
+++ b/tests/simulation/test_fleet_simulation.py
@@ -14,19 +14,19 @@
 CAUGHT_BY = {
     "freshness.lease_from_send_time": Scenario.LATE_ANSWERS,
     "freshness.adopt_before_lease": Scenario.LATE_ANSWERS,
-    "freshness.never_back": Scenario.CALM,
-    "freshness.witness_majority": Scenario.CUTS,
+    "freshness.never_back": Scenario.FAULT_FREE,
+    "freshness.witness_majority": Scenario.PARTITIONS,
     "freshness.witness_remembers": Scenario.WITNESSES_RESTARTED,
     "freshness.registered_only": Scenario.ROUTERS_UNHEARD,
-    "confirmation.confirm_witness_majority": Scenario.CUTS,
-    "confirmation.confirm_wait_for_lapse": Scenario.CUTS,
+    "confirmation.confirm_witness_majority": Scenario.PARTITIONS,
+    "confirmation.confirm_wait_for_lapse": Scenario.PARTITIONS,
     "consensus.log_up_to_date": Scenario.FREEZES,
 }
 """The scenario that provokes the failure which each guard prevents."""
 
 ALSO_CAUGHT_BY = [
-    ("consensus.log_up_to_date", Scenario.DISK_LOST_IN_POWER_CUT),
-    ("consensus.log_up_to_date", Scenario.TWO_DISKS_LOST_IN_POWER_CUT),
+    ("consensus.log_up_to_date", Scenario.DISK_LOST_IN_POWER_FAILURE),
+    ("consensus.log_up_to_date", Scenario.TWO_DISKS_LOST_IN_POWER_FAILURE),
     ("consensus.lease_vote_refusal", Scenario.CONTROL_HALVED),
 ]
 """Scenarios that must not be milder than the failure which they stand for."""
--- a/tests/simulation/test_plan_simulation.py
+++ b/tests/simulation/test_plan_simulation.py
@@ -12,11 +12,11 @@
 from orchidpath.wire.records import WorkerRecord
 
 SCENARIOS = [
-    Scenario.CALM,
+    Scenario.FAULT_FREE,
     Scenario.KILLS,
     Scenario.FREEZES,
     Scenario.LONG_FREEZE,
-    Scenario.CUTS,
+    Scenario.PARTITIONS,
     Scenario.CONTROL_LOST,
     Scenario.RESTARTS,
     Scenario.MIXED,
@@ -59,16 +59,16 @@
         return guarded(record, position, worker, situation)
 
     monkeypatch.setattr(execution, "_following_phase", unguarded)
-    assert is_caught(Scenario.CUTS, "switched while")
+    assert is_caught(Scenario.PARTITIONS, "switched while")
 
 
 def test_workers_without_a_fence_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(CommandFence, "pass_order", lambda *_: True)
-    assert is_caught(Scenario.CUTS, "switched while")
+    assert is_caught(Scenario.PARTITIONS, "switched while")
 
 
 def test_abandoned_workers_that_nobody_resumes_are_caught(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(plan_driver, "workers_to_resume", lambda *_: [])
-    assert is_caught(Scenario.CUTS, "left behind")
+    assert is_caught(Scenario.PARTITIONS, "left behind")
--- a/tests/simulation/test_request_checks.py
+++ b/tests/simulation/test_request_checks.py
@@ -62,7 +62,7 @@
 def test_an_execution_after_ran_no_is_seen() -> None:
     observed = Observed()
     observed.order()
-    observed.history.told(observed.submission, REFUSAL)
+    observed.history.record_error_reply(observed.submission, REFUSAL)
     with pytest.raises(InvariantError, match="was told ran=no"):
         observed.history.executed("w0-1", ORDER)
 
--- a/tests/tools/test_replay.py
+++ b/tests/tools/test_replay.py
@@ -234,7 +234,7 @@
         leader.attempt(AttemptEffect.TRANSIENT, float(number), order=("s1",), log=False)
     assert leader.attempt(AttemptEffect.SUCCESS, 3.0) == "s2"
     result = leader.replay(POLICY)
-    assert result.taken_over == 1
+    assert result.inherited == 1
     assert result.differences == []
 
 
@@ -254,7 +254,7 @@
     leader.attempt(AttemptEffect.TRANSIENT, 12.5, order=("s1",), log=False)
     assert leader.attempt(AttemptEffect.SUCCESS, 13.0) == "s2"
     result = leader.replay(CircuitPolicy(allowed_fails=9))
-    assert result.taken_over == 1
+    assert result.inherited == 1
     # Five before that probe and the one after it.
     assert kinds(result).count(DifferenceKind.OTHER_WORKER) == 6
     assert result.differences[-1].replayed == "plain=s1"
