--- a/src/orchidpath/fleet/processes.py
+++ b/src/orchidpath/fleet/processes.py
@@ -1,6 +1,7 @@
 """Child processes of the local fleet: started, signalled and ended by their own id only."""
 
 import asyncio
+import os
 import signal
 import sys
 from collections.abc import Iterable, Sequence
@@ -29,12 +30,19 @@
         Takes everything that the child writes; it is appended to.
     pipe_output
         Whether standard output goes to :meth:`read_line` instead.
+
+    Attributes
+    ----------
+    source_folder
+        Folder that holds the package to run, from the next start on; None for the one that this
+        process runs. With it, processes of two versions form one fleet.
     """
 
     def __init__(
         self, name: str, arguments: Sequence[str], log_path: Path, *, pipe_output: bool = False
     ) -> None:
         self.name = name
+        self.source_folder: Path | None = None
         self._arguments = tuple(arguments)
         self._log_path = log_path
         self._pipe_output = pipe_output
@@ -80,8 +88,15 @@
                 stderr=log,
                 start_new_session=True,
                 limit=STREAM_LIMIT_BYTES,
+                env=self._environment(),
             )
 
+    def _environment(self) -> dict[str, str]:
+        environment = dict(os.environ)
+        if self.source_folder is not None:
+            environment["PYTHONPATH"] = str(self.source_folder)
+        return environment
+
     def signal(self, number: signal.Signals) -> None:
         """Send a signal if the process is running."""
         if self._process is None or not self.is_running:
