--- a/src/orchidpath/state/changes.py
+++ b/src/orchidpath/state/changes.py
@@ -1,4 +1,4 @@
-"""The newest changes of the state, from which a router that lags by a little gets a delta."""
+"""The newest changes of the state, from which a router that lags a little gets a delta."""
 
 from collections import deque
 
@@ -11,13 +11,13 @@
 from orchidpath.wire.records import RouterRecord, WorkerRecord
 
 CHANGE_MEMORY = 1024
-"""How many of the newest revisions are remembered as changes."""
+"""Number of the newest revisions that are remembered as changes."""
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
     """What one revision changed: exactly one of a worker, a router or the configuration.
 
-    ``router`` was registered or changed, ``removed_router`` left the roster.
+    ``router`` was registered or changed; ``removed_router`` is the id of a removed one.
     """
 
     revision: int
@@ -36,16 +36,16 @@
     configuration: ConfigurationDelta | None = None
 
     @property
-    def roster(self) -> bool:
-        """Whether the roster of routers changed, and so perhaps the witnesses."""
+    def routers_changed(self) -> bool:
+        """Whether the registered routers changed, and so perhaps the witnesses."""
         return bool(self.routers or self.removed_routers)
 
 
 class ChangeLog:
     """The changes of the newest revisions, without a gap up to the current one.
 
-    It is an aid for sending less and no part of the replicated state: without it, everything is
-    sent whole.
+    It only reduces what is sent and is no part of the replicated state: without it, every update
+    is a full view.
     """
 
     def __init__(self) -> None:
@@ -79,10 +79,11 @@
                 routers[change.router.router_id] = change.router
             if change.removed_router:
                 routers[change.removed_router] = None
-        present = [record for _, record in sorted(routers.items()) if record is not None]
+        registered = [record for _, record in sorted(routers.items()) if record is not None]
+        removed = [router_id for router_id in sorted(routers) if routers[router_id] is None]
         return Delta(
             workers=tuple(workers[worker_id] for worker_id in sorted(workers)),
-            routers=tuple(present),
-            removed_routers=tuple(one for one in sorted(routers) if routers[one] is None),
+            routers=tuple(registered),
+            removed_routers=tuple(removed),
             configuration=merge_configuration_deltas(configurations),
         )
--- a/src/orchidpath/state/circuits.py
+++ b/src/orchidpath/state/circuits.py
@@ -1,4 +1,4 @@
-"""Agreed circuits of the workers and capacity circuits of the failure domains."""
+"""Agreed circuits of the workers, and agreed capacity circuits of the failure domains."""
 
 from collections.abc import Callable, Iterable
 
@@ -16,7 +16,7 @@
 
 
 class AgreedCircuits:
-    """The circuits that left their first state; ``sequence`` counts their changes.
+    """The circuits that have left their initial state; ``sequence`` counts their changes.
 
     Parameters
     ----------
--- a/src/orchidpath/state/commands.py
+++ b/src/orchidpath/state/commands.py
@@ -16,7 +16,7 @@
 from orchidpath.wire.records import ControlMember, RouterRecord, WorkerRecord
 
 MAX_COMMAND_BYTES = 64 * 1024 * 1024
-"""Largest command, before it is compressed."""
+"""Largest command in bytes, before compression."""
 
 
 class CommandDecodeError(OrchidpathError):
@@ -28,11 +28,11 @@
 
 
 class SubmitConfiguration(msgspec.Struct, frozen=True, kw_only=True, tag="submit_configuration"):
-    """An operator's order: a whole configuration built on ``base_version``.
+    """An operator's configuration update: a complete configuration built on ``base_version``.
 
-    ``digest`` is :func:`configuration_digest` of the content; it tells a repeated order from
-    another order that reuses the same id. ``document`` is the text from which an adapter made the
-    configuration, if one did: it is kept beside it and given back as it was sent.
+    ``digest`` is :func:`configuration_digest` of the content; it distinguishes a repeated update
+    from another update that reuses the same id. ``document`` is the text from which an adapter
+    made the configuration, if one did: it is stored and returned as it was sent.
     """
 
     order_id: str
@@ -43,13 +43,13 @@
 
 
 class RegisterRouter(msgspec.Struct, frozen=True, kw_only=True, tag="register_router"):
-    """Adds a router to the roster, or changes its record."""
+    """Registers a router, or changes its record."""
 
     record: RouterRecord
 
 
 class RemoveRouter(msgspec.Struct, frozen=True, kw_only=True, tag="remove_router"):
-    """Takes a router out of the roster."""
+    """Removes a router."""
 
     router_id: str
 
@@ -62,10 +62,10 @@
 
 
 class WorkerRemoved(msgspec.Struct, frozen=True, kw_only=True, tag="worker_gone"):
-    """A worker's lease has lapsed; it concerns that incarnation only.
+    """A worker's lease has expired; it concerns that incarnation only.
 
-    ``sequence`` is the newest announcement that the leader heard from it: announcements up to
-    that one, arriving late, do not bring the worker back.
+    ``sequence`` is that of the newest announcement that the leader received: announcements up to
+    that one, arriving late, do not register the worker again.
     """
 
     worker_id: str
@@ -74,9 +74,9 @@
 
 
 class CordonWorker(msgspec.Struct, frozen=True, kw_only=True, tag="hold_worker"):
-    """Holds a worker back from new requests, or releases it.
+    """Cordons a worker, so that it gets no new requests, or releases it.
 
-    The hold stays while the worker is restarted or gone, until it is released.
+    The cordon outlasts a restart or an absence of the worker, until it is released.
     """
 
     worker_id: str
@@ -98,13 +98,13 @@
 class RegisterControlMember(
     msgspec.Struct, frozen=True, kw_only=True, tag="register_control_member"
 ):
-    """Adds a control replica to the list of members, or changes its record."""
+    """Registers a control replica, or changes its record."""
 
     member: ControlMember
 
 
 class RemoveControlMember(msgspec.Struct, frozen=True, kw_only=True, tag="remove_control_member"):
-    """Takes a control replica out of the list of members."""
+    """Removes a control replica from the registered ones."""
 
     node_id: str
 
@@ -116,7 +116,7 @@
 
 
 class RevisionConfirmed(msgspec.Struct, frozen=True, kw_only=True, tag="revision_confirmed"):
-    """Every router that serves obeys ``revision`` or newer.
+    """Every serving router has applied ``revision`` or a newer one.
 
     Witness sets that were in force before it no longer count for a later confirmation.
     """
@@ -127,8 +127,8 @@
 class StartPlan(msgspec.Struct, frozen=True, kw_only=True, tag="start_plan"):
     """An operator confirms a plan; it starts only if nothing that it was computed from changed.
 
-    Without ``plan``, the leader knows none of that id: the refusal is logged all the same, so that
-    a repetition that arrives late can't start a plan that its operator was told is refused.
+    Without ``plan``, the leader knows none of that id. The rejection is logged all the same, so
+    that a repetition that arrives late can't start a plan that was reported as rejected.
     """
 
     order_id: str
@@ -137,30 +137,31 @@
 
 
 class HaltPlan(msgspec.Struct, frozen=True, kw_only=True, tag="halt_plan"):
-    """An operator wants no further step to begin."""
+    """An operator halts a plan: no further step begins."""
 
     order_id: str
     plan_id: str
 
 
 class ResumePlan(msgspec.Struct, frozen=True, kw_only=True, tag="resume_plan"):
-    """An operator lets a halted plan go on."""
+    """An operator resumes a halted plan."""
 
     order_id: str
     plan_id: str
 
 
 class CancelPlan(msgspec.Struct, frozen=True, kw_only=True, tag="cancel_plan"):
-    """An operator ends a plan: workers that have not been switched keep their part."""
+    """An operator cancels a plan: workers that have not switched yet keep their stage."""
 
     order_id: str
     plan_id: str
 
 
 class AdvanceStep(msgspec.Struct, frozen=True, kw_only=True, tag="advance_step"):
-    """The leader advances a step from the phase ``expected``; ``reason`` if it was given up.
+    """The leader advances a step from the phase ``expected``.
 
-    The hold on the worker changes with the phase, in the same entry.
+    ``reason`` is set if the step is abandoned or rolled back. The cordon on the worker changes
+    with the phase, in the same entry.
     """
 
     plan_id: str
@@ -171,14 +172,14 @@
 
 
 class StopPlan(msgspec.Struct, frozen=True, kw_only=True, tag="stop_plan"):
-    """The leader ends a plan that can't be followed any more."""
+    """The leader stops a plan that can't be carried out any more."""
 
     plan_id: str
     reason: str
 
 
 PlanActionCommand = StartPlan | HaltPlan | ResumePlan | CancelPlan
-"""An operator's order about a plan."""
+"""An operator's action on a plan."""
 
 Command = (
     SubmitConfiguration
@@ -226,10 +227,10 @@
 
 
 def configuration_digest(base_version: int, configuration: Configuration) -> str:
-    """Return the digest of an order's content, equal for equal content.
+    """Return the SHA-256 digest of an update's content in hexadecimal digits.
 
-    It is taken of the parsed configuration, so white space, the order of keys and defaults that
-    were left out make no difference.
+    It is computed over the parsed configuration, so white space, the order of keys and defaults
+    that were left out make no difference.
     """
     content = msgspec.json.encode((base_version, configuration), order="deterministic")
     return hashlib.sha256(content).hexdigest()
--- a/src/orchidpath/state/outcomes.py
+++ b/src/orchidpath/state/outcomes.py
@@ -1,6 +1,6 @@
-"""What applying a command has brought, as typed values.
+"""Outcomes of applied commands.
 
-Every replica reaches the same outcome for the same command; the leader answers from it.
+Every replica reaches the same outcome for the same command; the leader replies with it.
 """
 
 from enum import StrEnum
@@ -12,29 +12,29 @@
 
 
 class UpdateAccepted(msgspec.Struct, frozen=True, kw_only=True, tag="accepted"):
-    """The order's configuration became ``version``."""
+    """The update's configuration became ``version``."""
 
     version: int
 
 
 class UpdateConflict(msgspec.Struct, frozen=True, kw_only=True, tag="conflict"):
-    """The order was not built on the version of its time, ``current_version``; nothing changed."""
+    """The update was not built on the version of its time, ``current_version``; it was rejected."""
 
     current_version: int
 
 
 class UpdateIdReused(msgspec.Struct, frozen=True, kw_only=True, tag="order_id_reused"):
-    """The order's id was taken by an order with other content; nothing changed."""
+    """The id belongs to an update with other content; this one was rejected."""
 
     current_version: int
 
 
 UpdateOutcome = UpdateAccepted | UpdateConflict
-"""The outcome that is remembered under an order's id."""
+"""The outcome that is remembered under an update's id."""
 
 
 class UpdateRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """An order that was taken, and its first outcome."""
+    """A remembered configuration update and its first outcome."""
 
     order_id: str
     digest: str
@@ -42,7 +42,7 @@
 
 
 class UpdateResult(msgspec.Struct, frozen=True, kw_only=True, tag="order"):
-    """Outcome of a submitted configuration; ``repeated`` when it was already taken before."""
+    """Outcome of a submitted configuration; ``repeated`` if it was submitted before."""
 
     outcome: UpdateAccepted | UpdateConflict | UpdateIdReused
     repeated: bool = False
@@ -54,11 +54,11 @@
     CHANGED = "changed"
     UNCHANGED = "unchanged"
     STALE = "stale"
-    """Overtaken by something newer: a sequence, an incarnation, a generation or a term."""
+    """Superseded by something newer: a sequence, an incarnation, a generation or a term."""
     UNKNOWN = "unknown"
-    """Names something that is not there."""
+    """Names something that does not exist."""
     INVALID = "invalid"
-    """Breaks a rule that its sender should have kept."""
+    """Violates a rule that its sender should have checked."""
 
 
 class RecordResult(msgspec.Struct, frozen=True, kw_only=True, tag="record"):
@@ -68,21 +68,21 @@
 
 
 class CircuitResult(msgspec.Struct, frozen=True, kw_only=True, tag="circuit"):
-    """Outcome of a circuit's transition; ``record`` is the agreed one after it."""
+    """Outcome of a circuit's transition; ``record`` is the agreed record after it."""
 
     effect: Effect
     record: CircuitRecord | None = None
 
 
 class CapacityResult(msgspec.Struct, frozen=True, kw_only=True, tag="capacity"):
-    """Outcome of a capacity circuit's transition; ``record`` is the agreed one after it."""
+    """Outcome of a capacity circuit's transition; ``record`` is the agreed record after it."""
 
     effect: Effect
     record: CapacityRecord | None = None
 
 
 class PlanResult(msgspec.Struct, frozen=True, kw_only=True, tag="plan"):
-    """Outcome of an operator's order about a plan; ``repeated`` if it was taken before."""
+    """Outcome of an operator's action on a plan; ``repeated`` if it was applied before."""
 
     answer: PlanAnswer
     reason: str = ""
--- a/src/orchidpath/state/plan_state.py
+++ b/src/orchidpath/state/plan_state.py
@@ -1,13 +1,15 @@
-"""The plan of the replicated state and the operators' orders about plans, as commands change them.
+"""The newest plan of the replicated state and the operators' plan actions.
 
-One plan runs at a time. Everything here is deterministic: the outcome of a command depends on the
-replicated state alone.
+One plan is active at a time. Everything here is deterministic: the outcome of a command depends on
+the replicated state alone. The texts of reasons are part of the snapshots: rewording one would make
+replicas of two versions differ.
 """
 
 from collections.abc import Iterable, Sequence
 
 import msgspec
 
+from orchidpath.state.bounded_table import insert_newest
 from orchidpath.state.commands import (
     AdvanceStep,
     CancelPlan,
@@ -36,21 +38,28 @@
 from orchidpath.wire.records import WorkerRecord
 
 PLAN_ACTION_MEMORY = 1_000
-"""How many of the newest orders about plans are remembered."""
-
+"""Number of the newest plan actions that are remembered."""
 
 ABANDONED_MEMORY = 1_000
-"""How many of the workers that were abandoned last are remembered."""
+"""Number of the most recently abandoned workers that are remembered."""
+
+_ACTION_NAMES: dict[type[PlanActionCommand], str] = {
+    StartPlan: "StartPlan",
+    HaltPlan: "HaltPlan",
+    ResumePlan: "ResumePlan",
+    CancelPlan: "CancelPlan",
+}
+"""Names in the stored content of a remembered action; snapshots hold them, so they never change."""
 
 
 class CordonChange(msgspec.Struct, frozen=True):
-    """A worker is to be held back or released with the step that was advanced."""
+    """A worker is to be cordoned or released together with the step that was advanced."""
 
     worker_id: str
     cordoned: bool
 
 
-class Advanced(msgspec.Struct, frozen=True):
+class AdvanceResult(msgspec.Struct, frozen=True):
     """Effect of advancing a step."""
 
     effect: Effect
@@ -58,14 +67,14 @@
 
 
 class PlanState:
-    """The newest plan and the orders about plans.
+    """The newest plan, the remembered plan actions and the abandoned workers.
 
     Parameters
     ----------
     record
         The plan to begin with.
-    orders
-        Remembered orders, oldest first.
+    actions
+        Remembered plan actions, oldest first.
     abandoned
         Workers that plans have abandoned, oldest first.
     """
@@ -73,38 +82,48 @@
     def __init__(
         self,
         record: PlanRecord | None = None,
-        orders: Iterable[PlanActionRecord] = (),
+        actions: Iterable[PlanActionRecord] = (),
         abandoned: Iterable[AbandonedWorker] = (),
     ) -> None:
         self.record = record
         self._abandoned = {worker.worker_id: worker for worker in abandoned}
-        self._orders = {order.order_id: order for order in orders}
+        self._actions = {action.order_id: action for action in actions}
 
-    def orders(self) -> list[PlanActionRecord]:
-        """Return the remembered orders, oldest first."""
-        return list(self._orders.values())
+    def actions(self) -> list[PlanActionRecord]:
+        """Return the remembered plan actions, oldest first."""
+        return list(self._actions.values())
 
     def abandoned(self) -> list[AbandonedWorker]:
         """Return the workers that plans have abandoned, oldest first."""
         return list(self._abandoned.values())
 
-    def find_update(self, order_id: str) -> PlanActionRecord | None:
-        """Return the order about a plan that was taken under an id."""
-        return self._orders.get(order_id)
+    def find_action(self, order_id: str) -> PlanActionRecord | None:
+        """Return the plan action remembered under an id."""
+        return self._actions.get(order_id)
 
-    def order(
+    def apply_action(
         self,
         command: PlanActionCommand,
         configuration_version: int,
         workers: Sequence[WorkerRecord],
     ) -> PlanResult:
-        """Take an operator's order; one that was taken before gets its first outcome."""
-        content = f"{type(command).__name__}:{command.plan_id}"
-        taken = self._orders.get(command.order_id)
-        if taken is not None and taken.content != content:
+        """Apply an operator's plan action; a repeated one gets its first outcome.
+
+        Parameters
+        ----------
+        command
+            The action.
+        configuration_version
+            Version of the newest configuration.
+        workers
+            The agreed workers.
+        """
+        content = f"{_ACTION_NAMES[type(command)]}:{command.plan_id}"
+        known = self._actions.get(command.order_id)
+        if known is not None and known.content != content:
             return PlanResult(answer=PlanAnswer.ORDER_ID_REUSED)
-        if taken is not None:
-            return PlanResult(answer=taken.answer, reason=taken.reason, repeated=True)
+        if known is not None:
+            return PlanResult(answer=known.answer, reason=known.reason, repeated=True)
         match command:
             case StartPlan():
                 result = self._start(command, configuration_version, workers)
@@ -119,57 +138,51 @@
 
     def advance(
         self, command: AdvanceStep, workers: Sequence[WorkerRecord], next_revision: int
-    ) -> Advanced:
+    ) -> AdvanceResult:
         """Advance a step from the phase that the leader saw it in.
 
         Parameters
         ----------
         command
-            The step, the phase it must be in and the one it goes to.
+            The step, the phase it must be in and the phase it enters.
         workers
             The agreed workers.
         next_revision
-            The revision that a hold applied with this step makes.
+            The revision that a cordon applied with this step makes.
         """
-        record = self._running(command.plan_id)
+        record = self._active_plan(command.plan_id)
         if record is None or not 0 <= command.step < len(record.plan.steps):
-            return Advanced(Effect.UNKNOWN)
+            return AdvanceResult(Effect.UNKNOWN)
         progress = record.progress.steps[command.step]
         if progress.phase is not command.expected:
-            return Advanced(Effect.STALE)
+            return AdvanceResult(Effect.STALE)
         if command.phase not in PHASE_TRANSITIONS[progress.phase]:
-            return Advanced(Effect.INVALID)
-        begins = command.phase is StepPhase.CORDONING
-        if begins and self._begin_refused(record, command.step, workers):
-            return Advanced(Effect.INVALID)
-        cordoned_revision = next_revision if begins else progress.cordoned_revision
+            return AdvanceResult(Effect.INVALID)
+        starts = command.phase is StepPhase.CORDONING
+        if starts and not self._may_start_step(record, command.step, workers):
+            return AdvanceResult(Effect.INVALID)
         changed = StepProgress(
             phase=command.phase,
-            cordoned_revision=cordoned_revision,
+            cordoned_revision=next_revision if starts else progress.cordoned_revision,
             reason=command.reason or progress.reason,
         )
-        self._set_step(record, command.step, changed)
-        if command.phase in {StepPhase.RETURNING, StepPhase.ABANDONED} and command.reason:
-            self._stop(command.reason)
-        self._settle()
-        worker_id = record.plan.steps[command.step].worker_id
-        if command.phase is StepPhase.ABANDONED:
-            self._abandon(worker_id, record.plan.steps[command.step].incarnation)
-        if begins or command.phase not in OPEN_PHASES:
-            return Advanced(Effect.CHANGED, CordonChange(worker_id, cordoned=begins))
-        return Advanced(Effect.CHANGED)
+        self._enter_phase(record, command, changed)
+        if starts or command.phase not in OPEN_PHASES:
+            worker_id = record.plan.steps[command.step].worker_id
+            return AdvanceResult(Effect.CHANGED, CordonChange(worker_id, cordoned=starts))
+        return AdvanceResult(Effect.CHANGED)
 
     def stop(self, command: StopPlan) -> Effect:
-        """Begin no further step, because the plan can't be followed any more."""
-        if self._running(command.plan_id) is None:
+        """Stop the plan, because it can't be carried out any more: no further step begins."""
+        if self._active_plan(command.plan_id) is None:
             return Effect.UNKNOWN
-        if not self._stop(command.reason):
+        if not self._begin_stopping(command.reason):
             return Effect.UNCHANGED
-        self._settle()
+        self._finish_if_complete()
         return Effect.CHANGED
 
     def configuration_changed(self) -> None:
-        """Halt a running plan: it was made for another configuration."""
+        """Halt a running plan: it was computed for an older configuration."""
         if self.record is not None and self.record.progress.status is PlanStatus.RUNNING:
             self._set_status(PlanStatus.HALTED, "a newer configuration was taken")
 
@@ -177,8 +190,7 @@
         self, command: StartPlan, configuration_version: int, workers: Sequence[WorkerRecord]
     ) -> PlanResult:
         if self.record is not None and self.record.active:
-            reason = f"plan {self.record.plan.plan_id} is not over"
-            return PlanResult(answer=PlanAnswer.REFUSED, reason=reason)
+            return _refused(f"plan {self.record.plan.plan_id} is not over")
         plan = command.plan
         if plan is None or not plan.steps:
             return PlanResult(answer=PlanAnswer.STALE)
@@ -194,14 +206,14 @@
         return PlanResult(answer=PlanAnswer.ACCEPTED)
 
     def _halt(self, command: HaltPlan) -> PlanResult:
-        record = self._running(command.plan_id)
+        record = self._active_plan(command.plan_id)
         if record is None or record.progress.status is not PlanStatus.RUNNING:
             return _refused("the plan is not running")
         self._set_status(PlanStatus.HALTED, "halted by an operator")
         return PlanResult(answer=PlanAnswer.ACCEPTED)
 
     def _resume(self, command: ResumePlan, configuration_version: int) -> PlanResult:
-        record = self._running(command.plan_id)
+        record = self._active_plan(command.plan_id)
         if record is None or record.progress.status is not PlanStatus.HALTED:
             return _refused("the plan is not halted")
         if record.plan.configuration_version != configuration_version:
@@ -210,30 +222,41 @@
         return PlanResult(answer=PlanAnswer.ACCEPTED)
 
     def _cancel(self, command: CancelPlan) -> PlanResult:
-        record = self._running(command.plan_id)
+        record = self._active_plan(command.plan_id)
         if record is None or record.progress.status is PlanStatus.STOPPING:
             return _refused("the plan is over or stopping")
         self._set_status(PlanStatus.CANCELLING, "cancelled by an operator")
-        self._settle()
+        self._finish_if_complete()
         return PlanResult(answer=PlanAnswer.ACCEPTED)
 
-    def _begin_refused(
+    def _may_start_step(
         self, record: PlanRecord, position: int, workers: Sequence[WorkerRecord]
     ) -> bool:
+        if record.progress.status is not PlanStatus.RUNNING:
+            return False
         service = record.plan.steps[position].service
-        return (
-            record.progress.status is not PlanStatus.RUNNING
-            or cordoned_count(record, service) >= record.plan.bounds_of(service).max_cordoned
-            or bool(begin_objection(record, position, workers))
-        )
+        if cordoned_count(record, service) >= record.plan.bounds_of(service).max_cordoned:
+            return False
+        return not begin_objection(record, position, workers)
+
+    def _enter_phase(self, record: PlanRecord, command: AdvanceStep, changed: StepProgress) -> None:
+        """Store a step's progress and its consequences for the plan."""
+        self._set_step(record, command.step, changed)
+        if command.phase in {StepPhase.RETURNING, StepPhase.ABANDONED} and command.reason:
+            self._begin_stopping(command.reason)
+        self._finish_if_complete()
+        if command.phase is StepPhase.ABANDONED:
+            step = record.plan.steps[command.step]
+            self._remember_abandoned(step.worker_id, step.incarnation)
 
-    def _running(self, plan_id: str) -> PlanRecord | None:
-        """Return the plan of an id unless it is over."""
+    def _active_plan(self, plan_id: str) -> PlanRecord | None:
+        """Return the plan of an id if it is active."""
         if self.record is None or self.record.plan.plan_id != plan_id or not self.record.active:
             return None
         return self.record
 
-    def _stop(self, reason: str) -> bool:
+    def _begin_stopping(self, reason: str) -> bool:
+        """Set a plan that runs or is halted to stopping; return whether it was."""
         record = self.record
         assert record is not None
         if record.progress.status not in {PlanStatus.RUNNING, PlanStatus.HALTED}:
@@ -241,8 +264,8 @@
         self._set_status(PlanStatus.STOPPING, reason)
         return True
 
-    def _settle(self) -> None:
-        """End the plan once nothing of it is open any more."""
+    def _finish_if_complete(self) -> None:
+        """Set the final status once no step is open any more."""
         record = self.record
         assert record is not None
         phases = {step.phase for step in record.progress.steps}
@@ -266,18 +289,15 @@
         progress = msgspec.structs.replace(record.progress, steps=tuple(steps))
         self.record = msgspec.structs.replace(record, progress=progress)
 
-    def _abandon(self, worker_id: str, incarnation: str) -> None:
-        self._abandoned.pop(worker_id, None)
-        self._abandoned[worker_id] = AbandonedWorker(worker_id=worker_id, incarnation=incarnation)
-        while len(self._abandoned) > ABANDONED_MEMORY:
-            del self._abandoned[next(iter(self._abandoned))]
+    def _remember_abandoned(self, worker_id: str, incarnation: str) -> None:
+        worker = AbandonedWorker(worker_id=worker_id, incarnation=incarnation)
+        insert_newest(self._abandoned, worker_id, worker, ABANDONED_MEMORY)
 
     def _remember(self, order_id: str, content: str, result: PlanResult) -> None:
-        self._orders[order_id] = PlanActionRecord(
+        record = PlanActionRecord(
             order_id=order_id, content=content, answer=result.answer, reason=result.reason
         )
-        while len(self._orders) > PLAN_ACTION_MEMORY:
-            del self._orders[next(iter(self._orders))]
+        insert_newest(self._actions, order_id, record, PLAN_ACTION_MEMORY)
 
 
 def _refused(reason: str) -> PlanResult:
--- a/src/orchidpath/state/plans.py
+++ b/src/orchidpath/state/plans.py
@@ -1,6 +1,6 @@
-"""Plans as they are agreed: which workers change their part, and how far each step has come.
+"""Agreed plans: which workers switch their stage, and the progress of each step.
 
-A plan is computed by :mod:`orchidpath.placement.planner` and kept here, in the replicated state, so
+A plan is computed by :mod:`orchidpath.placement.planner` and stored in the replicated state, so
 that it survives the leader that started it (docs/design/plans.md).
 """
 
@@ -14,11 +14,11 @@
 
 
 class PlanStatus(StrEnum):
-    """How far a plan is; the last three are final."""
+    """Progress of a plan; the last three are final."""
 
     RUNNING = "running"
     HALTED = "halted"
-    """No further step begins; steps that are open go on to their end."""
+    """No further step begins; open steps continue to their end."""
     CANCELLING = "cancelling"
     STOPPING = "stopping"
     DONE = "done"
@@ -27,24 +27,25 @@
 
 
 FINAL_STATUSES = frozenset({PlanStatus.DONE, PlanStatus.CANCELLED, PlanStatus.STOPPED})
+"""Statuses of a plan that is over."""
 
 
 class StepPhase(StrEnum):
-    """How far one worker's change is."""
+    """Progress of one worker's stage switch."""
 
     WAITING = "waiting"
     CORDONING = "holding"
-    """Held back; some router may not know it yet."""
+    """Cordoned; some router may not have applied it yet."""
     DRAINING = "draining"
     SWITCHING = "switching"
     RESUMING = "resuming"
-    """It has announced its new part and is to take requests again."""
+    """The worker has announced its new stage and is to accept requests."""
     RELEASED = "released"
     RETURNING = "returning"
-    """Given up before the change: it is to take requests again in the part it has."""
+    """Rolled back before the switch: the worker is to accept requests in its present stage."""
     RETURNED = "returned"
     ABANDONED = "abandoned"
-    """Lost, restarted or silent; what it does now is what it announces."""
+    """The worker was lost, restarted or silent; its stage is what it announces."""
 
 
 OPEN_PHASES = frozenset(
@@ -56,7 +57,7 @@
         StepPhase.RETURNING,
     }
 )
-"""Phases in which the worker is held back."""
+"""Phases in which the worker is cordoned."""
 
 PHASE_TRANSITIONS: dict[StepPhase, frozenset[StepPhase]] = {
     StepPhase.WAITING: frozenset({StepPhase.CORDONING}),
@@ -69,11 +70,11 @@
     StepPhase.RETURNED: frozenset(),
     StepPhase.ABANDONED: frozenset(),
 }
-"""Where a step may go from each phase."""
+"""The phases that a step may enter from each phase."""
 
 
 class PlanStep(msgspec.Struct, frozen=True, kw_only=True):
-    """One worker changes its part; it concerns that incarnation only."""
+    """One worker switches its stage; it concerns that incarnation only."""
 
     worker_id: str
     incarnation: str
@@ -85,7 +86,7 @@
 class ServiceBounds(msgspec.Struct, frozen=True, kw_only=True):
     """Bounds that a plan keeps for one service.
 
-    ``max_cordoned`` workers are held back at once. A step begins only if its stage keeps
+    At most ``max_cordoned`` workers are cordoned at once. A step begins only if its stage keeps
     ``minimum_prefill`` or ``minimum_decode`` serving workers without it. A worker may drain for
     ``drain_seconds``, which covers the longest request of the service.
     """
@@ -97,16 +98,16 @@
     drain_seconds: float
 
     def minimum(self, stage: Stage) -> int:
-        """Return how many serving workers a stage keeps."""
+        """Return the least number of serving workers of a stage."""
         return self.minimum_prefill if stage is Stage.PREFILL else self.minimum_decode
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """Which workers change their part, in this order.
+    """Which workers switch their stage, in this order.
 
     ``basis`` is :func:`basis_digest` of what it was computed from. ``plan_id`` is a digest of the
-    basis, the steps and the bounds, so the same id always means the same plan. ``revision`` tells
-    when it was computed and is not part of the id.
+    basis, the steps and the bounds, so the same id always means the same plan. ``revision`` is
+    the one at which it was computed and is not part of the id.
     """
 
     plan_id: str
@@ -122,7 +123,7 @@
 
 
 class StepProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """How far a step is; the hold is part of the view from ``cordoned_revision`` on."""
+    """Progress of a step; the cordon is part of the view from ``cordoned_revision`` on."""
 
     phase: StepPhase = StepPhase.WAITING
     cordoned_revision: int = msgspec.field(default=0, name="held_revision")
@@ -130,7 +131,7 @@
 
 
 class PlanProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """How far a plan is, step by step; ``reason`` tells why it halted or stopped."""
+    """Progress of a plan, step by step; ``reason`` tells why it halted or stopped."""
 
     status: PlanStatus
     steps: tuple[StepProgress, ...]
@@ -145,29 +146,29 @@
 
     @property
     def active(self) -> bool:
-        """Whether the plan is not over: until then no other one may start."""
+        """Whether the plan is not over: while it is active, no other one may start."""
         return self.progress.status not in FINAL_STATUSES
 
 
 class AbandonedWorker(msgspec.Struct, frozen=True, kw_only=True):
-    """An incarnation that a plan lost sight of; it may come back drained."""
+    """An incarnation whose step was abandoned; it may announce itself again while draining."""
 
     worker_id: str
     incarnation: str
 
 
 class PlanAnswer(StrEnum):
-    """What became of an operator's order about a plan."""
+    """Outcome of an operator's plan action."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
-    """The plan is not what would be done now."""
+    """The plan was computed from an older state."""
     REFUSED = "refused"
     ORDER_ID_REUSED = "order_id_reused"
 
 
 class PlanActionRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """An order about a plan that was taken, and its first outcome."""
+    """A remembered plan action and its first outcome."""
 
     order_id: str
     content: str
@@ -178,20 +179,25 @@
 def basis_digest(
     configuration_version: int, workers: Iterable[WorkerRecord], services: Iterable[str]
 ) -> str:
-    """Return the digest of all that a plan for some services depends on.
+    """Return the digest of what a plan for some services depends on.
 
     Parameters
     ----------
     configuration_version
-        Version of the configuration that states the desired counts.
+        Version of the configuration that sets the desired counts.
     workers
         The agreed workers.
     services
-        Services that the plan has steps for; workers of others make no difference.
+        Services that the plan has steps for; workers of others are ignored.
+
+    Returns
+    -------
+    str
+        SHA-256 in hexadecimal digits.
     """
-    wanted = set(services)
+    planned_services = set(services)
     records = sorted(
-        (worker for worker in workers if worker.service in wanted),
+        (worker for worker in workers if worker.service in planned_services),
         key=lambda worker: worker.worker_id,
     )
     content = msgspec.msgpack.encode((configuration_version, records))
@@ -199,12 +205,12 @@
 
 
 def is_serving(worker: WorkerRecord) -> bool:
-    """Return whether routers may give a worker new requests."""
+    """Return whether routers may send new requests to a worker."""
     return worker.status is WorkerStatus.READY and not worker.cordoned
 
 
 def begin_objection(record: PlanRecord, position: int, workers: Iterable[WorkerRecord]) -> str:
-    """Return why a waiting step may not begin, or nothing.
+    """Return why a waiting step may not begin; empty if it may.
 
     Checked by the leader before it proposes the step and again when the step is applied, because
     workers may have been lost in between (docs/design/plans.md, "Bounds").
@@ -230,7 +236,7 @@
 
 
 def cordoned_count(record: PlanRecord, service: str) -> int:
-    """Return how many workers of a service a plan holds back now."""
+    """Return the number of workers of a service that a plan has cordoned."""
     return sum(
         1
         for step, progress in zip(record.plan.steps, record.progress.steps, strict=True)
--- /dev/null
+++ b/src/orchidpath/state/routers.py
@@ -0,0 +1,80 @@
+"""The registered routers and the witness sets that were chosen among them."""
+
+from collections.abc import Iterable
+
+from orchidpath.state.outcomes import Effect
+from orchidpath.state.witnesses import WitnessHistory, WitnessSet, choose_witnesses
+from orchidpath.wire.records import RouterRecord
+
+
+class RouterTable:
+    """The registered routers and the history of the witness sets.
+
+    Parameters
+    ----------
+    routers
+        Registered routers.
+    witness_sets
+        Witness sets, oldest first.
+    """
+
+    def __init__(
+        self, routers: Iterable[RouterRecord] = (), witness_sets: Iterable[WitnessSet] = ()
+    ) -> None:
+        self._routers = {record.router_id: record for record in routers}
+        self._witnesses = WitnessHistory(witness_sets)
+
+    @property
+    def witnesses(self) -> tuple[str, ...]:
+        """Ids of the routers that are witnesses now."""
+        return self._witnesses.current()
+
+    def find(self, router_id: str) -> RouterRecord | None:
+        """Return a registered router."""
+        return self._routers.get(router_id)
+
+    def records(self) -> tuple[RouterRecord, ...]:
+        """Return the registered routers, by id."""
+        return tuple(self._routers[router_id] for router_id in sorted(self._routers))
+
+    def witness_sets(self) -> list[WitnessSet]:
+        """Return the remembered witness sets, oldest first."""
+        return self._witnesses.sets()
+
+    def witness_sets_since(self, revision: int) -> tuple[tuple[str, ...], ...]:
+        """Return every distinct witness set in force from a revision up to now, oldest first.
+
+        Raises
+        ------
+        WitnessHistoryLostError
+            Sets of that time have been forgotten.
+        """
+        return self._witnesses.since(revision)
+
+    def register(self, record: RouterRecord) -> Effect:
+        """Add a router, or change its record."""
+        if not record.router_id:
+            return Effect.INVALID
+        if self._routers.get(record.router_id) == record:
+            return Effect.UNCHANGED
+        self._routers[record.router_id] = record
+        return Effect.CHANGED
+
+    def remove(self, router_id: str) -> Effect:
+        """Remove a router."""
+        if self._routers.pop(router_id, None) is None:
+            return Effect.UNKNOWN
+        return Effect.CHANGED
+
+    def update_witnesses(self, revision: int, confirmed_revision: int) -> None:
+        """Choose the witnesses for the routers that are registered now.
+
+        Parameters
+        ----------
+        revision
+            The revision that changed the registered routers.
+        confirmed_revision
+            Every serving router has applied this revision or a newer one.
+        """
+        chosen = choose_witnesses(self.witnesses, self._routers)
+        self._witnesses.change(revision, chosen, confirmed_revision)
--- a/src/orchidpath/state/snapshot.py
+++ b/src/orchidpath/state/snapshot.py
@@ -21,10 +21,10 @@
 )
 
 MAX_SNAPSHOT_BYTES = 512 * 1024 * 1024
-"""Largest snapshot, before it is compressed."""
+"""Largest snapshot in bytes, before compression."""
 
 SNAPSHOT_FORMAT = 1
-"""Raised with every change that an older version could not read."""
+"""Incremented with every change that an older version could not read."""
 
 
 class SnapshotFormatError(OrchidpathError):
@@ -32,7 +32,7 @@
 
 
 class ConfigurationEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One configuration that was taken: its version, the order's id and its content's digest."""
+    """One accepted configuration: its version, the update's id and the content's digest."""
 
     version: int
     order_id: str
@@ -46,7 +46,7 @@
 
 
 class SnapshotBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole state after the log entry at ``applied_index``; by default the first state."""
+    """The complete state after the log entry at ``applied_index``; by default a new fleet's."""
 
     format: int = SNAPSHOT_FORMAT
     applied_index: int = 0
--- a/src/orchidpath/state/witnesses.py
+++ b/src/orchidpath/state/witnesses.py
@@ -2,7 +2,7 @@
 
 A router that does not hear the leader may still serve if a majority of the witnesses knows no
 newer revision. A change of the state is confirmed only when it has reached a majority of every
-witness set that some router may still hold, so the history of the sets is part of the state.
+witness set that some router may still use, so the history of the sets is part of the state.
 """
 
 from collections import Counter
@@ -14,17 +14,17 @@
 from orchidpath.wire.records import RouterRecord
 
 WITNESS_LIMIT = 9
-"""How many routers are witnesses at most; it bounds the cost of a freshness query."""
+"""Largest number of witness routers; it bounds the cost of a freshness query."""
 
 WITNESS_HISTORY_LIMIT = 1024
-"""How many witness sets are remembered."""
+"""Number of witness sets that are remembered."""
 
 
 class WitnessHistoryLostError(OrchidpathError):
     """The witness sets since a revision are no longer all remembered.
 
     The caller must not conclude that a quorum intersection holds; it may wait for every lease
-    that could rest on the older sets to lapse, and then ask from a newer revision.
+    that could rest on the older sets to expire, and then query from a newer revision.
     """
 
 
@@ -38,10 +38,10 @@
 def choose_witnesses(
     current: Iterable[str], routers: Mapping[str, RouterRecord], limit: int = WITNESS_LIMIT
 ) -> tuple[str, ...]:
-    """Return the witness set for a roster.
+    """Return the witness set for the registered routers.
 
     A registered witness stays one. A vacancy goes to the zone with the fewest witnesses among
-    those that have a router to give, and there to the lowest id.
+    those that have a candidate, and there to the lowest id.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
     routers
         Registered routers by id.
     limit
-        How many witnesses there are at most.
+        Largest number of witnesses.
     """
     chosen = {router_id for router_id in current if router_id in routers}
     zone_counts = Counter(routers[router_id].zone for router_id in chosen)
@@ -69,14 +69,14 @@
     """The witness sets by the revision from which each was in force.
 
     A set is only forgotten once a revision has been confirmed under a later one: a router that
-    serves may still hold it until then, and forgetting it would let a quorum miss that router.
+    serves may still use it until then, and forgetting it would let a quorum miss that router.
 
     Parameters
     ----------
     sets
         Sets to begin with, oldest first; without any, no router is a witness from revision 0.
     limit
-        How many sets are remembered.
+        Number of sets that are remembered.
     """
 
     def __init__(self, sets: Iterable[WitnessSet] = (), limit: int = WITNESS_HISTORY_LIMIT) -> None:
@@ -97,17 +97,17 @@
         Parameters
         ----------
         revision
-            The revision that changed the roster.
+            The revision that changed the registered routers.
         witnesses
             The new set; one equal to the current set changes nothing.
         confirmed_revision
-            Every router that serves obeys this revision or newer.
+            Every serving router has applied this revision or a newer one.
 
         Returns
         -------
         bool
-            False if the history is full of sets that may still be held; the current set then
-            stays in force, which costs a vacancy and never an intersection.
+            False if the history is full of sets that may still be in use. The current set then
+            stays in force: a vacancy is left open, and no quorum intersection is lost.
         """
         if witnesses == self.current():
             return True
--- a/src/orchidpath/state/workers.py
+++ b/src/orchidpath/state/workers.py
@@ -1,14 +1,15 @@
-"""Workers as the fleet has agreed on them, and the incarnations that are known to be dead."""
+"""The agreed workers, the cordoned ones, and the incarnations that are known to be dead."""
 
 from collections.abc import Iterable
 
 import msgspec
 
+from orchidpath.state.bounded_table import insert_newest
 from orchidpath.state.outcomes import Effect
 from orchidpath.wire.records import WorkerRecord, WorkerStatus
 
 DEAD_INCARNATION_MEMORY = 4096
-"""How many of the newest dead incarnations are remembered."""
+"""Number of the newest dead incarnations that are remembered."""
 
 
 class WorkerEntry(msgspec.Struct, frozen=True, kw_only=True):
@@ -19,15 +20,26 @@
 
 
 class DeadIncarnation(msgspec.Struct, frozen=True, kw_only=True):
-    """An incarnation that is gone or replaced, and its newest known announcement."""
+    """An incarnation that was removed or replaced, and the sequence of its newest announcement."""
 
     worker_id: str
     incarnation: str
     sequence: int
 
 
+class WorkerChange(msgspec.Struct, frozen=True, kw_only=True):
+    """Effect of a command about a worker.
+
+    ``record`` is the changed record if the view has changed; its status is GONE for a removed
+    worker.
+    """
+
+    effect: Effect
+    record: WorkerRecord | None = None
+
+
 class WorkerTable:
-    """The workers in the view, the holds on workers and the dead incarnations.
+    """The workers in the view, the cordoned workers and the dead incarnations.
 
     Parameters
     ----------
@@ -35,10 +47,10 @@
         Workers in the view.
     dead
         Dead incarnations, oldest first.
-    held
-        Ids of the workers that are held back.
+    cordoned
+        Ids of the cordoned workers.
     dead_limit
-        How many dead incarnations are remembered.
+        Number of dead incarnations that are remembered.
     """
 
     def __init__(
@@ -69,96 +81,88 @@
         ]
 
     def cordoned(self) -> list[str]:
-        """Return the ids of the workers that are held back, sorted."""
+        """Return the ids of the cordoned workers, sorted."""
         return sorted(self._cordoned)
 
     def known(self, worker_id: str) -> bool:
         """Return whether a worker is in the view or one of its dead incarnations is remembered."""
         return worker_id in self._entries or any(key[0] == worker_id for key in self._dead)
 
-    def announce(self, record: WorkerRecord, sequence: int) -> Effect:
-        """Take a worker's announcement.
+    def announce(self, record: WorkerRecord, sequence: int) -> WorkerChange:
+        """Apply a worker's announcement.
 
         A late announcement changes nothing: neither one with a lower sequence of the current
         incarnation, nor one of a dead incarnation that was already covered when it died.
         """
         if record.status is WorkerStatus.GONE or not record.worker_id or not record.incarnation:
-            return Effect.INVALID
+            return WorkerChange(effect=Effect.INVALID)
         agreed = self._complete(record)
         current = self._entries.get(record.worker_id)
         if current is not None and current.record.incarnation == record.incarnation:
             return self._renew(current, agreed, sequence)
         key = (record.worker_id, record.incarnation)
         if sequence <= self._dead.get(key, sequence - 1):
-            return Effect.STALE
+            return WorkerChange(effect=Effect.STALE)
         if current is not None:
-            self._bury(current, current.sequence)
+            self._add_dead(current, current.sequence)
         self._dead.pop(key, None)
         self._entries[record.worker_id] = WorkerEntry(record=agreed, sequence=sequence)
-        return Effect.CHANGED
+        return WorkerChange(effect=Effect.CHANGED, record=agreed)
 
-    def depart(self, worker_id: str, incarnation: str, sequence: int) -> WorkerRecord | None:
-        """Take a worker out of the view if that incarnation is the current one.
-
-        Returns
-        -------
-        WorkerRecord or None
-            The record with status GONE, or nothing if the incarnation is not in the view.
-        """
+    def remove(self, worker_id: str, incarnation: str, sequence: int) -> WorkerChange:
+        """Remove a worker from the view if that incarnation is the current one."""
         current = self._entries.get(worker_id)
         if current is None or current.record.incarnation != incarnation:
-            return None
+            return WorkerChange(effect=Effect.STALE)
         del self._entries[worker_id]
-        self._bury(current, max(current.sequence, sequence))
-        return msgspec.structs.replace(current.record, status=WorkerStatus.GONE)
+        self._add_dead(current, max(current.sequence, sequence))
+        removed = msgspec.structs.replace(current.record, status=WorkerStatus.GONE)
+        return WorkerChange(effect=Effect.CHANGED, record=removed)
 
-    def cordon(self, worker_id: str, cordoned: bool) -> Effect:
-        """Hold a worker back from new requests, or release it.
+    def cordon(self, worker_id: str, cordoned: bool) -> WorkerChange:
+        """Cordon a worker, so that it gets no new requests, or release it.
 
-        The hold is kept apart from the record, so that an announcement or a restart in the
+        The cordon is stored outside the record, so that an announcement or a restart in the
         middle of a plan does not release the worker.
         """
         if not self.known(worker_id):
-            return Effect.UNKNOWN
+            return WorkerChange(effect=Effect.UNKNOWN)
         if (worker_id in self._cordoned) == cordoned:
-            return Effect.UNCHANGED
+            return WorkerChange(effect=Effect.UNCHANGED)
         if cordoned:
             self._cordoned.add(worker_id)
         else:
             self._cordoned.discard(worker_id)
         current = self._entries.get(worker_id)
-        if current is not None:
-            record = msgspec.structs.replace(current.record, cordoned=cordoned)
-            self._entries[worker_id] = WorkerEntry(record=record, sequence=current.sequence)
-        return Effect.CHANGED
-
-    def _renew(self, current: WorkerEntry, agreed: WorkerRecord, sequence: int) -> Effect:
-        """Take a further announcement of the current incarnation."""
+        if current is None:
+            return WorkerChange(effect=Effect.CHANGED)
+        record = msgspec.structs.replace(current.record, cordoned=cordoned)
+        self._entries[worker_id] = WorkerEntry(record=record, sequence=current.sequence)
+        return WorkerChange(effect=Effect.CHANGED, record=record)
+
+    def _renew(self, current: WorkerEntry, agreed: WorkerRecord, sequence: int) -> WorkerChange:
+        """Apply a further announcement of the current incarnation."""
         if sequence < current.sequence:
-            return Effect.STALE
+            return WorkerChange(effect=Effect.STALE)
         if agreed == current.record:
             self._entries[agreed.worker_id] = WorkerEntry(record=agreed, sequence=sequence)
-            return Effect.UNCHANGED
+            return WorkerChange(effect=Effect.UNCHANGED)
         if sequence == current.sequence:
-            return Effect.STALE
+            return WorkerChange(effect=Effect.STALE)
         self._entries[agreed.worker_id] = WorkerEntry(record=agreed, sequence=sequence)
-        return Effect.CHANGED
+        return WorkerChange(effect=Effect.CHANGED, record=agreed)
 
     def _complete(self, record: WorkerRecord) -> WorkerRecord:
-        """Return the record with its default failure domain and the fleet's hold."""
+        """Return the record with its default failure domain and the agreed cordon."""
         return msgspec.structs.replace(
             record,
             failure_domain=record.failure_domain or record.worker_id,
             cordoned=record.worker_id in self._cordoned,
         )
 
-    def _bury(self, entry: WorkerEntry, sequence: int) -> None:
+    def _add_dead(self, entry: WorkerEntry, sequence: int) -> None:
         """Remember an incarnation as dead and forget the oldest ones beyond the limit."""
         key = (entry.record.worker_id, entry.record.incarnation)
-        self._dead.pop(key, None)
-        self._dead[key] = sequence
-        while len(self._dead) > self._dead_limit:
-            forgotten_id = next(iter(self._dead))[0]
-            del self._dead[next(iter(self._dead))]
+        for forgotten_id, _ in insert_newest(self._dead, key, sequence, self._dead_limit):
             if not self.known(forgotten_id):
                 self._cordoned.discard(forgotten_id)
--- a/tests/state/test_fleet_state.py
+++ b/tests/state/test_fleet_state.py
@@ -214,7 +214,7 @@
     for number in range(4):
         table.announce(worker(f"w{number}"), 1)
         table.cordon(f"w{number}", True)
-        table.depart(f"w{number}", "a", 1)
+        table.remove(f"w{number}", "a", 1)
     assert [item.worker_id for item in table.dead()] == ["w2", "w3"]
     assert table.cordoned() == ["w2", "w3"]
 
