--- a/src/orchidpath/common/settings_checks.py
+++ b/src/orchidpath/common/settings_checks.py
@@ -8,8 +8,8 @@
 
 from orchidpath.common.addresses import AddressError, parse_address
 from orchidpath.common.logs import LOG_LEVELS
+from orchidpath.common.problems import Problem
 from orchidpath.common.settings import SEED_COUNT, ControlSettings, RouterSettings
-from orchidpath.common.typed_walk import Mismatch
 
 MAX_TARGET_VOTERS = 7
 """More voters make every commit slower and protect no better."""
@@ -21,67 +21,67 @@
 _UNSPECIFIED_HOSTS = ("0.0.0.0", "::")
 
 
-def check_router_settings(settings: RouterSettings) -> list[Mismatch]:
+def check_router_settings(settings: RouterSettings) -> list[Problem]:
     """Return every problem of settings whose types are right."""
     return list(_check_router(settings))
 
 
-def check_control_settings(settings: ControlSettings) -> list[Mismatch]:
+def check_control_settings(settings: ControlSettings) -> list[Problem]:
     """Return every problem of settings whose types are right."""
     return list(_check_control(settings))
 
 
-def check_name(path: str, name: str) -> Iterator[Mismatch]:
+def check_name(path: str, name: str) -> Iterator[Problem]:
     """Check a name of a node, fleet, zone or worker."""
     if not _NAME_PATTERN.fullmatch(name):
         expected = "expected 1 to 63 letters, digits, dots, dashes or underscores"
-        yield Mismatch(path=path, message=f"{expected}, got {name!r}")
+        yield Problem(path=path, message=f"{expected}, got {name!r}")
 
 
-def check_seconds(path: str, seconds: float) -> Iterator[Mismatch]:
+def check_seconds(path: str, seconds: float) -> Iterator[Problem]:
     """Check a time: above zero and at most a day."""
     if not math.isfinite(seconds) or not 0 < seconds <= MAX_SECONDS:
         expected = f"expected seconds above 0 and up to {MAX_SECONDS:.0f}"
-        yield Mismatch(path=path, message=f"{expected}, got {seconds}")
+        yield Problem(path=path, message=f"{expected}, got {seconds}")
 
 
-def check_address(path: str, address: str) -> Iterator[Mismatch]:
+def check_address(path: str, address: str) -> Iterator[Problem]:
     """Check an address that other processes must be able to reach."""
     try:
         host, port = parse_address(address)
     except AddressError as error:
-        yield Mismatch(path=path, message=f"expected IP:port with an IP number; {error}")
+        yield Problem(path=path, message=f"expected IP:port with an IP number; {error}")
         return
     if port == 0:
-        yield Mismatch(path=path, message="expected a port from 1 to 65535, got 0")
+        yield Problem(path=path, message="expected a port from 1 to 65535, got 0")
     if host in _UNSPECIFIED_HOSTS:
         message = f"expected an IP number that others can reach, got {host}"
-        yield Mismatch(path=path, message=message)
+        yield Problem(path=path, message=message)
 
 
-def _check_router(settings: RouterSettings) -> Iterator[Mismatch]:
+def _check_router(settings: RouterSettings) -> Iterator[Problem]:
     yield from _check_common(settings)
     yield from check_seconds("decision_timeout_seconds", settings.decision_timeout_seconds)
     if settings.forward_address:
         yield from check_address("forward_address", settings.forward_address)
     if "\0" in settings.decision_log:
-        yield Mismatch(path="decision_log", message="expected the path of a file")
+        yield Problem(path="decision_log", message="expected the path of a file")
 
 
-def _check_control(settings: ControlSettings) -> Iterator[Mismatch]:
+def _check_control(settings: ControlSettings) -> Iterator[Problem]:
     yield from _check_common(settings)
     yield from check_seconds("replace_voter_after_seconds", settings.replace_voter_after_seconds)
     yield from check_seconds("worker_lease_seconds", settings.worker_lease_seconds)
     yield from check_seconds("sync_delay_warning_seconds", settings.sync_delay_warning_seconds)
     if not settings.data_folder:
-        yield Mismatch(path="data_folder", message="expected the path of a folder, got nothing")
+        yield Problem(path="data_folder", message="expected the path of a folder, got nothing")
     yield from _check_addresses("formation_members", settings.formation_members)
     if not 1 <= settings.target_voters <= MAX_TARGET_VOTERS:
         message = f"expected 1 to {MAX_TARGET_VOTERS}, got {settings.target_voters}"
-        yield Mismatch(path="target_voters", message=message)
+        yield Problem(path="target_voters", message=message)
 
 
-def _check_common(settings: RouterSettings | ControlSettings) -> Iterator[Mismatch]:
+def _check_common(settings: RouterSettings | ControlSettings) -> Iterator[Problem]:
     yield from check_name("node_id", settings.node_id)
     yield from check_name("fleet", settings.fleet)
     if settings.zone:
@@ -90,27 +90,27 @@
     yield from check_address("http_address", settings.http_address)
     if settings.wire_address == settings.http_address:
         message = "expected another address than wire_address"
-        yield Mismatch(path="http_address", message=message)
+        yield Problem(path="http_address", message=message)
     if len(settings.seeds) != SEED_COUNT:
         message = f"expected {SEED_COUNT} addresses, got {len(settings.seeds)}"
-        yield Mismatch(path="seeds", message=message)
+        yield Problem(path="seeds", message=message)
     yield from _check_addresses("seeds", settings.seeds)
     if settings.log_level not in LOG_LEVELS:
         message = f"expected one of {', '.join(LOG_LEVELS)}, got {settings.log_level!r}"
-        yield Mismatch(path="log_level", message=message)
+        yield Problem(path="log_level", message=message)
     yield from check_seconds("drain_seconds", settings.drain_seconds)
     if "\0" in settings.fault_file:
-        yield Mismatch(path="fault_file", message="expected the path of a file")
+        yield Problem(path="fault_file", message="expected the path of a file")
 
 
-def _check_addresses(path: str, addresses: list[str]) -> Iterator[Mismatch]:
+def _check_addresses(path: str, addresses: list[str]) -> Iterator[Problem]:
     for index, address in enumerate(addresses):
         yield from check_address(f"{path}[{index}]", address)
         if address in addresses[:index]:
-            yield Mismatch(path=f"{path}[{index}]", message=f"{address!r} is listed twice")
+            yield Problem(path=f"{path}[{index}]", message=f"{address!r} is listed twice")
 
 
-def check_settings(settings: msgspec.Struct) -> list[Mismatch]:
+def check_settings(settings: msgspec.Struct) -> list[Problem]:
     """Return every problem of any settings struct; other structs have none here."""
     if isinstance(settings, RouterSettings):
         return check_router_settings(settings)
--- a/src/orchidpath/common/settings_file.py
+++ b/src/orchidpath/common/settings_file.py
@@ -8,9 +8,10 @@
 
 import msgspec
 
+from orchidpath.common.problems import Problem
 from orchidpath.common.settings_checks import check_settings
 from orchidpath.common.settings_errors import SettingProblem, SettingsError
-from orchidpath.common.typed_walk import Mismatch, find_mismatches
+from orchidpath.common.typed_walk import find_mismatches
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
 """A larger file is refused unread."""
@@ -21,7 +22,7 @@
 def load_settings(
     path: Path,
     expected: type[StructT],
-    check: Callable[[StructT], list[Mismatch]] = check_settings,
+    check: Callable[[StructT], list[Problem]] = check_settings,
 ) -> StructT:
     """Load and check a settings file.
 
@@ -46,7 +47,7 @@
     table: dict[str, Any],
     file: str,
     expected: type[StructT],
-    check: Callable[[StructT], list[Mismatch]] = check_settings,
+    check: Callable[[StructT], list[Problem]] = check_settings,
 ) -> StructT:
     """Convert and check an already decoded file; see :func:`load_settings`."""
     _raise_if_any(file, find_mismatches(table, expected))
@@ -110,8 +111,8 @@
     raise SettingsError([SettingProblem(file=str(path), path="", message=message)])
 
 
-def _raise_if_any(file: str, mismatches: list[Mismatch]) -> None:
-    if mismatches:
+def _raise_if_any(file: str, problems: list[Problem]) -> None:
+    if problems:
         raise SettingsError(
-            [SettingProblem(file=file, path=each.path, message=each.message) for each in mismatches]
+            [SettingProblem(file=file, path=each.path, message=each.message) for each in problems]
         )
--- a/src/orchidpath/common/typed_walk.py
+++ b/src/orchidpath/common/typed_walk.py
@@ -1,23 +1,82 @@
-"""Walks plain decoded data along a msgspec struct and collects every mismatch.
+"""Walks plain decoded data along a msgspec struct type and collects every problem.
 
-msgspec itself stops at the first one; operators want all of them at once.
+msgspec itself stops at the first mismatch; operators want all of them at once. The walk is shared
+by settings files (:func:`find_mismatches`) and by configurations
+(:mod:`orchidpath.state.structure`). They differ in what a plain value may be and in their texts,
+which are the :class:`WalkRules` of each.
 """
 
-from collections.abc import Iterator
-from typing import Any, get_args, get_origin
+from collections.abc import Iterable
+from enum import Enum
+from typing import Any, Protocol, get_args, get_origin
 
 import msgspec
 
+from orchidpath.common.problems import Problem, join_path
 
-class Mismatch(msgspec.Struct, frozen=True, kw_only=True):
-    """One value that does not fit: its path (``routes[2].path``) and what is expected."""
+_PLACEHOLDERS: dict[Any, object] = {str: "", bool: False, int: 0, float: 0}
 
-    path: str
-    message: str
 
+class WalkRules(Protocol):
+    """Decides which plain values fit a type, and words the problems."""
 
-def find_mismatches(value: object, expected: type, path: str = "") -> list[Mismatch]:
-    """Return every mismatch between plain data and a struct type.
+    def not_an_object(self, value: object) -> str:
+        """Return the message for a value where an object must be."""
+
+    def not_a_list(self, value: object) -> str:
+        """Return the message for a value where a list must be."""
+
+    def unknown_field(self, known: Iterable[str]) -> str:
+        """Return the message for a field that the struct does not have."""
+
+    def missing_field(self) -> str:
+        """Return the message for a required field that is not there."""
+
+    def value_problem(self, value: object, expected: Any) -> str:
+        """Return why a value does not fit a type other than a struct or list; empty if it does."""
+
+
+class WalkResult(msgspec.Struct, frozen=True, kw_only=True):
+    """Outcome of a walk.
+
+    Attributes
+    ----------
+    readable
+        The data, with a placeholder at every unreadable path.
+    problems
+        Every problem, in the order of the walk.
+    unreadable_paths
+        Paths of the values that do not fit or are missing.
+    """
+
+    readable: Any
+    problems: list[Problem]
+    unreadable_paths: frozenset[str]
+
+
+def walk(value: object, expected: type[msgspec.Struct], rules: WalkRules) -> WalkResult:
+    """Walk data along a struct type.
+
+    Parameters
+    ----------
+    value
+        Data as decoded from TOML or JSON.
+    expected
+        A msgspec struct type that forbids unknown fields.
+    rules
+        What a plain value may be, and the texts of the problems.
+    """
+    walker = _Walker(rules)
+    readable = walker.read(value, expected, "")
+    return WalkResult(
+        readable=readable,
+        problems=walker.problems,
+        unreadable_paths=frozenset(walker.unreadable_paths),
+    )
+
+
+def find_mismatches(value: object, expected: type[msgspec.Struct]) -> list[Problem]:
+    """Return every mismatch between a decoded settings file and a struct type.
 
     Parameters
     ----------
@@ -25,66 +84,118 @@
         Data as decoded from TOML or JSON.
     expected
         A msgspec struct type that forbids unknown fields.
-    path
-        Path of ``value`` in its file.
 
     Returns
     -------
-    list of Mismatch
-        Empty exactly when ``msgspec.convert(value, expected)`` takes the value.
+    list of Problem
+        Empty exactly when ``msgspec.convert(value, expected)`` accepts the value.
     """
-    found = list(_walk(value, expected, path))
-    if found:
-        return found
-    return list(_convert(value, expected, path))
-
-
-def _walk(value: object, expected: Any, path: str) -> Iterator[Mismatch]:
-    if isinstance(expected, type) and issubclass(expected, msgspec.Struct):
-        yield from _walk_struct(value, expected, path)
-    elif get_origin(expected) is list:
-        yield from _walk_list(value, get_args(expected)[0], path)
-    else:
-        yield from _convert(value, expected, path)
-
-
-def _walk_struct(value: object, expected: type[msgspec.Struct], path: str) -> Iterator[Mismatch]:
-    if not isinstance(value, dict):
-        yield Mismatch(path=path, message=f"expected a table, got {_kind_of(value)}")
-        return
-    fields = {field.encode_name: field for field in msgspec.structs.fields(expected)}
-    for name in value:
-        if name not in fields:
-            known = ", ".join(sorted(fields))
-            yield Mismatch(path=_join(path, name), message=f"unknown setting; known are {known}")
-    for name, field in fields.items():
-        if name in value:
-            yield from _walk(value[name], field.type, _join(path, name))
-        elif field.required:
-            yield Mismatch(path=_join(path, name), message="missing, and it has no default")
-
-
-def _walk_list(value: object, item_type: Any, path: str) -> Iterator[Mismatch]:
-    if not isinstance(value, list):
-        yield Mismatch(path=path, message=f"expected a list, got {_kind_of(value)}")
-        return
-    for index, item in enumerate(value):
-        yield from _walk(item, item_type, f"{path}[{index}]")
-
-
-def _convert(value: object, expected: Any, path: str) -> Iterator[Mismatch]:
+    problems = walk(value, expected, _SettingsRules()).problems
+    if problems:
+        return problems
+    message = _conversion_problem(value, expected)
+    return [Problem(path="", message=message)] if message else []
+
+
+class _Walker:
+    """Collects the problems of one walk."""
+
+    def __init__(self, rules: WalkRules) -> None:
+        self.problems: list[Problem] = []
+        self.unreadable_paths: set[str] = set()
+        self._rules = rules
+
+    def read(self, value: object, expected: Any, path: str) -> object:
+        """Return a value with placeholders in place of what does not fit."""
+        if isinstance(expected, type) and issubclass(expected, msgspec.Struct):
+            return self._read_struct(value, expected, path)
+        if get_origin(expected) is list:
+            return self._read_list(value, get_args(expected)[0], path)
+        message = self._rules.value_problem(value, expected)
+        if not message:
+            return value
+        self._reject(path, message)
+        return _placeholder(expected)
+
+    def _read_struct(
+        self, value: object, expected: type[msgspec.Struct], path: str
+    ) -> dict[str, object]:
+        is_object = isinstance(value, dict)
+        given: dict[str, object] = value if isinstance(value, dict) else {}
+        if not is_object:
+            self._reject(path, self._rules.not_an_object(value))
+        fields = {field.encode_name: field for field in msgspec.structs.fields(expected)}
+        self._reject_unknown_fields(given, fields.keys(), path)
+        readable: dict[str, object] = {}
+        for name, field in fields.items():
+            field_path = join_path(path, name)
+            if name in given:
+                readable[name] = self.read(given[name], field.type, field_path)
+            elif field.required:
+                readable[name] = _placeholder(field.type)
+                self.unreadable_paths.add(field_path)
+                # A value that is no object was reported as a whole, which says enough.
+                if is_object:
+                    problem = Problem(path=field_path, message=self._rules.missing_field())
+                    self.problems.append(problem)
+        return readable
+
+    def _reject_unknown_fields(
+        self, given: dict[str, object], known: Iterable[str], path: str
+    ) -> None:
+        for name in given:
+            if name not in known:
+                message = self._rules.unknown_field(known)
+                self.problems.append(Problem(path=join_path(path, str(name)), message=message))
+
+    def _read_list(self, value: object, item_type: Any, path: str) -> list[object]:
+        if not isinstance(value, list):
+            self._reject(path, self._rules.not_a_list(value))
+            return []
+        return [
+            self.read(item, item_type, f"{path}[{position}]") for position, item in enumerate(value)
+        ]
+
+    def _reject(self, path: str, message: str) -> None:
+        self.problems.append(Problem(path=path, message=message))
+        self.unreadable_paths.add(path)
+
+
+def _placeholder(expected: Any) -> object:
+    """Return some value of a type, in place of one that can't be read."""
+    if get_origin(expected) is list:
+        return []
+    if isinstance(expected, type) and issubclass(expected, Enum):
+        return next(iter(expected)).value
+    return _PLACEHOLDERS.get(expected)
+
+
+class _SettingsRules:
+    """A plain value fits if msgspec converts it; texts name settings, tables and lists."""
+
+    def not_an_object(self, value: object) -> str:
+        return f"expected a table, got {_kind_of(value)}"
+
+    def not_a_list(self, value: object) -> str:
+        return f"expected a list, got {_kind_of(value)}"
+
+    def unknown_field(self, known: Iterable[str]) -> str:
+        return f"unknown setting; known are {', '.join(sorted(known))}"
+
+    def missing_field(self) -> str:
+        return "missing, and it has no default"
+
+    def value_problem(self, value: object, expected: Any) -> str:
+        return _conversion_problem(value, expected)
+
+
+def _conversion_problem(value: object, expected: Any) -> str:
     try:
         msgspec.convert(value, expected)
     except msgspec.ValidationError as error:
-        yield Mismatch(path=path, message=_lower_first(str(error)))
-
-
-def _lower_first(text: str) -> str:
-    return text[:1].lower() + text[1:]
-
-
-def _join(path: str, name: object) -> str:
-    return f"{path}.{name}" if path else str(name)
+        text = str(error)
+        return text[:1].lower() + text[1:]
+    return ""
 
 
 def _kind_of(value: object) -> str:
--- a/src/orchidpath/fleet/file.py
+++ b/src/orchidpath/fleet/file.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
+from orchidpath.common.problems import Problem
 from orchidpath.common.settings_checks import check_name
 from orchidpath.common.settings_file import convert_settings, read_table
-from orchidpath.common.typed_walk import Mismatch
 from orchidpath.emulators.backend.injected_faults import Fault
 from orchidpath.emulators.client.traffic_mix import TrafficMix, TrafficMixError, check_traffic_mix
 from orchidpath.state.validation import validate
@@ -110,7 +110,7 @@
     return convert_settings(table, file, FleetFile, check_fleet)
 
 
-def check_fleet(fleet: FleetFile) -> list[Mismatch]:
+def check_fleet(fleet: FleetFile) -> list[Problem]:
     """Return every problem of a fleet file whose types are right."""
     return [
         *check_name("fleet", fleet.fleet),
@@ -132,65 +132,65 @@
     return frozenset(names | {worker.name for worker in fleet.workers})
 
 
-def _check_machines(fleet: FleetFile) -> Iterator[Mismatch]:
+def _check_machines(fleet: FleetFile) -> Iterator[Problem]:
     names = [machine.name for machine in fleet.machines]
     for index, machine in enumerate(fleet.machines):
         yield from check_name(f"machines[{index}].name", machine.name)
         if machine.name in names[:index]:
-            yield Mismatch(path=f"machines[{index}].name", message=f"{machine.name!r} stands twice")
+            yield Problem(path=f"machines[{index}].name", message=f"{machine.name!r} stands twice")
     if not any(machine.disk for machine in fleet.machines):
-        yield Mismatch(path="machines", message="expected at least one machine with disk = true")
+        yield Problem(path="machines", message="expected at least one machine with disk = true")
     if len(fleet.machines) < 3:
-        yield Mismatch(path="machines", message="expected at least three, for three seeds")
+        yield Problem(path="machines", message="expected at least three, for three seeds")
 
 
-def _check_workers(fleet: FleetFile) -> Iterator[Mismatch]:
+def _check_workers(fleet: FleetFile) -> Iterator[Problem]:
     names = [worker.name for worker in fleet.workers]
     kinds = {service.name: service.kind for service in fleet.configuration.services}
     for index, worker in enumerate(fleet.workers):
         path = f"workers[{index}]"
         yield from check_name(f"{path}.name", worker.name)
         if worker.name in names[:index]:
-            yield Mismatch(path=f"{path}.name", message=f"{worker.name!r} stands twice")
+            yield Problem(path=f"{path}.name", message=f"{worker.name!r} stands twice")
         kind = kinds.get(worker.service)
         if kind is None:
             message = f"the configuration has no service {worker.service!r}"
-            yield Mismatch(path=f"{path}.service", message=message)
+            yield Problem(path=f"{path}.service", message=message)
         elif (kind is ServiceKind.PLAIN) != (worker.stage is Stage.PLAIN):
             message = f"{worker.stage} does not fit a service of kind {kind}"
-            yield Mismatch(path=f"{path}.stage", message=message)
+            yield Problem(path=f"{path}.stage", message=message)
         if (worker.stage is Stage.PLAIN) == bool(worker.models):
             message = "expected models for a model worker and none for a plain one"
-            yield Mismatch(path=f"{path}.models", message=message)
+            yield Problem(path=f"{path}.models", message=message)
 
 
-def _check_configuration(fleet: FleetFile) -> Iterator[Mismatch]:
+def _check_configuration(fleet: FleetFile) -> Iterator[Problem]:
     for problem in validate(fleet.configuration):
         path = f"configuration.{problem.path}" if problem.path else "configuration"
-        yield Mismatch(path=path, message=problem.message)
+        yield Problem(path=path, message=problem.message)
 
 
-def _check_traffic(fleet: FleetFile) -> Iterator[Mismatch]:
+def _check_traffic(fleet: FleetFile) -> Iterator[Problem]:
     try:
         check_traffic_mix(fleet.traffic)
     except TrafficMixError as error:
-        yield Mismatch(path="traffic", message=str(error))
+        yield Problem(path="traffic", message=str(error))
 
 
-def _check_faults(fleet: FleetFile) -> Iterator[Mismatch]:
+def _check_faults(fleet: FleetFile) -> Iterator[Problem]:
     targets = targets_of(fleet)
     workers = {worker.name for worker in fleet.workers}
     for index, fault in enumerate(fleet.faults):
         path = f"faults[{index}]"
         if not fault.at_seconds >= 0 or not fault.for_seconds >= 0:
-            yield Mismatch(path=path, message="expected times of zero or more seconds")
+            yield Problem(path=path, message="expected times of zero or more seconds")
         if fault.target not in targets:
             message = f"nothing is called {fault.target!r}"
-            yield Mismatch(path=f"{path}.target", message=message)
+            yield Problem(path=f"{path}.target", message=message)
         if fault.other and fault.other not in targets:
-            yield Mismatch(path=f"{path}.other", message=f"nothing is called {fault.other!r}")
+            yield Problem(path=f"{path}.other", message=f"nothing is called {fault.other!r}")
         if (fault.kind is ScriptedFaultKind.WORKER) != (fault.worker_fault is not None):
             message = "expected with kind = 'worker' and only there"
-            yield Mismatch(path=f"{path}.worker_fault", message=message)
+            yield Problem(path=f"{path}.worker_fault", message=message)
         if fault.kind is ScriptedFaultKind.WORKER and fault.target not in workers:
-            yield Mismatch(path=f"{path}.target", message="expected the name of a worker")
+            yield Problem(path=f"{path}.target", message="expected the name of a worker")
--- a/src/orchidpath/state/problems.py
+++ b/src/orchidpath/state/problems.py
@@ -1,36 +1,21 @@
-"""Problems found in a configuration, each with the path of the place where it is."""
-
-import msgspec
+"""Rejection of an invalid configuration, with every problem that was found."""
 
 from orchidpath.common.errors import OrchidpathError
+from orchidpath.common.problems import Problem, join_path
 
-
-class Problem(msgspec.Struct, frozen=True, kw_only=True, order=True):
-    """One thing that is wrong with a configuration.
-
-    ``path`` names the place, such as ``routes[3].deadline_seconds``; the empty path is the whole
-    configuration.
-    """
-
-    path: str
-    message: str
+__all__ = ["InvalidConfigurationError", "Problem", "join_path"]
 
 
 class InvalidConfigurationError(OrchidpathError):
-    """A configuration is refused.
+    """A configuration is rejected.
 
     Parameters
     ----------
     problems
-        Everything that was found wrong, at least one.
+        Every problem that was found, at least one.
     """
 
     def __init__(self, problems: list[Problem]) -> None:
         shown = "; ".join(f"{item.path or 'configuration'}: {item.message}" for item in problems)
         super().__init__(shown)
         self.problems = problems
-
-
-def join_path(path: str, field: str) -> str:
-    """Return the path of a field of the object at a path."""
-    return f"{path}.{field}" if path else field
--- a/tests/state/test_fleet_state.py
+++ b/tests/state/test_fleet_state.py
@@ -306,14 +306,14 @@
     state = FleetState()
     apply(state, router("r1"))
     effect(state, changed(1))
-    cordoned = state.view()
+    adopted = state.view()
     apply(state, command)
     effect(state, changed(2, status=WorkerStatus.DRAINING))
-    update = state.update_since(cordoned.revision)
+    update = state.update_since(adopted.revision)
     assert update.view is None
     assert (update.configuration is not None) == isinstance(command, SubmitConfiguration)
     assert (update.witnesses is not None) == (not isinstance(command, SubmitConfiguration))
-    assert apply_delta(cordoned, update) == state.view()
+    assert apply_delta(adopted, update) == state.view()
 
 
 def test_a_router_that_has_adopted_nothing_gets_the_whole_view() -> None:
--- a/tests/state/test_fleet_state_properties.py
+++ b/tests/state/test_fleet_state_properties.py
@@ -125,27 +125,27 @@
     assert original.witness_sets_since(since) == replica.witness_sets_since(since)
 
 
-def adopt(cordoned: FleetView, state: FleetState) -> FleetView:
+def adopt(adopted: FleetView, state: FleetState) -> FleetView:
     """Adopt an update as a router does."""
-    update = state.update_since(cordoned.revision)
+    update = state.update_since(adopted.revision)
     if update.view is not None:
         return update.view
-    assert update.base_revision == cordoned.revision
-    return apply_delta(cordoned, update)
+    assert update.base_revision == adopted.revision
+    return apply_delta(adopted, update)
 
 
 @steady
 @given(logs, st.integers(1, 9))
 def test_updates_adopted_at_any_pace_lead_to_the_whole_view(log: list[Command], pace: int) -> None:
     state = FleetState()
-    cordoned = state.view()
+    adopted = state.view()
     for index, command in enumerate(log, start=1):
         revision = state.revision
         state.apply(index, encode_command(command))
         assert state.revision - revision in {0, 1}
         if index % pace == 0:
-            cordoned = adopt(cordoned, state)
-            assert cordoned == state.view()
+            adopted = adopt(adopted, state)
+            assert adopted == state.view()
 
 
 @steady
