--- a/src/orchidpath/state/fleet_state_reader.py
+++ b/src/orchidpath/state/fleet_state_reader.py
@@ -15,7 +15,7 @@
 from orchidpath.state.snapshot import ConfigurationEntry, SnapshotBody, encode_snapshot
 from orchidpath.state.workers import WorkerEntry, WorkerTable
 from orchidpath.wire.configuration import Configuration
-from orchidpath.wire.messages import FleetUpdate
+from orchidpath.wire.fleet_update_messages import FleetUpdate
 from orchidpath.wire.records import (
     CapacityRecord,
     CircuitRecord,
