--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -42,8 +42,9 @@
 from orchidpath.control.replica.replica_loop import CoreRunner
 from orchidpath.control.worker_commands import WorkerCommandFormat, WorkerCommandSender
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
-from orchidpath.wire.connection import Connection, Listener
+from orchidpath.wire.connection import Connection
 from orchidpath.wire.link_faults import LinkFaults, watch_fault_file
+from orchidpath.wire.listener import Listener
 from orchidpath.wire.messages import (
     ControlMembers,
     Hello,
--- a/src/orchidpath/control/replica/formation.py
+++ b/src/orchidpath/control/replica/formation.py
@@ -12,7 +12,8 @@
 import msgspec
 
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.wire.connection import Connection, connect
+from orchidpath.wire.connection import Connection
+from orchidpath.wire.connector import connect
 from orchidpath.wire.link_faults import LinkFaults
 from orchidpath.wire.messages import ControlMembers, Hello, Message, ProcessRole, WhoIsControl
 
--- a/src/orchidpath/fleet/fault_timeline.py
+++ b/src/orchidpath/fleet/fault_timeline.py
@@ -66,7 +66,9 @@
             Whether messages in the other direction still pass.
         """
         self._cuts[number] = [
-            LinkFault(source=source, destination=destination, both_ways=not one_way, cut=True)
+            LinkFault(
+                source=source, destination=destination, both_ways=not one_way, partitioned=True
+            )
             for source in sources
             for destination in (destinations or (ANY_NODE,))
         ]
--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -27,8 +27,9 @@
     ViewAdopted,
 )
 from orchidpath.wire.backend import Announcement, AnnouncementReply
-from orchidpath.wire.connection import Connection, Listener
+from orchidpath.wire.connection import Connection
 from orchidpath.wire.link_faults import LinkFaults
+from orchidpath.wire.listener import Listener
 from orchidpath.wire.messages import (
     AttemptReport,
     AttemptReportsReply,
--- a/src/orchidpath/tools/traffic_count.py
+++ b/src/orchidpath/tools/traffic_count.py
@@ -40,7 +40,7 @@
     count = TrafficCount()
     enqueue = Connection._enqueue
     data_received = Connection.data_received
-    take = Connection._take
+    receive = Connection._receive
 
     def counted_enqueue(self: Connection, frame: bytes) -> bool:
         count.bytes_sent += len(frame)
@@ -51,17 +51,17 @@
         count.bytes_received += len(data)
         data_received(self, data)
 
-    def counted_take(self: Connection, message: Message) -> None:
+    def counted_receive(self: Connection, message: Message) -> None:
         count.messages_received += 1
         count.received_by_kind[type(message).__name__] += 1
-        take(self, message)
+        receive(self, message)
 
     Connection._enqueue = counted_enqueue  # type: ignore[method-assign]
     Connection.data_received = counted_data_received  # type: ignore[method-assign]
-    Connection._take = counted_take  # type: ignore[method-assign]
+    Connection._receive = counted_receive  # type: ignore[method-assign]
     try:
         yield count
     finally:
         Connection._enqueue = enqueue  # type: ignore[method-assign]
         Connection.data_received = data_received  # type: ignore[method-assign]
-        Connection._take = take  # type: ignore[method-assign]
+        Connection._receive = receive  # type: ignore[method-assign]
--- a/src/orchidpath/wire/link_faults.py
+++ b/src/orchidpath/wire/link_faults.py
@@ -1,8 +1,8 @@
 """Injected faults on the links between processes, for tests and the local fleet only.
 
-A fault file (JSON, :class:`LinkFaultFile`) names links by the node names of both ends. Cuts apply
-to messages on their way out and on their way in; delay and loss apply on the way out only, so that
-they count once when both ends read the same file. No connection is made over a link that is cut in
+A fault file (JSON, :class:`LinkFaultFile`) names links by the node names of both ends. A partition
+applies to sent and to received messages; delay and loss apply to sent ones only, so that they count
+once when both ends read the same file. No connection is made over a link that is partitioned in
 either direction.
 """
 
@@ -22,25 +22,29 @@
 """Stands for every node at one end of a link."""
 
 RELOAD_PERIOD_SECONDS = 0.1
-"""Time between two looks at the fault file."""
+"""Time between two reads of the fault file."""
 
 
 class LinkFaultFileError(OrchidpathError):
-    """The fault file is not valid; the faults in force stay."""
+    """The fault file is not valid; the active faults stay."""
 
 
 class LinkFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A fault of the link from ``source`` to ``destination`` (node names or ``*``)."""
+    """A fault of the link from ``source`` to ``destination`` (node names or ``*``).
+
+    ``partitioned`` drops every message, ``loss`` is the probability that one is dropped, and
+    ``delay_seconds`` is added to the delivery of one.
+    """
 
     source: str
     destination: str
     both_ways: bool = False
-    cut: bool = False
+    partitioned: bool = msgspec.field(default=False, name="cut")
     delay_seconds: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0
     loss: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 0.0
 
     def applies(self, source: str, destination: str) -> bool:
-        """Tell whether a message from ``source`` to ``destination`` meets this fault."""
+        """Return whether this fault applies to a message from ``source`` to ``destination``."""
         if _ends_match(self, source, destination):
             return True
         return self.both_ways and _ends_match(self, destination, source)
@@ -56,7 +60,7 @@
 
 
 class LinkFaultFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """All faults in force; an empty list heals every link."""
+    """All active faults; an empty list heals every link. ``seed`` is that of the losses."""
 
     seed: int = 0
     links: list[LinkFault] = []
@@ -82,33 +86,39 @@
 
 
 class LinkFaults:
-    """The faults in force, asked once for each message; it does no input or output itself."""
+    """The active faults, queried once for each message; it does no input or output itself."""
 
     def __init__(self) -> None:
         self._faults: tuple[LinkFault, ...] = ()
         self._random = Random(0)
 
     def set_faults(self, faults: LinkFaultFile) -> None:
-        """Replace every fault in force."""
+        """Replace every active fault."""
         self._faults = tuple(faults.links)
         self._random = Random(faults.seed)
 
     def on_send(self, source: str, destination: str) -> Verdict:
-        """Decide the fate of a message that is about to leave ``source``."""
+        """Decide the fate of a message that ``source`` is about to send."""
         if not self._faults:
             return _DELIVERED
         delay_seconds = 0.0
         for fault in self._faults:
             if not fault.applies(source, destination):
                 continue
-            if fault.cut or self._random.random() < fault.loss:
+            if fault.partitioned or self._random.random() < fault.loss:
                 return _LOST
             delay_seconds += fault.delay_seconds
         return Verdict(Fate.DELAYED, delay_seconds) if delay_seconds else _DELIVERED
 
-    def is_cut(self, source: str, destination: str) -> bool:
-        """Tell whether a message that arrived at ``destination`` must be dropped."""
-        return any(fault.cut and fault.applies(source, destination) for fault in self._faults)
+    def is_partitioned(self, source: str, destination: str) -> bool:
+        """Return whether a message that ``destination`` has received must be dropped."""
+        return any(
+            fault.partitioned and fault.applies(source, destination) for fault in self._faults
+        )
+
+    def blocks_connection(self, local: str, remote: str) -> bool:
+        """Return whether no connection can be made, since either direction is partitioned."""
+        return self.is_partitioned(local, remote) or self.is_partitioned(remote, local)
 
 
 class LinkFaultFileReader:
@@ -120,7 +130,7 @@
         self._last_text: bytes | None = None
 
     def refresh(self) -> bool:
-        """Read the file and put its faults in force; a missing file heals every link.
+        """Read the file and activate its faults; a missing file heals every link.
 
         Returns
         -------
@@ -130,7 +140,7 @@
         Raises
         ------
         LinkFaultFileError
-            The file is not valid; the faults in force stay.
+            The file is not valid; the active faults stay.
         """
         text = self._read()
         if text == self._last_text:
@@ -162,7 +172,7 @@
     reader
         Reader of the file that a process's ``fault_file`` setting names.
     on_error
-        Called with each refusal of a file that is not valid.
+        Called for each file that is not valid.
     """
     while True:
         try:
--- a/src/orchidpath/wire/peer_links.py
+++ b/src/orchidpath/wire/peer_links.py
@@ -1,4 +1,4 @@
-"""Outgoing connections to a changing set of addresses, kept alive."""
+"""Outgoing connections to a changing set of addresses, reconnected when they close."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -7,32 +7,29 @@
 
 from orchidpath.common.backoff import Backoff
 from orchidpath.common.errors import OrchidpathError
-from orchidpath.wire.connection import (
-    Connection,
+from orchidpath.wire.connection import Connection
+from orchidpath.wire.connection_callbacks import (
     ConnectionHandler,
     MessageHandler,
-    connect,
+    ignore_connection,
 )
+from orchidpath.wire.connector import connect
 from orchidpath.wire.errors import ConnectionClosedError
 from orchidpath.wire.link_faults import LinkFaults
-from orchidpath.wire.messages import Hello, Message
+from orchidpath.wire.membership_messages import Hello
+from orchidpath.wire.messages import Message
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""Bound on one try to connect to a peer."""
+"""Timeout of one attempt to connect to a peer."""
 
 RECONNECT_BASE_SECONDS = 0.05
 """Upper bound of the first delay before a reconnect."""
 
 RECONNECT_CAP_SECONDS = 0.4
-"""Upper bound of every delay before a reconnect: when a whole fleet starts again, its routers wait
-for this and for little else."""
+"""Upper bound of every delay before a reconnect; it dominates the restart time of a whole fleet."""
 
 FailureHandler = Callable[[str, OrchidpathError], None]
-"""Called with the address and the error when a try to connect failed."""
-
-
-def _ignore(_connection: Connection) -> None:
-    """Do nothing."""
+"""Called with the address and the error when an attempt to connect failed."""
 
 
 def _ignore_failure(_address: str, _error: OrchidpathError) -> None:
@@ -40,14 +37,14 @@
 
 
 class PeerLinks:
-    """Keeps one outgoing connection to each of a changing set of addresses.
+    """Maintains one outgoing connection to each of a changing set of addresses.
 
     Must be used inside a running event loop.
 
     Parameters
     ----------
     hello
-        What this end says of itself.
+        Hello of this end.
     on_message
         Called for each message of any link, synchronously and in order for each link.
     random
@@ -55,7 +52,7 @@
     on_connect, on_close
         Called when a link is up or down; ``connection.dialled_address`` names it.
     on_failure
-        Called for each failed try to connect.
+        Called for each failed attempt to connect.
     faults
         Injected faults, for tests.
     """
@@ -66,8 +63,8 @@
         on_message: MessageHandler,
         random: Random,
         *,
-        on_connect: ConnectionHandler = _ignore,
-        on_close: ConnectionHandler = _ignore,
+        on_connect: ConnectionHandler = ignore_connection,
+        on_close: ConnectionHandler = ignore_connection,
         on_failure: FailureHandler = _ignore_failure,
         faults: LinkFaults | None = None,
     ) -> None:
@@ -83,7 +80,7 @@
 
     @property
     def addresses(self) -> frozenset[str]:
-        """The addresses to which links are kept."""
+        """The addresses to which links are maintained."""
         return frozenset(self._tasks)
 
     def set_addresses(self, addresses: Collection[str]) -> None:
@@ -92,7 +89,7 @@
             self._tasks.pop(address).cancel()
         for address in addresses:
             if address not in self._tasks:
-                self._tasks[address] = asyncio.create_task(self._keep(address))
+                self._tasks[address] = asyncio.create_task(self._maintain(address))
 
     def send(self, address: str, message: Message) -> bool:
         """Send to one address; the message is dropped when its link is not up.
@@ -119,7 +116,7 @@
         self.set_addresses(())
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _keep(self, address: str) -> None:
+    async def _maintain(self, address: str) -> None:
         backoff = Backoff(RECONNECT_BASE_SECONDS, RECONNECT_CAP_SECONDS, self._random)
         while True:
             with suppress(OrchidpathError):
@@ -144,7 +141,7 @@
         try:
             await connection.closed.wait()
         finally:
-            connection.close(ConnectionClosedError("the link is no longer kept"))
+            connection.close(ConnectionClosedError("the link is no longer maintained"))
 
     def _link_up(self, connection: Connection) -> None:
         self._connections[connection.dialled_address] = connection
--- a/tests/router/test_control_link.py
+++ b/tests/router/test_control_link.py
@@ -4,7 +4,8 @@
 import random
 
 from orchidpath.router.fleet_link.control_link import ControlLink
-from orchidpath.wire.connection import Connection, Listener
+from orchidpath.wire.connection import Connection
+from orchidpath.wire.listener import Listener
 from orchidpath.wire.messages import (
     ControlMembers,
     Hello,
--- a/tests/tools/test_hollow.py
+++ b/tests/tools/test_hollow.py
@@ -5,7 +5,8 @@
 from orchidpath.tools.hollow import HollowFleet, HollowListener, HollowSize, worker_record
 from orchidpath.tools.traffic_count import count_traffic
 from orchidpath.wire.configuration import Configuration
-from orchidpath.wire.connection import Connection, Listener
+from orchidpath.wire.connection import Connection
+from orchidpath.wire.listener import Listener
 from orchidpath.wire.messages import (
     ControlMembers,
     FleetUpdate,
--- a/tests/wire/test_wire_connection.py
+++ b/tests/wire/test_wire_connection.py
@@ -3,10 +3,12 @@
 
 import pytest
 
-from orchidpath.wire.connection import Connection, Listener, connect
+from orchidpath.wire.connection import Connection
+from orchidpath.wire.connector import connect
 from orchidpath.wire.errors import ConnectError, FleetMismatchError, HelloError, SlowPeerError
 from orchidpath.wire.framing import encode_frame
 from orchidpath.wire.link_faults import LinkFault, LinkFaultFile, LinkFaults
+from orchidpath.wire.listener import Listener
 from orchidpath.wire.messages import (
     ConsensusMessage,
     FleetUpdateRequest,
@@ -186,16 +188,16 @@
     await again.close()
 
 
-CUT = LinkFault(source="b", destination="a", cut=True)
+PARTITION = LinkFault(source="b", destination="a", partitioned=True)
 
 
-async def test_cut_drops_sent_messages_and_heals_at_runtime() -> None:
+async def test_a_partition_drops_sent_messages_and_heals_at_runtime() -> None:
     faults = LinkFaults()
     inbox = Inbox()
     listener = Listener(LOOPBACK, hello("a"), on_message=inbox)
     await listener.start()
     connection = await connect(listener.address, hello("b"), Inbox(), BOUND_SECONDS, faults=faults)
-    faults.set_faults(LinkFaultFile(links=[CUT]))
+    faults.set_faults(LinkFaultFile(links=[PARTITION]))
     assert connection.send(FleetUpdateRequest(adopted_revision=2))
     with pytest.raises(ConnectError):
         await connect(listener.address, hello("b"), Inbox(), 0.1, faults=faults)
@@ -227,7 +229,7 @@
         self.closing = True
 
 
-async def test_cut_drops_received_messages() -> None:
+async def test_a_partition_drops_received_messages() -> None:
     faults = LinkFaults()
     received: list[Message] = []
     connection = Connection(
@@ -240,7 +242,7 @@
     connection.connection_made(MemoryTransport())
     connection.data_received(encode_frame(hello("b")))
     connection.data_received(encode_frame(FleetUpdateRequest(adopted_revision=1)))
-    faults.set_faults(LinkFaultFile(links=[CUT]))
+    faults.set_faults(LinkFaultFile(links=[PARTITION]))
     connection.data_received(encode_frame(FleetUpdateRequest(adopted_revision=2)))
     faults.set_faults(LinkFaultFile())
     connection.data_received(encode_frame(FleetUpdateRequest(adopted_revision=3)))
--- a/tests/wire/test_wire_fault_file_fuzz.py
+++ b/tests/wire/test_wire_fault_file_fuzz.py
@@ -16,7 +16,7 @@
     LinkFaults,
 )
 
-CUT = LinkFaultFile(links=[LinkFault(source="a", destination="b", cut=True)])
+PARTITION = LinkFaultFile(links=[LinkFault(source="a", destination="b", partitioned=True)])
 FUZZ = settings(
     deadline=None,
     derandomize=True,
@@ -46,11 +46,11 @@
     path = tmp_path / "faults.json"
     path.write_bytes(content)
     faults = LinkFaults()
-    faults.set_faults(CUT)
+    faults.set_faults(PARTITION)
     try:
         LinkFaultFileReader(path, faults).refresh()
     except LinkFaultFileError:
-        assert faults.is_cut("a", "b")
+        assert faults.is_partitioned("a", "b")
         return False, faults
     return True, faults
 
@@ -92,10 +92,10 @@
 
 def test_a_folder_in_its_place_is_refused_and_a_missing_file_heals(tmp_path: Path) -> None:
     faults = LinkFaults()
-    faults.set_faults(CUT)
+    faults.set_faults(PARTITION)
     with pytest.raises(LinkFaultFileError):
         LinkFaultFileReader(tmp_path, faults).refresh()
-    assert faults.is_cut("a", "b")
+    assert faults.is_partitioned("a", "b")
     reader = LinkFaultFileReader(tmp_path / "missing.json", faults)
     assert reader.refresh()
-    assert not faults.is_cut("a", "b")
+    assert not faults.is_partitioned("a", "b")
--- a/tests/wire/test_wire_faults.py
+++ b/tests/wire/test_wire_faults.py
@@ -19,21 +19,21 @@
 
 
 def test_one_way_and_both_ways() -> None:
-    one_way = with_faults(LinkFault(source="a", destination="b", cut=True))
+    one_way = with_faults(LinkFault(source="a", destination="b", partitioned=True))
     assert one_way.on_send("a", "b").fate is Fate.LOST
-    assert one_way.is_cut("a", "b")
+    assert one_way.is_partitioned("a", "b")
     assert one_way.on_send("b", "a").fate is Fate.DELIVERED
-    assert not one_way.is_cut("b", "a")
-    both = with_faults(LinkFault(source="a", destination="*", both_ways=True, cut=True))
-    assert both.is_cut("a", "c")
-    assert both.is_cut("c", "a")
-    assert not both.is_cut("b", "c")
+    assert not one_way.is_partitioned("b", "a")
+    both = with_faults(LinkFault(source="a", destination="*", both_ways=True, partitioned=True))
+    assert both.is_partitioned("a", "c")
+    assert both.is_partitioned("c", "a")
+    assert not both.is_partitioned("b", "c")
 
 
 def test_a_process_name_also_means_its_replica_identity() -> None:
-    faults = with_faults(LinkFault(source="control-1", destination="*", cut=True))
-    assert faults.is_cut("control-1.3f2a", "router-1")
-    assert not faults.is_cut("control-10", "router-1")
+    faults = with_faults(LinkFault(source="control-1", destination="*", partitioned=True))
+    assert faults.is_partitioned("control-1.3f2a", "router-1")
+    assert not faults.is_partitioned("control-10", "router-1")
 
 
 def test_loss_follows_the_seed_and_delays_add() -> None:
@@ -52,15 +52,15 @@
     path = tmp_path / "faults.json"
     faults = LinkFaults()
     reader = LinkFaultFileReader(path, faults)
-    assert not reader.refresh() or not faults.is_cut("a", "b")
+    assert not reader.refresh() or not faults.is_partitioned("a", "b")
     path.write_text('{"links": [{"source": "a", "destination": "b", "cut": true}]}')
     assert reader.refresh()
-    assert faults.is_cut("a", "b")
+    assert faults.is_partitioned("a", "b")
     assert not reader.refresh()
     path.write_text('{"links": [{"source": "a", "destinatoin": "b"}]}')
     with pytest.raises(LinkFaultFileError):
         reader.refresh()
-    assert faults.is_cut("a", "b")
+    assert faults.is_partitioned("a", "b")
     path.unlink()
     assert reader.refresh()
-    assert not faults.is_cut("a", "b")
+    assert not faults.is_partitioned("a", "b")
