--- a/src/orchidpath/common/backoff.py
+++ b/src/orchidpath/common/backoff.py
@@ -1,10 +1,10 @@
-"""Jittered exponential backoff; the caller does the waiting."""
+"""Jittered exponential backoff; the caller waits."""
 
 from random import Random
 
 
 class Backoff:
-    """Delays that double from a base up to a cap, each drawn with full jitter.
+    """Delays that double from a base up to a cap, each drawn at random (full jitter).
 
     Full jitter spreads reconnects and retries of many processes that lost the same peer at the
     same moment.
--- a/src/orchidpath/common/clock.py
+++ b/src/orchidpath/common/clock.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 Clock = Callable[[], float]
-"""Returns seconds that only ever grow; their zero point means nothing."""
+"""Returns seconds that never decrease; their zero point has no meaning."""
 
 _BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", None)
 
@@ -12,8 +12,8 @@
 def monotonic_seconds() -> float:
     """Return the seconds of a monotonic clock that runs on while the machine is suspended.
 
-    A lease that ran out while a machine slept must be seen to have run out; the plain monotonic
-    clock of Linux stands still during that time.
+    A lease that expired while a machine was suspended must count as expired; the plain monotonic
+    clock of Linux stops during that time.
     """
     if _BOOT_CLOCK is None:
         return time.monotonic()
--- a/src/orchidpath/common/daemon.py
+++ b/src/orchidpath/common/daemon.py
@@ -1,4 +1,4 @@
-"""The thin shell around every deployed process: signals, graceful stop, reload, exit code."""
+"""The shell of every deployed process: signals, graceful shutdown, reload, exit code."""
 
 import asyncio
 import contextlib
@@ -13,10 +13,10 @@
 from orchidpath.common.logs import Logger, get_logger
 
 STOP_GRACE_SECONDS = 2.0
-"""Added to the drain time before a stop that does not end is given up."""
+"""Added to the drain time before a shutdown that does not end is cancelled."""
 
 CANCEL_GRACE_SECONDS = 0.2
-"""Time for a given-up stop to notice that it was cancelled."""
+"""Time for a cancelled shutdown to end."""
 
 
 class ExitCode(IntEnum):
@@ -41,7 +41,7 @@
     @property
     @abstractmethod
     def drain_seconds(self) -> float:
-        """How long a graceful stop may take."""
+        """How long a graceful shutdown may take, in seconds."""
 
     @abstractmethod
     async def start(self) -> None:
@@ -49,14 +49,14 @@
 
     @abstractmethod
     async def stop(self, drain_seconds: float) -> None:
-        """Refuse new work, finish what is running within ``drain_seconds``, and close."""
+        """Reject new requests, complete those in flight within ``drain_seconds``, and close."""
 
     @abstractmethod
     async def reload(self, settings: SettingsT) -> None:
-        """Take over new, valid settings as far as they can change in a running process."""
+        """Apply new, valid settings as far as they can change in a running process."""
 
     def fail(self, error: OrchidpathError) -> None:
-        """End the process with :attr:`ExitCode.FAILED`; for faults that it can't serve with."""
+        """End the process with :attr:`ExitCode.FAILED`, for a fault that it can't serve with."""
         self._early_failure = self._early_failure or error
         if self._failed is not None and not self._failed.done():
             self._failed.set_result(error)
@@ -71,7 +71,7 @@
 
 
 SETTINGS_POLL_SECONDS = 1.0
-"""Time between two looks whether the settings have changed without a signal."""
+"""Time between two checks whether the settings have changed without a signal."""
 
 
 def run_daemon(
@@ -79,7 +79,7 @@
     load_settings: Callable[[], SettingsT],
     settings_stamp: Callable[[], object] | None = None,
 ) -> int:
-    """Run a daemon until it is told to stop.
+    """Run a daemon until a signal stops it or it fails.
 
     Parameters
     ----------
@@ -107,8 +107,8 @@
 ) -> int:
     exit_code = await serve(daemon, load_settings, settings_stamp)
     if exit_code == ExitCode.STOPPED_HARD:
-        # The end of asyncio.run would wait for tasks that did not end in time. Nothing is lost:
-        # whatever was acknowledged has been synced before.
+        # asyncio.run would wait for tasks that did not end in time. Nothing is lost: whatever was
+        # acknowledged was synced before.
         os._exit(exit_code)
     return exit_code
 
@@ -128,7 +128,7 @@
 
 
 class _Shell(Generic[SettingsT]):
-    """State of one run: which signals have come."""
+    """State of one run: which signals were received."""
 
     def __init__(
         self,
@@ -219,15 +219,15 @@
         return False
 
     async def _watch_settings(self) -> None:
-        """Ask for a reload whenever the settings have changed without a signal."""
+        """Request a reload whenever the settings have changed without a signal."""
         if self._settings_stamp is None:
             return
-        known = self._settings_stamp()
+        last_stamp = self._settings_stamp()
         while True:
             await asyncio.sleep(SETTINGS_POLL_SECONDS)
             stamp = self._settings_stamp()
-            if stamp != known:
-                known = stamp
+            if stamp != last_stamp:
+                last_stamp = stamp
                 self._reload_requested.set()
 
     async def _reload_forever(self) -> None:
--- a/src/orchidpath/common/errors.py
+++ b/src/orchidpath/common/errors.py
@@ -1,4 +1,4 @@
-"""Base class of the project's own errors; each error has its own class."""
+"""Base class of the project's own errors; each cause has a class of its own."""
 
 
 class OrchidpathError(Exception):
--- a/src/orchidpath/common/settings.py
+++ b/src/orchidpath/common/settings.py
@@ -1,16 +1,16 @@
 """Typed settings of the deployed processes, read from a TOML or JSON file.
 
-Every setting is documented here; the settings reference is made from these structs. Files are
+Every setting is documented here; the settings reference is generated from these structs. Files are
 read and checked by :mod:`orchidpath.common.settings_file`.
 """
 
 import msgspec
 
 DEFAULT_HOST = "127.0.0.1"
-"""Loopback: a process is only reachable from elsewhere when its settings say so."""
+"""Loopback: a process is only reachable from elsewhere if its settings say so."""
 
 SEED_COUNT = 3
-"""How many seed addresses a settings file names; they may be swapped and may include its own."""
+"""Number of seed addresses in a settings file, in any order; its own may be one of them."""
 
 
 class RouterSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -21,7 +21,7 @@
     node_id
         Name of this process, unique in the fleet.
     fleet
-        Name of the fleet; processes of another fleet are refused.
+        Name of the fleet; processes of another fleet are rejected.
     zone
         Zone of this machine; workers of the same zone are preferred for decode.
     wire_address
@@ -33,18 +33,18 @@
     log_level
         ``debug``, ``info``, ``warning`` or ``error``.
     drain_seconds
-        How long a graceful stop waits for running requests.
+        How long a graceful shutdown waits for requests in flight.
     forward_address
-        ``IP:port`` at which callers of forward routes reach this one, and then nobody is served
-        at ``http_address`` but health and metrics; empty for the fleet's own interface.
+        ``IP:port`` at which callers of forward routes reach this one; ``http_address`` then serves
+        health and metrics only. Empty for the fleet's own interface.
     decision_timeout_seconds
-        How long a decision waits for the shared state before the last known state is used.
+        Timeout of a decision of the leader, after which the last known state is used.
     decision_log
         File to which every decision and its outcome is appended as a JSON line, for
         ``orchidpath replay``; empty for none, since a router needs no disk. Its folder must exist.
-        At 64 MiB it becomes ``FILE.1``; four such older files are kept. While the disk is slow or
-        full, lines are dropped and the log says how many; no request waits for it. Accepted at
-        start.
+        At 64 MiB it is renamed to ``FILE.1``; four such older files are retained. While the disk
+        is slow or full, lines are dropped and counted in the log; no request waits for it. Read
+        at start only.
     fault_file
         For tests only: JSON file of injected link faults (:mod:`orchidpath.wire.link_faults`),
         read again each 100 ms; empty for none.
@@ -72,7 +72,7 @@
     node_id
         Name of this process, unique in the fleet.
     fleet
-        Name of the fleet; processes of another fleet are refused.
+        Name of the fleet; processes of another fleet are rejected.
     zone
         Zone of this machine.
     wire_address
@@ -82,24 +82,24 @@
     seeds
         Three wire addresses of any processes of the fleet, routers included.
     data_folder
-        Folder on the disk for everything that this process keeps; made when missing.
+        Folder for everything that this process stores; created if missing.
     formation_members
-        Wire addresses of the control processes of a new fleet. Looked at only while the data
-        folder is empty: the first one listed forms a new fleet if every other one answers that it
-        belongs to none; every other process joins as a learner.
+        Wire addresses of the control processes of a new fleet. Read only while the data folder is
+        empty: the first one listed forms a new fleet if every other one answers that it belongs
+        to none; every other process joins as a learner.
     target_voters
-        How many voters the leader keeps up out of all control processes.
+        Number of voters that the leader maintains among all control processes.
     replace_voter_after_seconds
-        A voter not heard for this long is replaced by a standby that is caught up.
+        A voter without a heartbeat for this long is replaced by a learner that is caught up.
     may_vote
-        Whether this process keeps its data on a disk, and may become a voter; without one it
+        Whether this process stores its data on a disk, and may become a voter; otherwise it
         follows the log and serves operators and workers all the same.
     worker_lease_seconds
-        A worker that nobody has heard for this long is gone.
+        A worker without an announcement for this long is removed.
     log_level
         ``debug``, ``info``, ``warning`` or ``error``.
     drain_seconds
-        Kept for files that name it; a control process has nothing to drain and stops at once.
+        Accepted for compatibility; a control process has nothing to drain and stops at once.
     sync_delay_warning_seconds
         A disk sync slower than this is logged.
     fault_file
--- a/src/orchidpath/common/settings_checks.py
+++ b/src/orchidpath/common/settings_checks.py
@@ -12,10 +12,10 @@
 from orchidpath.common.settings import SEED_COUNT, ControlSettings, RouterSettings
 
 MAX_TARGET_VOTERS = 7
-"""More voters make every commit slower and protect no better."""
+"""Largest number of voters: more make every commit slower and add little protection."""
 
 MAX_SECONDS = 86_400.0
-"""No setting of this project is a time longer than a day."""
+"""Longest time that a setting may give: a day."""
 
 _NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 _UNSPECIFIED_HOSTS = ("0.0.0.0", "::")
--- a/src/orchidpath/common/settings_errors.py
+++ b/src/orchidpath/common/settings_errors.py
@@ -1,4 +1,4 @@
-"""Problems found in files that people write, reported all at once."""
+"""Problems found in settings files, reported all at once."""
 
 from collections.abc import Sequence
 
@@ -8,7 +8,7 @@
 
 
 class SettingProblem(msgspec.Struct, frozen=True, kw_only=True):
-    """One problem: in which file, at which path inside it, and what is expected there."""
+    """One problem: the file, the path inside it, and what is expected there."""
 
     file: str
     path: str
--- a/src/orchidpath/common/settings_file.py
+++ b/src/orchidpath/common/settings_file.py
@@ -14,7 +14,7 @@
 from orchidpath.common.typed_walk import find_mismatches
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
-"""A larger file is refused unread."""
+"""A larger file is rejected without being read."""
 
 StructT = TypeVar("StructT", bound=msgspec.Struct)
 
@@ -29,7 +29,7 @@
     Parameters
     ----------
     path
-        File to read; its suffix, ``.toml`` or ``.json``, says in which form.
+        File to read; its suffix, ``.toml`` or ``.json``, decides the format.
     expected
         Struct to load into.
     check
@@ -72,34 +72,34 @@
     try:
         table = _parse(path, content.decode())
     except UnicodeDecodeError as error:
-        _refuse(path, f"not UTF-8 text: {error}")
+        _reject(path, f"not UTF-8 text: {error}")
     except (tomllib.TOMLDecodeError, json.JSONDecodeError) as error:
-        _refuse(path, f"not valid {_form_of(path)}: {error}")
+        _reject(path, f"not valid {_form_of(path)}: {error}")
     except (ValueError, RecursionError) as error:
-        _refuse(path, f"can't be decoded: {error}")
+        _reject(path, f"can't be decoded: {error}")
     if not isinstance(table, dict):
-        _refuse(path, "expected a table at the top level")
+        _reject(path, "expected a table at the top level")
     return table
 
 
 def _read_bytes(path: Path) -> bytes:
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
-            _refuse(path, f"larger than {MAX_FILE_BYTES} bytes")
+            _reject(path, f"larger than {MAX_FILE_BYTES} bytes")
         return path.read_bytes()
     except (OSError, ValueError) as error:
-        _refuse(path, f"can't be read: {error}")
+        _reject(path, f"can't be read: {error}")
 
 
 def _parse(path: Path, text: str) -> object:
     if path.suffix == ".toml":
         return tomllib.loads(text)
     if path.suffix == ".json":
-        return json.loads(text, parse_constant=_refuse_constant)
-    return _refuse(path, "expected a name that ends in .toml or .json")
+        return json.loads(text, parse_constant=_reject_constant)
+    return _reject(path, "expected a name that ends in .toml or .json")
 
 
-def _refuse_constant(constant: str) -> NoReturn:
+def _reject_constant(constant: str) -> NoReturn:
     raise ValueError(f"{constant} is no JSON value")
 
 
@@ -107,7 +107,7 @@
     return path.suffix.removeprefix(".").upper()
 
 
-def _refuse(path: Path, message: str) -> NoReturn:
+def _reject(path: Path, message: str) -> NoReturn:
     raise SettingsError([SettingProblem(file=str(path), path="", message=message)])
 
 
--- a/src/orchidpath/wire/announcements.py
+++ b/src/orchidpath/wire/announcements.py
@@ -1,4 +1,4 @@
-"""Reads workers' announcements, the same on every process that takes them."""
+"""Decodes and checks workers' announcements, alike on every process that receives them."""
 
 import msgspec
 
@@ -7,10 +7,10 @@
 from orchidpath.wire.records import WorkerStatus
 
 MAX_ID_CHARACTERS = 200
-"""Length of an order's, worker's or incarnation's identifier."""
+"""Longest identifier of an update, a worker or an incarnation, in characters."""
 
 MAX_SEQUENCE = 2**53
-"""Versions and sequences stay where every JSON reader keeps them exact."""
+"""Largest version or sequence: beyond it, JSON readers that use doubles are inexact."""
 
 _decoder = msgspec.json.Decoder(Announcement)
 
@@ -25,7 +25,7 @@
     Raises
     ------
     InvalidAnnouncementError
-        The body has not the documented form.
+        The body does not have the documented form.
     """
     try:
         announcement = _decoder.decode(raw)
@@ -45,9 +45,9 @@
 
 
 IDENTIFIER_FORM = f"1 to {MAX_ID_CHARACTERS} printable characters"
-"""How an identifier is described where one is refused."""
+"""Description of an identifier, for messages that reject one."""
 
 
 def is_identifier(value: str) -> bool:
-    """Whether a text may be an identifier."""
+    """Return whether a text may be an identifier."""
     return 0 < len(value) <= MAX_ID_CHARACTERS and value.isprintable()
--- a/src/orchidpath/wire/backend.py
+++ b/src/orchidpath/wire/backend.py
@@ -5,8 +5,8 @@
 ``GET /v1/kv/{handle_id}`` between model workers. A back end announces itself with
 ``POST /v1/workers/announce`` to any router or control process.
 
-A back end that answers with an :class:`ErrorBody` whose ``ran`` is ``no`` promises that the
-attempt did not run and never will: it refuses that attempt id from then on.
+A back end that answers with an :class:`ErrorBody` whose ``ran`` is ``no`` guarantees that the
+attempt was not executed and never will be: it rejects that attempt id from then on.
 """
 
 from enum import StrEnum
@@ -16,11 +16,11 @@
 from orchidpath.wire.records import Stage, WorkerRecord
 
 ATTEMPT_HEADER = "x-orchidpath-attempt"
-"""Carries the attempt id in both directions; a different echo means a crossed answer."""
+"""Carries the attempt id both ways; a different echo is an answer to another request."""
 
 
 class Ran(StrEnum):
-    """Whether a call has run: the honest answer to a caller that did not get a result."""
+    """Whether a call was executed, as reported to a caller that did not get a result."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -70,7 +70,7 @@
 
 
 class CacheHandle(msgspec.Struct, frozen=True, kw_only=True):
-    """Names the KV cache of one prompt read; bound to request, attempt and worker incarnation."""
+    """Identifies the KV cache of one prefill; bound to request, attempt and worker incarnation."""
 
     handle_id: str
     request_id: str
@@ -83,7 +83,7 @@
 
 
 class PrefillRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Orders the prompt read of one attempt. ``prompt`` is the whole text of the messages."""
+    """Dispatches the prefill of one attempt. ``prompt`` is the full text of the messages."""
 
     request_id: str
     attempt_id: str
@@ -92,7 +92,7 @@
 
 
 class PrefillReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The prompt was read; ``cached_tokens`` of it were found in the worker's prefix cache."""
+    """The prefill is done; ``cached_tokens`` of the prompt hit the worker's prefix cache."""
 
     request_id: str
     attempt_id: str
@@ -101,7 +101,7 @@
 
 
 class DecodeRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Orders the decode of one attempt from a handed-over KV cache."""
+    """Dispatches the decode of one attempt from a transferred KV cache."""
 
     request_id: str
     attempt_id: str
@@ -124,7 +124,7 @@
 class DecodeFrame(msgspec.Struct, frozen=True, kw_only=True):
     """One server-sent event of a decode stream.
 
-    ``sequence`` starts at 0 and grows by one for every frame; ``DONE`` is the explicit terminal.
+    ``sequence`` starts at 0 and increases by one with every frame; ``DONE`` is the last one.
     """
 
     request_id: str
@@ -137,7 +137,7 @@
 
 
 class CallRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Orders one plain call."""
+    """Dispatches one plain call."""
 
     request_id: str
     attempt_id: str
@@ -147,7 +147,7 @@
 
 
 class CallReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer of a plain call."""
+    """The result of a plain call."""
 
     request_id: str
     attempt_id: str
@@ -155,10 +155,10 @@
 
 
 class CancelReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a cancellation; ``ran=no`` is the promise that it did not and never will run.
+    """Reply to a cancellation; ``ran=no`` is the not-executed guarantee for the attempt.
 
-    The promise only counts from the incarnation that got the order: a restarted worker does not
-    know what it ran before.
+    It only counts from the incarnation that received the dispatch: a restarted worker does not
+    know what it executed before.
     """
 
     attempt_id: str
@@ -169,9 +169,9 @@
 class Announcement(msgspec.Struct, frozen=True, kw_only=True):
     """A worker's announcement of itself, sent every ``ANNOUNCE_PERIOD_SECONDS``.
 
-    ``record.status`` is READY or DRAINING as the worker sees itself; ``sequence`` grows by one
+    ``record.status`` is READY or DRAINING as the worker sees itself; ``sequence`` increases by one
     with every announcement of an incarnation, so a late one never overrides a newer one. With
-    ``leaving`` the incarnation says that it ends: it is gone at once and never comes back.
+    ``leaving`` the incarnation shuts down: it is removed at once and never returns.
     """
 
     record: WorkerRecord
@@ -180,21 +180,21 @@
 
 
 ANNOUNCE_PERIOD_SECONDS = 0.5
-"""Time between two announcements of a worker that has nothing new to say."""
+"""Time between two announcements of a worker whose record has not changed."""
 
 WORKER_LEASE_SECONDS = 2.0
-"""A worker that nobody has heard for this long is gone."""
+"""A worker without an announcement for this long is removed."""
 
 
 class AnnouncementReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Accepted for forwarding; ``announce_to`` are HTTP addresses that also take announcements."""
+    """Accepted for forwarding; ``announce_to`` are further HTTP addresses for announcements."""
 
     accepted: bool
     announce_to: tuple[str, ...] = ()
 
 
 class WorkerCommandKind(StrEnum):
-    """What an order asks of a worker."""
+    """Kind of a command from the leader to a worker."""
 
     SET_STAGE = "set_stage"
     DRAIN = "drain"
@@ -202,7 +202,7 @@
 
 
 class WorkerCommand(msgspec.Struct, frozen=True, kw_only=True):
-    """A fenced order: a worker refuses one whose ``(term, sequence)`` isn't above its highest."""
+    """A fenced command: a worker rejects one whose ``(term, sequence)`` isn't above its highest."""
 
     term: int
     sequence: int
@@ -213,7 +213,7 @@
 
 
 class WorkerCommandReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether the order was obeyed, and the highest fence that the worker has seen."""
+    """Whether the command was executed, and the highest fencing token that the worker has seen."""
 
     accepted: bool
     highest_term: int
--- a/src/orchidpath/wire/compression.py
+++ b/src/orchidpath/wire/compression.py
@@ -1,4 +1,4 @@
-"""Compression of large msgpack values, told from plain ones by their first byte.
+"""Compression of large msgpack values, distinguished from plain ones by their first byte.
 
 A value that this project encodes is a map or an array; the first byte of a zlib stream begins
 neither.
@@ -9,7 +9,7 @@
 from orchidpath.common.errors import OrchidpathError
 
 COMPRESSION_THRESHOLD_BYTES = 4096
-"""Smaller values are left as they are: compressing them costs more than it saves."""
+"""Smaller values are not compressed: it would cost more time than it saves."""
 
 _LEVEL = 1
 _ZLIB_FIRST_BYTE = 0x78
@@ -20,7 +20,7 @@
 
 
 def compressed(value: bytes) -> bytes:
-    """Return a value, compressed if it is large."""
+    """Return a value, compressed if it has :data:`COMPRESSION_THRESHOLD_BYTES` or more."""
     if len(value) < COMPRESSION_THRESHOLD_BYTES:
         return value
     return zlib.compress(value, _LEVEL)
@@ -42,5 +42,5 @@
     except zlib.error as error:
         raise CompressionError(str(error)) from error
     if not decompressor.eof or decompressor.unused_data:
-        raise CompressionError("it is cut short, too large, or followed by other bytes")
+        raise CompressionError("it is truncated, too large, or followed by other bytes")
     return plain
--- a/src/orchidpath/wire/configuration.py
+++ b/src/orchidpath/wire/configuration.py
@@ -1,8 +1,8 @@
 """The configuration that operators send: services, routes and policies.
 
-A configuration is always sent whole (brief, "Who calls"). The structs refuse unknown fields so
-that a misspelt setting is an error and not silently ignored. Checks that need more than one field
-live in :mod:`orchidpath.state.validation`.
+A configuration is always sent in full. The structs reject unknown fields, so that a misspelt
+setting is an error and not silently ignored. Checks beyond the types are in
+:mod:`orchidpath.state.validation`.
 """
 
 from enum import StrEnum
@@ -14,26 +14,26 @@
     """How a service answers."""
 
     MODEL = "model"
-    """Prompt read, KV cache hand-over and a streamed decode on two workers."""
+    """Prefill, KV transfer and a streamed decode on two workers."""
     PLAIN = "plain"
     """One JSON call on one worker."""
 
 
 class EngineProfile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What an operator knows of the engine of a model service's workers; 0 means unknown.
+    """Engine of a model service's workers, as far as the operator knows it; 0 means unknown.
 
     Attributes
     ----------
     slots
-        Requests that one worker runs at once.
+        Requests that one worker executes concurrently.
     kv_capacity_tokens
         Tokens that fit into one worker's KV cache.
     kv_token_bytes
         Bytes of KV cache for one token.
     unclaimed_cache_seconds
-        How long a worker keeps the KV cache of a prompt read that nobody has taken up.
+        How long a worker retains the KV cache of a prefill that no decode worker has fetched.
     stage_switch_seconds
-        How long a worker needs to change its part once it is idle.
+        How long a worker needs to switch its stage once it is idle.
     """
 
     slots: int = 0
@@ -51,23 +51,23 @@
     name
         Name, unique among the services; workers announce it.
     kind
-        ``model`` (prompt read and decode on two workers) or ``plain`` (one JSON call).
+        ``model`` (prefill and decode on two workers) or ``plain`` (one JSON call).
     models
         Models that a model service serves.
     prefill_workers
-        Desired workers for prompt reads; acted on through a confirmed plan only.
+        Desired prefill workers; applied through a confirmed plan only.
     decode_workers
-        Desired workers for decodes; acted on through a confirmed plan only.
+        Desired decode workers; applied through a confirmed plan only.
     max_held_workers
-        How many workers a plan holds back at once, at most.
+        Largest number of workers that a plan cordons at once.
     balanced_decode_share
-        Share of the workers that decode, kept by the fleet itself; 0 leaves the split to plans.
+        Share of decode workers that the leader maintains; 0 leaves the allocation to plans.
     least_decode_workers
-        Workers that decode at least, where the fleet keeps the split.
+        Least number of decode workers, where the leader maintains the allocation.
     max_connections
-        Connections that one worker accepts from all routers together; 0 for no known bound.
+        Connections that one worker accepts from all routers together; 0 if the bound is unknown.
     engine
-        What is known of the workers' engine.
+        Engine of the workers.
     """
 
     name: str
@@ -83,18 +83,18 @@
 
 
 class Repetition(StrEnum):
-    """Whether a forwarded request that may have run can be sent again."""
+    """Whether a proxied request that may have been executed can be retried."""
 
     NEVER = "never"
-    """At most one run for each request."""
+    """Each request is executed at most once."""
     WHOLE = "whole"
-    """It may run any number of times."""
+    """The request is idempotent."""
     RESUMED = "resumed"
-    """A stream that another worker can take up after its last event."""
+    """Another worker can resume the stream after its last event."""
 
 
 class WeightedService(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One of the services among which a forward route divides its requests.
+    """One of the services that share the requests of a forward route.
 
     Attributes
     ----------
@@ -109,34 +109,34 @@
 
 
 class ForwardRoute(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Requests that are passed on unread, matched by host and longest path prefix.
+    """Requests that are proxied unchanged, matched by host and longest path prefix.
 
     Attributes
     ----------
     name
-        Name, unique among the forward routes; metrics bear it.
+        Name, unique among the forward routes; a label of metrics.
     host
         Host that it matches, without a port; compared without regard to case.
     path_prefix
-        Beginning of the path that it matches; it begins and ends with a slash.
+        Prefix of the path that it matches; it begins and ends with a slash.
     services
         Services that share its requests.
     streaming
         Whether answers are streams of events.
     repetition
-        Whether a request that may have run can be sent again.
+        Whether a request that may have been executed can be retried.
     max_attempts
-        Workers to which one request may be sent, at most.
+        Largest number of workers to which one request may be sent.
     timeout_seconds
-        Longest time for a whole request; a caller may ask for less.
+        Timeout of a request as a whole; a caller may ask for less.
     target_latency_seconds
-        Time within which an answer, or the first event of a stream, is wanted; 0 for none.
+        Latency target (SLO) for the response, or for the first event of a stream; 0 for none.
     target_gap_seconds
-        Longest pause between two events of a stream that is wanted; 0 for none.
+        Target (SLO) for the longest gap between two events of a stream; 0 for none.
     priority
-        Rank among the requests of a service; 0 goes first.
+        Priority among the requests of a service; 0 is served first.
     prefix_affinity
-        Whether requests that share the beginning of their prompt go to the same worker.
+        Whether requests that share a prefix of their prompt are sent to the same worker.
     """
 
     name: str
@@ -154,18 +154,18 @@
 
 
 class EdgeLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What a caller of forward routes may send, and how long it may take.
+    """Bounds on what a caller of forward routes may send, and on its time.
 
     Attributes
     ----------
     max_header_bytes
-        Bytes of a request's head.
+        Largest head of a request.
     max_body_bytes
-        Bytes of a request's body.
+        Largest body of a request.
     header_timeout_seconds
         Time from the first byte of a head to its last.
     idle_timeout_seconds
-        Time for which a connection may rest between requests, or inside a body.
+        Time for which a connection may be idle between requests, or inside a body.
     """
 
     max_header_bytes: int = 65_536
@@ -180,7 +180,7 @@
     Attributes
     ----------
     name
-        Name, unique among the routes; metrics bear it.
+        Name, unique among the routes; a label of metrics.
     service
         Name of the service that answers.
     model
@@ -190,16 +190,16 @@
     path
         For a plain route: the path that it matches; a segment in braces matches any value.
     repeatable
-        Whether a call that may have run can be sent again.
+        Whether a call that may have been executed can be retried.
     repeat_prompt_read
-        Whether the prompt of a call that may not be repeated can be read again, as long as no
-        decode of it can have run.
+        Whether the prefill of a call that may not be retried can be repeated, as long as no
+        decode of it can have been executed.
     deadline_seconds
-        Longest time for a whole request; a caller may ask for less.
+        Timeout of a request as a whole; a caller may ask for less.
     first_token_timeout_seconds
-        Longest wait for a back end's answer, or for the first content of a stream.
+        Timeout of a back end's response, or of the first content of a stream.
     stall_timeout_seconds
-        Longest wait for the next frame of a stream that has begun.
+        Timeout of the next frame of a stream that has started.
     """
 
     name: str
@@ -215,7 +215,7 @@
 
 
 class CircuitPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Figures of the circuits (paper, "Circuit breakers and bounded retries"; design page).
+    """Parameters of the circuits (paper, "Circuit breakers and bounded retries").
 
     Attributes
     ----------
@@ -230,7 +230,7 @@
     configuration_cooldown_seconds
         How long a worker with a configuration failure is quarantined.
     throttle_cooldown_seconds
-        First time for which a throttled failure domain is left alone.
+        First cooldown of a throttled failure domain.
     health_window_seconds
         Window over which a worker's health is counted.
     in_flight_ttl_seconds
@@ -275,22 +275,22 @@
 
 
 class AdmissionPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Bounds on what one router takes in at once; beyond them it answers at once.
+    """Bounds on what one router admits concurrently; beyond them it rejects requests at once.
 
     Attributes
     ----------
     max_requests_in_flight
-        Requests that one router serves at once.
+        Requests that one router serves concurrently.
     max_cost_tokens_in_flight
-        Their expected tokens together, prompts and answers.
+        Sum of their expected tokens, of prompts and of completions.
     max_tenant_share
-        Share of both bounds that one tenant may take.
+        Share of both bounds that one tenant may use.
     load_bound_factor
-        A worker with more than this many times the average load is passed over.
+        A worker with more than this many times the average load is skipped.
     load_bound_minimum
-        A worker may always hold this many requests more than the average.
+        A worker may always have this many requests in flight more than the average.
     direct_prompt_tokens
-        Prompts of forwarded requests up to this many tokens are read by the decode worker itself.
+        Prompts of proxied requests up to this many tokens are prefilled by the decode worker.
     """
 
     max_requests_in_flight: int = 512
@@ -302,23 +302,23 @@
 
 
 class PlacementPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Mechanisms that place the prompts of forwarded requests.
+    """Mechanisms that place the prompts of proxied requests.
 
-    Each can be switched off, to measure what it is worth.
+    Each can be disabled, to measure its effect.
 
     Attributes
     ----------
     prefix_affinity
-        Prompts go to workers that hold their shared part, or to which the ring gives it.
+        Prompts go to workers that have cached their shared prefix, or to its owner on the ring.
     postponement
-        A request waits while its shared part is being read by another one.
+        A request is postponed while its shared prefix is being prefilled by another one.
     direct_reads
-        A decode worker reads a prompt itself when it would have done so sooner than a pair.
+        A decode worker prefills a prompt itself where it would finish sooner than a pair.
     near_pairs
-        A KV cache is handed over inside a zone where that is not much busier.
+        A KV transfer stays inside a zone unless the zone is much busier.
     near_requests
-        A prompt that a decode worker reads itself goes to one in the router's zone where that is
-        not much busier.
+        A prompt that a decode worker prefills itself goes to one in the router's zone unless it
+        is much busier.
     """
 
     prefix_affinity: bool = True
@@ -329,7 +329,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A whole configuration.
+    """A complete configuration.
 
     Attributes
     ----------
@@ -338,19 +338,19 @@
     routes
         The routes.
     circuit
-        Figures of the circuits.
+        Parameters of the circuits.
     retry
         Bounds on retries.
     admission
-        Bounds on what a router takes in.
+        Bounds on what a router admits.
     placement
         Mechanisms that place prompts.
     forward_routes
-        Routes whose requests are passed on unread.
+        Routes whose requests are proxied unchanged.
     edge_limits
         Bounds on what callers of forward routes send.
     label
-        The operator's own number for this configuration; 0 for none. Where it is used it rises.
+        The operator's own number for this configuration, 0 for none; it increases where it is used.
     """
 
     services: list[Service] = []
--- a/src/orchidpath/wire/configuration_delta.py
+++ b/src/orchidpath/wire/configuration_delta.py
@@ -1,6 +1,6 @@
-"""What one configuration changes of another, so that a small change of a large one stays small.
+"""Differences between configurations, so that a small change of a large one is a small message.
 
-Only forward routes are many; everything else of a configuration travels whole.
+Only forward routes are many; everything else of a configuration is sent in full.
 """
 
 from collections.abc import Iterable
@@ -11,10 +11,10 @@
 
 
 class ConfigurationDelta(msgspec.Struct, frozen=True, kw_only=True):
-    """Changes a configuration into a later one.
+    """Difference between a configuration and a later one.
 
-    ``rest`` is the later configuration without its forward routes; ``routes`` are those of them
-    that are new or changed, and ``removed_routes`` names those that are no longer there.
+    ``rest`` is the later configuration without its forward routes; ``routes`` are the forward
+    routes that are new or changed, and ``removed_routes`` names those that were removed.
     """
 
     rest: Configuration
@@ -23,7 +23,7 @@
 
 
 def configuration_delta(earlier: Configuration, later: Configuration) -> ConfigurationDelta:
-    """Return what makes ``later`` of ``earlier``, but for the order of the forward routes."""
+    """Return the delta from ``earlier`` to ``later``; the order of forward routes is not part."""
     before = {route.name: route for route in earlier.forward_routes}
     after = {route.name: route for route in later.forward_routes}
     changed = tuple(route for name, route in after.items() if before.get(name) != route)
@@ -33,7 +33,7 @@
 
 
 def apply_configuration_delta(earlier: Configuration, delta: ConfigurationDelta) -> Configuration:
-    """Return the configuration that a delta makes of the one it was made for."""
+    """Return the configuration that results from applying a delta to its base."""
     routes = {route.name: route for route in earlier.forward_routes}
     for name in delta.removed_routes:
         routes.pop(name, None)
@@ -42,7 +42,7 @@
 
 
 def merge_configuration_deltas(deltas: Iterable[ConfigurationDelta]) -> ConfigurationDelta | None:
-    """Return the one delta that does what several do in turn; None for none."""
+    """Return one delta with the effect of several in turn; None if there are none."""
     merged: ConfigurationDelta | None = None
     for delta in deltas:
         if merged is None:
@@ -52,8 +52,8 @@
         for name in delta.removed_routes:
             routes.pop(name, None)
         routes.update({route.name: route for route in delta.routes})
-        gone = {*merged.removed_routes, *delta.removed_routes} - routes.keys()
+        removed = {*merged.removed_routes, *delta.removed_routes} - routes.keys()
         merged = ConfigurationDelta(
-            rest=delta.rest, routes=tuple(routes.values()), removed_routes=tuple(sorted(gone))
+            rest=delta.rest, routes=tuple(routes.values()), removed_routes=tuple(sorted(removed))
         )
     return merged
--- a/src/orchidpath/wire/framing.py
+++ b/src/orchidpath/wire/framing.py
@@ -15,10 +15,10 @@
 from orchidpath.wire.messages import Message
 
 MAX_FRAME_BYTES = 32 * 1024 * 1024
-"""Largest payload of one frame; more is refused on both ends."""
+"""Largest payload of one frame; a larger one is rejected on both ends."""
 
 LARGE_FRAME_BYTES = 2048
-"""A frame of this size is kept until the next one, in case the same message is sent again."""
+"""A frame of this size is cached until the next one, in case the same message is sent again."""
 
 _HEADER = struct.Struct(">II")
 _COMPACT_THRESHOLD_BYTES = 64 * 1024
@@ -54,7 +54,7 @@
 
 
 class UnknownMessageError(FrameError):
-    """A frame is whole but holds no message of this version's types."""
+    """A frame is intact but holds no message of this version's types."""
 
 
 def encode_frame(message: Message) -> bytes:
@@ -77,7 +77,7 @@
 
 
 class FrameDecoder:
-    """Cuts a stream of bytes into messages, however the bytes were split on their way."""
+    """Decodes a stream of bytes into messages, however the bytes were split on their way."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -85,7 +85,7 @@
         self._error: FrameError | None = None
 
     def feed(self, received: bytes) -> list[Message]:
-        """Take bytes and return every message they complete, in order.
+        """Consume bytes and return every message that they complete, in order.
 
         Parameters
         ----------
@@ -95,13 +95,13 @@
         Returns
         -------
         list of Message
-            The messages that are now whole.
+            The messages that are now complete.
 
         Raises
         ------
         FrameTooLargeError, FrameDamagedError, UnknownMessageError
             The stream is unusable from here on; every later call raises the same error. Messages
-            completed by the same call are dropped, as loss is allowed and the link gets closed.
+            completed by the same call are dropped: callers tolerate loss, and the link is closed.
         """
         if self._error is not None:
             raise self._error
--- a/src/orchidpath/wire/records.py
+++ b/src/orchidpath/wire/records.py
@@ -1,7 +1,7 @@
-"""Records of the fleet's shared state, as they travel and as they are kept.
+"""Records of the fleet's shared state, as they are sent and stored.
 
-All of them belong to the replicated state machine (:mod:`orchidpath.state`); routers hold copies
-that are as new as the revision they have adopted.
+All of them belong to the replicated state machine (:mod:`orchidpath.state`); routers have copies
+as of the revision that they have adopted.
 """
 
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class Stage(StrEnum):
-    """The part that a worker plays in its service."""
+    """Stage of a request that a worker executes."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -20,7 +20,7 @@
 
 
 class WorkerStatus(StrEnum):
-    """What the fleet has agreed on about a worker."""
+    """Agreed status of a worker."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -31,8 +31,8 @@
     """One worker as agreed by the control tier.
 
     ``incarnation`` is new for every start of the worker's process. ``url`` is the worker's HTTP
-    base address by IP number. ``cordoned`` is set by the control tier while a plan changes the
-    worker's part; a held worker gets no new request.
+    base address by IP number. ``cordoned`` is set by the control tier while a plan switches the
+    worker's stage; a cordoned worker gets no new request.
     """
 
     worker_id: str
@@ -94,10 +94,10 @@
 
 
 class FleetView(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything a router must know, at one revision of the replicated state.
+    """Everything that a router must apply, at one revision of the replicated state.
 
-    ``revision`` grows with every change; ``configuration_version`` grows with every configuration
-    taken. Neither ever goes back.
+    ``revision`` increases with every change, ``configuration_version`` with every accepted
+    configuration. Neither ever decreases.
     """
 
     revision: int
@@ -112,8 +112,8 @@
     """One control replica; ``address`` is its wire address, ``http_address`` the operators' one.
 
     ``node_id`` is the replica's identity: the process's name and a random part that lives in its
-    data folder, so a process whose folder vanished comes back as another replica. One that has no
-    disk follows the log to serve operators and workers, and never votes: ``may_vote`` is false.
+    data folder, so a process whose folder was lost returns as another replica. One without a disk
+    follows the log to serve operators and workers, and never votes: ``may_vote`` is false.
     """
 
     node_id: str
--- a/tests/tools/test_settings_reference.py
+++ b/tests/tools/test_settings_reference.py
@@ -43,7 +43,7 @@
 def test_a_meaning_may_take_several_lines() -> None:
     meaning = documented_meanings(RouterSettings)["decision_log"]
     assert meaning.startswith("File to which every decision")
-    assert meaning.endswith("Accepted at start.")
+    assert meaning.endswith("Read at start only.")
 
 
 def test_a_field_without_a_meaning_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
