--- a/tests/state/test_fleet_state_properties.py
+++ b/tests/state/test_fleet_state_properties.py
@@ -2,6 +2,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from state_builders import configuration_update, registered, worker
 
 from orchidpath.circuit.transitions import CapacityTransition, CircuitTransition
 from orchidpath.routing.freshness import apply_delta
@@ -12,26 +13,20 @@
     CordonWorker,
     LeaderStarted,
     RegisterControlMember,
-    RegisterRouter,
     RemoveControlMember,
     RemoveRouter,
     RevisionConfirmed,
     SubmitConfiguration,
     WorkerChanged,
     WorkerRemoved,
-    configuration_digest,
     encode_command,
 )
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.outcomes import UpdateAccepted, UpdateIdReused, UpdateResult
-from orchidpath.wire.configuration import Configuration, Service, ServiceKind
 from orchidpath.wire.records import (
     CircuitStatus,
     ControlMember,
     FleetView,
-    RouterRecord,
-    Stage,
-    WorkerRecord,
     WorkerStatus,
 )
 
@@ -42,33 +37,13 @@
 small = st.integers(0, 6)
 
 
-def make_order(order_id: str, base_version: int, name: str) -> SubmitConfiguration:
-    configuration = Configuration(services=[Service(name=name, kind=ServiceKind.PLAIN)])
-    digest = configuration_digest(base_version, configuration)
-    return SubmitConfiguration(
-        order_id=order_id, base_version=base_version, configuration=configuration, digest=digest
-    )
-
-
-def make_worker(worker_id: str, incarnation: str, status: WorkerStatus) -> WorkerRecord:
-    return WorkerRecord(
-        worker_id=worker_id,
-        incarnation=incarnation,
-        service="s",
-        stage=Stage.PLAIN,
-        url="http://127.0.0.1:1",
-        status=status,
-    )
-
-
-def make_router(router_id: str, zone: str) -> RouterRecord:
-    return RouterRecord(router_id=router_id, address="a", http_address="h", zone=zone)
-
-
-orders = st.builds(
-    make_order, st.sampled_from([f"o{number}" for number in range(30)]), small, st.text(max_size=3)
+updates = st.builds(
+    configuration_update,
+    st.sampled_from([f"o{number}" for number in range(30)]),
+    small,
+    st.text(max_size=3),
 )
-workers = st.builds(make_worker, worker_ids, incarnations, st.sampled_from(WorkerStatus))
+workers = st.builds(worker, worker_ids, incarnations, st.sampled_from(WorkerStatus))
 members = st.builds(ControlMember, node_id=st.sampled_from(["c1", "c2"]), address=st.text("ab"))
 circuit_transitions = st.builds(
     CircuitTransition,
@@ -89,13 +64,10 @@
     st.builds(CordonWorker, worker_id=worker_ids, cordoned=st.booleans()),
 )
 commands: st.SearchStrategy[Command] = st.one_of(
-    orders,
+    updates,
     worker_commands,
     worker_commands,
-    st.builds(
-        RegisterRouter,
-        record=st.builds(make_router, router_ids, st.sampled_from(["z1", "z2", "z3"])),
-    ),
+    st.builds(registered, router_ids, st.sampled_from(["z1", "z2", "z3"])),
     st.builds(RemoveRouter, router_id=router_ids),
     st.builds(CircuitChanged, transition=circuit_transitions),
     st.builds(CapacityChanged, transition=capacity_transitions),
@@ -110,7 +82,7 @@
 
 @steady
 @given(logs, st.integers(0, 400))
-def test_a_restored_replica_goes_on_byte_for_byte_like_the_original(
+def test_a_restored_replica_continues_byte_for_byte_like_the_original(
     log: list[Command], restored_at: int
 ) -> None:
     original, replica = FleetState(), FleetState()
@@ -136,7 +108,7 @@
 
 @steady
 @given(logs, st.integers(1, 9))
-def test_updates_adopted_at_any_pace_lead_to_the_whole_view(log: list[Command], pace: int) -> None:
+def test_updates_adopted_at_any_pace_result_in_the_full_view(log: list[Command], pace: int) -> None:
     state = FleetState()
     adopted = state.view()
     for index, command in enumerate(log, start=1):
@@ -149,8 +121,8 @@
 
 
 @steady
-@given(st.lists(orders, min_size=50, max_size=200))
-def test_each_version_is_won_by_one_order_and_each_order_keeps_its_outcome(
+@given(st.lists(updates, min_size=50, max_size=200))
+def test_each_version_is_won_by_one_update_and_each_update_keeps_its_outcome(
     log: list[SubmitConfiguration],
 ) -> None:
     state = FleetState()
