--- a/src/orchidpath/common/addresses.py
+++ b/src/orchidpath/common/addresses.py
@@ -1,6 +1,7 @@
 """Addresses of processes: an IP number and a port, never a name."""
 
 from ipaddress import ip_address
+from typing import NamedTuple
 
 from orchidpath.common.errors import OrchidpathError
 
@@ -12,8 +13,15 @@
     """A text is not an address of the form ``IP:port``."""
 
 
-def parse_address(address: str) -> tuple[str, int]:
-    """Split ``IP:port`` (IPv6 in brackets) into host and port.
+class HostPort(NamedTuple):
+    """An IP number, without brackets, and a TCP port."""
+
+    host: str
+    port: int
+
+
+def parse_address(address: str) -> HostPort:
+    """Return the host and the port of ``IP:port`` (IPv6 in brackets).
 
     Raises
     ------
@@ -31,7 +39,7 @@
         raise AddressError(f"{host!r} in {address!r} is not an IP number") from error
     if not (port_text.isascii() and port_text.isdigit()) or int(port_text) > MAX_PORT:
         raise AddressError(f"{port_text!r} in {address!r} is not a port up to {MAX_PORT}")
-    return host, int(port_text)
+    return HostPort(host, int(port_text))
 
 
 def format_address(host: str, port: int) -> str:
--- a/src/orchidpath/common/logs.py
+++ b/src/orchidpath/common/logs.py
@@ -7,7 +7,7 @@
 import structlog
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
-"""Names of the levels that settings may ask for."""
+"""Names of the log levels, lowest first."""
 
 Logger = structlog.typing.FilteringBoundLogger
 """Logger with fields bound to it; ``logger.info("event_name", field=value)``."""
--- a/src/orchidpath/common/metrics.py
+++ b/src/orchidpath/common/metrics.py
@@ -22,27 +22,27 @@
     10.0,
     30.0,
 )
-"""Bucket bounds of every latency histogram, so that all of them compare."""
+"""Bucket bounds of every latency histogram, in seconds; equal, so that they can be compared."""
 
 _NAMESPACE = "orchidpath"
 
 
 class Metrics:
-    """Makes the metrics of one process, all in one registry and under one name prefix."""
+    """Creates the metrics of one process, in one registry and under one name prefix."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
 
     def counter(self, name: str, documentation: str, labels: tuple[str, ...] = ()) -> Counter:
-        """Make a counter; its name gets the prefix and ``_total``."""
+        """Return a new counter; the prefix and ``_total`` are added to its name."""
         return Counter(name, documentation, labels, namespace=_NAMESPACE, registry=self.registry)
 
     def gauge(self, name: str, documentation: str, labels: tuple[str, ...] = ()) -> Gauge:
-        """Make a gauge."""
+        """Return a new gauge; the prefix is added to its name."""
         return Gauge(name, documentation, labels, namespace=_NAMESPACE, registry=self.registry)
 
     def latency(self, name: str, documentation: str, labels: tuple[str, ...] = ()) -> Histogram:
-        """Make a histogram of seconds; give it a name that ends in ``_seconds``."""
+        """Return a new histogram of seconds; its name should end in ``_seconds``."""
         return Histogram(
             name,
             documentation,
--- a/src/orchidpath/state/document_items.py
+++ b/src/orchidpath/state/document_items.py
@@ -1,7 +1,7 @@
 """Changes to the named items of a document's lists; pure.
 
 An operator's document is a JSON object whose lists hold items with a ``name``. A change replaces or
-adds items and removes others; what it does not name stays as it was sent, byte for byte.
+adds items and removes others; everything else stays as it was sent, byte for byte.
 """
 
 from collections.abc import Mapping
@@ -27,7 +27,7 @@
 
 
 class InvalidChangeError(OrchidpathError):
-    """A change can't be made; ``problems`` names everything that is wrong with it."""
+    """A change can't be applied; ``problems`` lists every reason."""
 
     def __init__(self, problems: list[str]) -> None:
         super().__init__("; ".join(problems))
@@ -44,9 +44,9 @@
 
 
 def change_items(document: bytes, change: ItemChange, fields: Mapping[str, msgspec.Raw]) -> bytes:
-    """Return a document with a change made to it.
+    """Return a document with a change applied to it.
 
-    Replaced items keep their place; new ones come last, in the order of the change.
+    Replaced items keep their position; new ones are appended in the order of the change.
 
     Parameters
     ----------
@@ -55,7 +55,7 @@
     change
         The change.
     fields
-        Further members of the document that get another value, as JSON.
+        Further members of the document to replace, as JSON values.
 
     Raises
     ------
--- a/src/orchidpath/state/forward_validation.py
+++ b/src/orchidpath/state/forward_validation.py
@@ -16,28 +16,28 @@
     configuration
         The configuration.
     unreadable
-        Paths that could not be read; what depends on them is not judged.
+        Paths that could not be read; checks that depend on them are skipped.
     """
     problems = range_problems(configuration.edge_limits, "edge_limits")
     services = {service.name for service in configuration.services}
     services_known = not {"services", ""} & unreadable
     names: dict[Hashable, int] = {}
-    places: dict[Hashable, int] = {}
+    matches: dict[Hashable, int] = {}
     for position, route in enumerate(configuration.forward_routes):
         path = f"forward_routes[{position}]"
         problems += range_problems(route, path)
         problems += name_problems(route.name, f"{path}.name")
-        problems += _place_problems(route, path)
+        problems += _match_problems(route, path)
         problems += _service_problems(route, path, services if services_known else None)
         problems += _repetition_problems(names, route.name, position, f"{path}.name")
-        place = (route.host.lower(), route.path_prefix)
-        problems += _repetition_problems(places, place, position, f"{path}.path_prefix")
+        match = (route.host.lower(), route.path_prefix)
+        problems += _repetition_problems(matches, match, position, f"{path}.path_prefix")
     if configuration.label < 0:
         problems.append(Problem(path="label", message="must not be negative"))
     return problems
 
 
-def _place_problems(route: ForwardRoute, path: str) -> Iterator[Problem]:
+def _match_problems(route: ForwardRoute, path: str) -> Iterator[Problem]:
     if not route.host or not route.host.isprintable() or " " in route.host:
         yield Problem(path=f"{path}.host", message="must be a host without blanks")
     prefix = route.path_prefix
--- a/src/orchidpath/state/path_patterns.py
+++ b/src/orchidpath/state/path_patterns.py
@@ -9,7 +9,7 @@
 WILDCARD = "{}"
 """Stands for any segment in braces; it is not a valid literal segment."""
 
-_REFUSED_CHARACTERS = frozenset("?#%{}\\")
+_REJECTED_CHARACTERS = frozenset("?#%{}\\")
 """Never part of a decoded path segment, or written in more than one way."""
 
 
@@ -25,7 +25,7 @@
         inner = segment[1:-1] if _is_variable(segment) else segment
         if _is_variable(segment) and not inner:
             return "must name the value between braces"
-        if not _REFUSED_CHARACTERS.isdisjoint(inner) or not _is_visible_ascii(inner):
+        if not _REJECTED_CHARACTERS.isdisjoint(inner) or not _is_visible_ascii(inner):
             return f"holds a segment that is neither plain nor in braces: {segment!r}"
         if inner in {".", ".."}:
             return "must not hold a . or .. segment"
@@ -44,11 +44,11 @@
         self._root = _Node()
 
     def overlapping(self, segments: tuple[str, ...]) -> int | None:
-        """Return the lowest owner of a pattern that can match a path which this one matches."""
+        """Return the lowest owner of a pattern that overlaps this one; None if there is none."""
         return min(self._owners(self._root, segments), default=None)
 
     def add(self, segments: tuple[str, ...], owner: int) -> None:
-        """Add a pattern; the first owner of the very same pattern stays."""
+        """Add a pattern; an equal pattern keeps its first owner."""
         node = self._root
         for segment in segments:
             node = node.children.setdefault(segment, _Node())
--- a/src/orchidpath/state/ranges.py
+++ b/src/orchidpath/state/ranges.py
@@ -16,23 +16,23 @@
 )
 
 MAX_SECONDS = 86_400.0
-"""No time in a configuration is longer than a day."""
+"""Longest time in a configuration: a day."""
 
 MAX_COUNT = 1_000_000_000
-"""No count in a configuration is larger; it keeps every count in 32 bits."""
+"""Largest count in a configuration; every count fits into 32 bits."""
 
 MAX_ATTEMPTS = 100
-"""Attempts of one request; each worker is tried once before any is tried again."""
+"""Largest number of attempts of one request."""
 
 
 class Range(msgspec.Struct, frozen=True, kw_only=True):
-    """A closed range, or with ``above`` one whose lower end is left out."""
+    """A closed range; with ``above`` its lower end is excluded."""
 
     minimum: float
     maximum: float
     above: bool = False
 
-    def holds(self, value: float) -> bool:
+    def contains(self, value: float) -> bool:
         """Return whether a number is in the range."""
         if self.above and value <= self.minimum:
             return False
@@ -114,7 +114,7 @@
 
 
 def range_problems(value: msgspec.Struct, path: str) -> list[Problem]:
-    """Return the numbers of a part of a configuration that are out of range.
+    """Return the numbers of a struct of a configuration that are out of range.
 
     Parameters
     ----------
@@ -126,5 +126,5 @@
     return [
         Problem(path=join_path(path, name), message=f"must be {allowed.describe()}")
         for name, allowed in _RANGES[type(value)].items()
-        if not allowed.holds(getattr(value, name))
+        if not allowed.contains(getattr(value, name))
     ]
--- a/src/orchidpath/state/validation.py
+++ b/src/orchidpath/state/validation.py
@@ -1,8 +1,8 @@
 """Checks of a whole configuration: every problem is reported, each with its path.
 
-A configuration is checked before it is proposed to the replicated log. The state machine takes
-what was committed without checking again, so that replicas of two versions, whose rules may
-differ, still reach the same state.
+A configuration is checked before it is proposed to the replicated log. The state machine applies
+committed ones without checking again, so that replicas of two versions, whose rules may differ,
+still reach the same state.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 from orchidpath.wire.configuration import Configuration, Route, Service, ServiceKind
 
 MAX_PATH_SEGMENTS = 64
-"""Segments in the path of a plain route."""
+"""Largest number of segments in the path of a plain route."""
 
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 """HTTP methods that a plain route may match."""
@@ -60,7 +60,7 @@
 
 
 def _find_problems(configuration: Configuration, unreadable: frozenset[str]) -> list[Problem]:
-    """Return the problems of meaning, leaving out what unreadable parts make undecidable."""
+    """Return the problems of meaning that unreadable values leave decidable."""
     problems: list[Problem] = []
     for position, service in enumerate(configuration.services):
         path = f"services[{position}]"
@@ -110,7 +110,7 @@
 
 
 def _count_problems(service: Service, path: str) -> list[Problem]:
-    """Return the missing one of two desired counts: each stage needs a worker to serve a pair."""
+    """Return a missing desired count: requests need a worker of each stage."""
     message = "must be at least 1 when the other count is set"
     if service.prefill_workers == 0 < service.decode_workers:
         return [Problem(path=f"{path}.prefill_workers", message=message)]
@@ -188,7 +188,7 @@
 
 
 def _model_ambiguities(routes: Iterable[Route]) -> list[Problem]:
-    """Return the model routes whose model an earlier route already takes."""
+    """Return the model routes whose model an earlier route already matches."""
     return _duplicates("routes", [route.model for route in routes], field=".model")
 
 
@@ -197,8 +197,8 @@
     indexes: dict[str, PatternIndex] = {}
     problems = []
     for position, route in enumerate(routes):
-        sound = route.method in METHODS and not pattern_problem(route.path)
-        if not sound or route.path.count("/") > MAX_PATH_SEGMENTS:
+        is_valid = route.method in METHODS and not pattern_problem(route.path)
+        if not is_valid or route.path.count("/") > MAX_PATH_SEGMENTS:
             continue
         index = indexes.setdefault(route.method, PatternIndex())
         segments = pattern_segments(route.path)
--- a/src/orchidpath/wire/connection.py
+++ b/src/orchidpath/wire/connection.py
@@ -65,7 +65,6 @@
         self._faults = faults
         self._max_outgoing_bytes = max_outgoing_bytes
         self._decoder = FrameDecoder()
-        self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._send_buffer: SendBuffer | None = None
 
@@ -104,14 +103,17 @@
         if self._transport is None:
             return False
         frame = encode_frame(message)
+        if self._faults is None:
+            return self._enqueue(frame)
         remote = self._handshake.remote
-        if self._faults is None or remote is None:
+        if remote is None:
             return self._enqueue(frame)
         verdict = self._faults.on_send(self._handshake.local.node_id, remote.node_id)
         if verdict.fate is Fate.LOST:
             return True
         if verdict.fate is Fate.DELAYED:
-            self._loop.call_later(verdict.delay_seconds, self._enqueue, frame)
+            loop = asyncio.get_running_loop()
+            loop.call_later(verdict.delay_seconds, self._enqueue, frame)
             return True
         return self._enqueue(frame)
 
@@ -137,10 +139,11 @@
         """Start the exchange of Hello (called by asyncio)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._send_buffer = SendBuffer(transport, self._loop, self._max_outgoing_bytes)
+        loop = asyncio.get_running_loop()
+        self._send_buffer = SendBuffer(transport, loop, self._max_outgoing_bytes)
         set_keepalive(transport)
         self._enqueue(encode_frame(self._handshake.local))
-        self._handshake.start_timeout(self._loop, self.abort)
+        self._handshake.start_timeout(loop, self.abort)
 
     def data_received(self, data: bytes) -> None:
         """Pass on every complete message (called by asyncio)."""
@@ -166,12 +169,14 @@
             self._callbacks.on_close(self)
 
     def _receive(self, message: Message) -> None:
-        local, remote = self._handshake.local, self._handshake.remote
+        remote = self._handshake.remote
         if remote is None:
             self._receive_hello(message)
             return
-        if self._faults is not None and self._faults.is_partitioned(remote.node_id, local.node_id):
-            return
+        if self._faults is not None:
+            local = self._handshake.local
+            if self._faults.is_partitioned(remote.node_id, local.node_id):
+                return
         if not isinstance(message, Hello):
             self._callbacks.on_message(self, message)
 
@@ -196,8 +201,8 @@
             self.error = error
 
     def _enqueue(self, frame: bytes) -> bool:
-        transport, send_buffer = self._transport, self._send_buffer
-        if transport is None or send_buffer is None or transport.is_closing():
+        send_buffer = self._send_buffer
+        if self._transport is None or send_buffer is None or self._transport.is_closing():
             return False
         try:
             send_buffer.append(frame)
