--- a/src/orchidpath/common/settings_file.py
+++ b/src/orchidpath/common/settings_file.py
@@ -8,12 +8,13 @@
 
 import msgspec
 
+from orchidpath.common.problems import Problem
 from orchidpath.common.settings_checks import check_settings
 from orchidpath.common.settings_errors import SettingProblem, SettingsError
-from orchidpath.common.typed_walk import Mismatch, find_mismatches
+from orchidpath.common.typed_walk import find_mismatches
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
-"""A larger file is refused unread."""
+"""A larger file is rejected without being read."""
 
 StructT = TypeVar("StructT", bound=msgspec.Struct)
 
@@ -21,14 +22,14 @@
 def load_settings(
     path: Path,
     expected: type[StructT],
-    check: Callable[[StructT], list[Mismatch]] = check_settings,
+    check: Callable[[StructT], list[Problem]] = check_settings,
 ) -> StructT:
     """Load and check a settings file.
 
     Parameters
     ----------
     path
-        File to read; its suffix, ``.toml`` or ``.json``, says in which form.
+        File to read; its suffix, ``.toml`` or ``.json``, decides the format.
     expected
         Struct to load into.
     check
@@ -46,7 +47,7 @@
     table: dict[str, Any],
     file: str,
     expected: type[StructT],
-    check: Callable[[StructT], list[Mismatch]] = check_settings,
+    check: Callable[[StructT], list[Problem]] = check_settings,
 ) -> StructT:
     """Convert and check an already decoded file; see :func:`load_settings`."""
     _raise_if_any(file, find_mismatches(table, expected))
@@ -71,34 +72,34 @@
     try:
         table = _parse(path, content.decode())
     except UnicodeDecodeError as error:
-        _refuse(path, f"not UTF-8 text: {error}")
+        _reject(path, f"not UTF-8 text: {error}")
     except (tomllib.TOMLDecodeError, json.JSONDecodeError) as error:
-        _refuse(path, f"not valid {_form_of(path)}: {error}")
+        _reject(path, f"not valid {_form_of(path)}: {error}")
     except (ValueError, RecursionError) as error:
-        _refuse(path, f"can't be decoded: {error}")
+        _reject(path, f"can't be decoded: {error}")
     if not isinstance(table, dict):
-        _refuse(path, "expected a table at the top level")
+        _reject(path, "expected a table at the top level")
     return table
 
 
 def _read_bytes(path: Path) -> bytes:
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
-            _refuse(path, f"larger than {MAX_FILE_BYTES} bytes")
+            _reject(path, f"larger than {MAX_FILE_BYTES} bytes")
         return path.read_bytes()
     except (OSError, ValueError) as error:
-        _refuse(path, f"can't be read: {error}")
+        _reject(path, f"can't be read: {error}")
 
 
 def _parse(path: Path, text: str) -> object:
     if path.suffix == ".toml":
         return tomllib.loads(text)
     if path.suffix == ".json":
-        return json.loads(text, parse_constant=_refuse_constant)
-    return _refuse(path, "expected a name that ends in .toml or .json")
+        return json.loads(text, parse_constant=_reject_constant)
+    return _reject(path, "expected a name that ends in .toml or .json")
 
 
-def _refuse_constant(constant: str) -> NoReturn:
+def _reject_constant(constant: str) -> NoReturn:
     raise ValueError(f"{constant} is no JSON value")
 
 
@@ -106,12 +107,12 @@
     return path.suffix.removeprefix(".").upper()
 
 
-def _refuse(path: Path, message: str) -> NoReturn:
+def _reject(path: Path, message: str) -> NoReturn:
     raise SettingsError([SettingProblem(file=str(path), path="", message=message)])
 
 
-def _raise_if_any(file: str, mismatches: list[Mismatch]) -> None:
-    if mismatches:
+def _raise_if_any(file: str, problems: list[Problem]) -> None:
+    if problems:
         raise SettingsError(
-            [SettingProblem(file=file, path=each.path, message=each.message) for each in mismatches]
+            [SettingProblem(file=file, path=each.path, message=each.message) for each in problems]
         )
