--- a/src/orchidpath/circuit/fallback.py
+++ b/src/orchidpath/circuit/fallback.py
@@ -30,6 +30,7 @@
 from orchidpath.circuit.breaker import BreakerEvent
 from orchidpath.circuit.deciding_circuits import DecidingCircuits
 from orchidpath.circuit.in_flight import Registration
+from orchidpath.circuit.own_probes import OwnProbes
 from orchidpath.circuit.registry import TrackedWorker
 from orchidpath.circuit.selection import (
     DEFAULT_LOAD_BOUND_FACTOR,
@@ -58,13 +59,6 @@
 """A router's own cooldown is stretched by a random share of up to this."""
 
 
-class OwnProbe(msgspec.Struct, frozen=True):
-    """A probe that an attempt of this router runs, and the generation that it was granted."""
-
-    attempt_id: str
-    generation: int
-
-
 class ViewVersion(NamedTuple):
     """Order of the leaders' views: by term, then by sequence within the term."""
 
@@ -106,7 +100,7 @@
         super().__init__(policy, generator, load_bound_factor)
         self._newest_view = NO_VIEW
         self._agreed_generations: dict[str, int] = {}
-        self._own_probes: dict[str, OwnProbe] = {}
+        self._own_probes = OwnProbes(self._counters.attempt_table.in_flight)
 
     def accept_view(self, view: CircuitsView, now: float) -> bool:
         """Apply the agreed circuits that the leader pushed.
@@ -188,8 +182,7 @@
         )
         for choice in choices:
             if choice.probe_generation is not None:
-                probe = OwnProbe(attempt_id, choice.probe_generation)
-                self._own_probes[choice.worker_id] = probe
+                self._own_probes.start(choice.worker_id, attempt_id, choice.probe_generation)
 
     def observe(self, reports: Sequence[AttemptReport], now: float) -> None:
         """Count the ends of the router's own attempts, whoever decided them.
@@ -203,7 +196,9 @@
         """
         self._counters.attempt_table.advance(now)
         for report in reports:
-            generation = self._end_probe(report)
+            generation = self._own_probes.end(report.worker_id, report.attempt_id)
+            if generation is None:
+                generation = report.probe_generation
             event = self._counters.count(report, now, probe_generation=generation)
             if event is not None:
                 self._change(report.worker_id, event, now)
@@ -267,11 +262,8 @@
 
     def _bound_probe(self, candidate: Candidate) -> Candidate:
         """Block a worker whose last probe of this router is still in flight."""
-        probe = self._own_probes.get(candidate.worker_id)
-        if probe is None or candidate.admission is not Admission.PROBE_READY:
-            return candidate
-        in_flight = self._counters.attempt_table.in_flight
-        if not in_flight.occupies(probe.attempt_id, candidate.worker_id):
+        is_ready = candidate.admission is Admission.PROBE_READY
+        if not is_ready or not self._own_probes.is_in_flight(candidate.worker_id):
             return candidate
         return msgspec.structs.replace(
             candidate,
@@ -289,18 +281,10 @@
             self._change(worker_id, BreakerEvent.PROBE_GRANTED, now, attempt_id)
             generation = self._counters.generation(worker_id)
             if generation is not None:
-                self._own_probes[worker_id] = OwnProbe(attempt_id, generation)
+                self._own_probes.start(worker_id, attempt_id, generation)
             granted = True
         return granted
 
-    def _end_probe(self, report: AttemptReport) -> int | None:
-        """Return the generation of the probe that this report ends, if it ends one."""
-        probe = self._own_probes.get(report.worker_id)
-        if probe is None or probe.attempt_id != report.attempt_id:
-            return report.probe_generation
-        del self._own_probes[report.worker_id]
-        return probe.generation
-
     def _adopt(self, record: CircuitRecord, now: float) -> None:
         """Apply an agreed circuit, unless local transitions were made on this very generation."""
         if self._agreed_generations.get(record.worker_id) == record.generation:
