--- a/src/orchidpath/consensus/errors.py
+++ b/src/orchidpath/consensus/errors.py
@@ -22,7 +22,7 @@
 
 
 class MembershipChangeError(ConsensusError):
-    """A change of the membership was refused; nothing has changed."""
+    """A membership change was rejected; nothing has changed."""
 
 
 class MembershipChangePendingError(MembershipChangeError):
@@ -34,15 +34,53 @@
 
 
 class InvalidMembershipError(MembershipChangeError):
-    """The wanted membership can't follow the current one in one step."""
+    """The proposed membership is incomplete or can't follow the current one in one step."""
+
+
+class NotBootstrapVoterError(ConsensusError):
+    """A replica was to bootstrap a group that does not count it as a voter.
+
+    Parameters
+    ----------
+    node_id
+        The replica.
+    """
+
+    def __init__(self, node_id: str) -> None:
+        super().__init__(f"{node_id} is no voter of the new group")
+        self.node_id = node_id
+
+
+class InvalidSettingsError(ConsensusError, ValueError):
+    """Settings under which the protocol would not be safe.
+
+    Also a ``ValueError``, which is what a decoder of settings turns into its own error.
+    """
 
 
 class CompactionError(ConsensusError):
     """A snapshot was taken at an index that is not applied or already compacted."""
 
 
+class LogGapError(ConsensusError):
+    """Entries do not follow the last entry of the log.
+
+    Parameters
+    ----------
+    index
+        Index of the entry that was to be appended.
+    last_index
+        Last index of the log.
+    """
+
+    def __init__(self, index: int, last_index: int) -> None:
+        super().__init__(f"entry {index} does not follow {last_index}")
+        self.index = index
+        self.last_index = last_index
+
+
 class ProtocolViolationError(ConsensusError):
-    """A message contradicts what the protocol has already committed; the replica must stop."""
+    """A message contradicts what is already committed; the replica must stop."""
 
 
 class StorageError(ConsensusError):
--- a/src/orchidpath/consensus/files.py
+++ b/src/orchidpath/consensus/files.py
@@ -1,4 +1,4 @@
-"""The few file operations that storage needs, on the machine or in memory for simulations."""
+"""The file operations that storage needs, on the machine or in memory for simulations."""
 
 import errno
 import fcntl
@@ -53,7 +53,7 @@
 
     @abstractmethod
     def truncate(self, path: str, size_bytes: int) -> None:
-        """Cut a file to a size and sync it."""
+        """Truncate a file to a size and sync it."""
 
     @abstractmethod
     def rename(self, source: str, target: str) -> None:
@@ -131,7 +131,7 @@
         return _RealAppendFile(path)
 
     def truncate(self, path: str, size_bytes: int) -> None:
-        """Cut a file to a size and sync it."""
+        """Truncate a file to a size and sync it."""
         descriptor = os.open(path, os.O_WRONLY)
         try:
             os.ftruncate(descriptor, size_bytes)
@@ -156,6 +156,10 @@
             os.close(descriptor)
 
 
+UNLIMITED_BYTES = 1 << 62
+"""Free space of a simulated disk without a capacity."""
+
+
 class _SimulatedNode:
     """Content of a simulated file: what programs see, and what a crash leaves."""
 
@@ -173,9 +177,9 @@
 
     def write(self, data: bytes) -> None:
         self._check_open()
-        room = self._files.room_bytes()
-        self._node.data.extend(data[:room])
-        if room < len(data):
+        free_bytes = self._files.free_bytes()
+        self._node.data.extend(data[:free_bytes])
+        if free_bytes < len(data):
             raise OSError(errno.ENOSPC, "no space left", self._path)
 
     def sync(self) -> None:
@@ -219,13 +223,13 @@
         self._current = dict(self._durable)
         for path in sorted(self._current):
             node = self._current[path]
-            tail = bytes(node.data[len(node.durable) :])
-            kept = tail[: random.randint(0, len(tail))]
-            node.data = bytearray(node.durable + kept)
+            unsynced = bytes(node.data[len(node.durable) :])
+            survived = unsynced[: random.randint(0, len(unsynced))]
+            node.data = bytearray(node.durable + survived)
             node.durable = bytes(node.data)
 
     def vanish(self, folder: str) -> None:
-        """Remove a folder's content behind the back of the program that uses it."""
+        """Remove a folder's content while a program uses it."""
         for names in (self._current, self._durable):
             for path in [path for path in names if path.startswith(folder + "/")]:
                 del names[path]
@@ -236,10 +240,10 @@
         node.data[offset] ^= 0xFF
         node.durable = bytes(node.data)
 
-    def room_bytes(self) -> int:
+    def free_bytes(self) -> int:
         """Return how many bytes still fit."""
         if self.capacity_bytes is None:
-            return 1 << 62
+            return UNLIMITED_BYTES
         return max(0, self.capacity_bytes - sum(len(n.data) for n in self._current.values()))
 
     def check_sync(self, path: str, node: _SimulatedNode) -> None:
@@ -277,7 +281,7 @@
         return _SimulatedAppendFile(self, path, node)
 
     def truncate(self, path: str, size_bytes: int) -> None:
-        """Cut a file to a size and sync it."""
+        """Truncate a file to a size and sync it."""
         node = self._node(path)
         del node.data[size_bytes:]
         self.check_sync(path, node)
@@ -299,9 +303,9 @@
         if self.sync_fails:
             raise OSError(errno.EIO, "sync failed", folder)
         prefix = folder + "/"
-        kept = {p: n for p, n in self._durable.items() if not p.startswith(prefix)}
-        kept.update({p: n for p, n in self._current.items() if p.startswith(prefix)})
-        self._durable = kept
+        durable = {p: n for p, n in self._durable.items() if not p.startswith(prefix)}
+        durable.update({p: n for p, n in self._current.items() if p.startswith(prefix)})
+        self._durable = durable
 
     def _node(self, path: str) -> _SimulatedNode:
         node = self._current.get(path)
--- a/src/orchidpath/consensus/log.py
+++ b/src/orchidpath/consensus/log.py
@@ -1,7 +1,8 @@
-"""The replicated log in memory: the snapshot, the entries after it, the membership they define."""
+"""The replicated log in memory: snapshot, entries after it, and the membership they define."""
 
 import msgspec
 
+from orchidpath.consensus.errors import LogGapError
 from orchidpath.consensus.types import EntryKind, LogEntry, Membership, Snapshot
 
 
@@ -11,11 +12,13 @@
 
 
 def decode_membership(payload: bytes) -> Membership:
-    """Return the membership a membership entry carries."""
+    """Return the membership that a membership entry carries."""
     return msgspec.msgpack.decode(payload, type=Membership)
 
 
 class _MembershipAt(msgspec.Struct, frozen=True):
+    """A membership and the index of the entry that defined it."""
+
     index: int
     membership: Membership
 
@@ -103,7 +106,7 @@
         return batch
 
     def first_index_of_term(self, index: int) -> int:
-        """Return the first held index whose entry has the same term as the one at `index`."""
+        """Return the first index in the log whose entry has the same term as the one at `index`."""
         term = self.term_at(index)
         while index > self.snapshot_index + 1 and self.term_at(index - 1) == term:
             index -= 1
@@ -116,10 +119,16 @@
         return index
 
     def append(self, entries: list[LogEntry]) -> None:
-        """Add entries that follow the last one."""
+        """Add entries that follow the last one.
+
+        Raises
+        ------
+        LogGapError
+            An entry's index isn't the next one.
+        """
         for entry in entries:
             if entry.index != self.last_index + 1:
-                raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
+                raise LogGapError(entry.index, self.last_index)
             self._entries.append(entry)
             self.payload_bytes += len(entry.payload)
             if entry.kind is EntryKind.MEMBERSHIP:
@@ -135,19 +144,19 @@
             self._memberships.pop()
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take a newer snapshot.
+        """Replace the snapshot by a newer one.
 
-        Entries after it stay only if the log holds its last entry with the same term: then the
-        two logs agree up to there. Otherwise the rest of the log belongs to another history.
+        Entries after it are retained only if the log holds its last entry with the same term: then
+        both logs agree up to there (log matching property). Otherwise they may conflict with it.
         """
-        kept: list[LogEntry] = []
+        retained: list[LogEntry] = []
         if self.term_at(snapshot.last_index) == snapshot.last_term:
-            kept = self.entries_between(snapshot.last_index + 1, self.last_index)
+            retained = self.entries_between(snapshot.last_index + 1, self.last_index)
         self.snapshot = snapshot
         self._entries = []
         self.payload_bytes = 0
         self._reset_memberships()
-        self.append(kept)
+        self.append(retained)
 
     def _reset_memberships(self) -> None:
         membership = self.snapshot.membership if self.snapshot else Membership()
--- a/src/orchidpath/consensus/storage.py
+++ b/src/orchidpath/consensus/storage.py
@@ -11,9 +11,12 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
+import msgspec
+
 from orchidpath.consensus.errors import (
     DamagedLogError,
     FolderInUseError,
+    LogGapError,
     StorageError,
     StorageFailedError,
     StorageFullError,
@@ -23,7 +26,6 @@
 from orchidpath.consensus.log_records import (
     FORMAT_VERSION,
     EntriesRecord,
-    FoundRecord,
     HardStateRecord,
     HeaderRecord,
     Record,
@@ -45,7 +47,7 @@
 
 
 class LogStorage(ABC):
-    """Where a replica keeps what it must not forget.
+    """Durable storage of a replica.
 
     Every `persist_*` method returns once its record is on disk, and raises `StorageError`
     otherwise; the replica must then stop, and not retry.
@@ -83,7 +85,7 @@
 
 
 class MemoryLogStorage(LogStorage):
-    """Storage of a replica without a disk: it is forgotten with its process.
+    """Storage of a replica without a disk: it ends with its process.
 
     Such a replica has a new identity at every start and must never vote.
     """
@@ -114,7 +116,7 @@
 
 
 class FileLogStorage(LogStorage):
-    """Storage in one log file, which is written anew at each snapshot.
+    """Storage in one log file, which is rewritten at each snapshot.
 
     The identity lives in the folder: an empty folder means a new identity, whatever the
     machine. The log's first record repeats it, so files of two replicas can't be mixed.
@@ -126,7 +128,7 @@
     files
         File operations.
     new_identity
-        Makes the id of a new replica.
+        Generates the id of a new replica.
     """
 
     def __init__(
@@ -177,7 +179,7 @@
         with self._fail_for_good():
             record = EntriesRecord(truncate_from, entries)
             self._append(record)
-            self._take(record)
+            self._apply_entries(record)
 
     def persist_snapshot(self, snapshot: Snapshot) -> None:
         """Store a snapshot in place of the entries it covers.
@@ -190,7 +192,7 @@
             if self._log_file is not None:
                 self._log_file.close()
                 self._log_file = None
-            self._write_new(LOG_NAME, self._whole_log())
+            self._write_new(LOG_NAME, self._encode_log())
             self._log_file = self._files.open_append(self._path(LOG_NAME))
 
     def close(self) -> None:
@@ -221,7 +223,7 @@
             raise self._failure from error
 
     def _lock(self) -> None:
-        """Keep a second process from acting as the same replica."""
+        """Prevent a second process from running as the same replica."""
         try:
             self._files.lock(self._path(LOCK_NAME))
         except OSError as error:
@@ -232,7 +234,7 @@
         if LOG_NAME in names:
             self._read(has_identity_file=IDENTITY_NAME in names)
         elif IDENTITY_NAME in names:
-            raise DamagedLogError(f"{self._folder} has an identity, but its log is gone")
+            raise DamagedLogError(f"{self._folder} has an identity, but its log is missing")
         else:
             self._create()
         for name in sorted(names):
@@ -242,58 +244,62 @@
     def _create(self) -> None:
         """Create the log first: an identity file then proves that there was a log."""
         self._identity = self._new_identity()
-        self._write_new(LOG_NAME, self._whole_log())
+        self._write_new(LOG_NAME, self._encode_log())
         self._write_new(IDENTITY_NAME, self._identity.encode())
 
     def _read(self, has_identity_file: bool) -> None:
         data = self._files.read(self._path(LOG_NAME))
-        end = 0
-        count = 0
-        for found in read_records(data):
-            self._replay(found, is_first=count == 0)
-            end = found.end
-            count += 1
-        if count == 0:
+        found_records = read_records(data)
+        header = next(found_records, None)
+        if header is None:
             raise DamagedLogError(f"{self._folder}: the log has no header")
+        self._read_header(header.record)
+        good_size_bytes = header.end
+        for found in found_records:
+            self._replay(found.record)
+            good_size_bytes = found.end
         self._check_identity_file(has_identity_file)
-        if end < len(data):
-            self._files.truncate(self._path(LOG_NAME), end)
+        # Only now: a damaged log is left as it is, for whoever has to repair it.
+        if good_size_bytes < len(data):
+            self._files.truncate(self._path(LOG_NAME), good_size_bytes)
 
-    def _replay(self, found: FoundRecord, is_first: bool) -> None:
-        record = found.record
-        if is_first != isinstance(record, HeaderRecord):
+    def _read_header(self, record: Record) -> None:
+        if not isinstance(record, HeaderRecord):
             raise DamagedLogError(f"{self._folder}: header missing or in the wrong place")
+        if record.version != FORMAT_VERSION:
+            raise DamagedLogError(f"{self._folder}: unknown format {record.version}")
+        self._identity = record.identity
+
+    def _replay(self, record: Record) -> None:
         if isinstance(record, HeaderRecord):
-            if record.version != FORMAT_VERSION:
-                raise DamagedLogError(f"{self._folder}: unknown format {record.version}")
-            self._identity = record.identity
-        elif isinstance(record, HardStateRecord):
+            raise DamagedLogError(f"{self._folder}: header missing or in the wrong place")
+        if isinstance(record, HardStateRecord):
             self._hard_state = record.hard_state
         elif isinstance(record, SnapshotRecord):
             self._log.install(record.snapshot)
         elif isinstance(record, EntriesRecord):
-            self._take(record)
+            self._apply_entries(record)
 
-    def _take(self, record: EntriesRecord) -> None:
+    def _apply_entries(self, record: EntriesRecord) -> None:
         try:
             if record.truncate_from is not None:
                 self._log.truncate_from(record.truncate_from)
             self._log.append(record.entries)
-        except ValueError as error:
+        except (LogGapError, msgspec.DecodeError) as error:
             raise DamagedLogError(f"{self._folder}: {error}") from error
 
     def _check_identity_file(self, has_identity_file: bool) -> None:
         if not has_identity_file:
             if self._hard_state != HardState() or self._log.last_index > 0:
-                raise DamagedLogError(f"{self._folder} has a log, but its identity is gone")
-            # The creation was cut short between the two files.
+                raise DamagedLogError(f"{self._folder} has a log, but its identity is missing")
+            # A crash interrupted the creation between the two files.
             self._write_new(IDENTITY_NAME, self._identity.encode())
             return
         stored = self._files.read(self._path(IDENTITY_NAME)).decode(errors="replace")
         if stored != self._identity:
             raise DamagedLogError(f"{self._folder}: the log belongs to {self._identity}")
 
-    def _whole_log(self) -> bytes:
+    def _encode_log(self) -> bytes:
         records: list[Record] = [HeaderRecord(FORMAT_VERSION, self._identity)]
         if self._hard_state != HardState():
             records.append(HardStateRecord(self._hard_state))
--- a/src/orchidpath/consensus/types.py
+++ b/src/orchidpath/consensus/types.py
@@ -8,6 +8,8 @@
 
 import msgspec
 
+from orchidpath.consensus.errors import InvalidSettingsError
+
 
 class EntryKind(enum.Enum):
     """What a log entry carries."""
@@ -18,7 +20,7 @@
 
 
 class Role(enum.Enum):
-    """The part a replica plays in its current term."""
+    """Role of a replica in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -28,7 +30,7 @@
 
 
 class Guard(enum.Enum):
-    """Safety rules that a test can turn off to prove that the checkers notice.
+    """Safety rules that a test can turn off to prove that the checkers detect it.
 
     A deployed replica runs with all of them.
     """
@@ -95,7 +97,7 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a replica must remember across restarts to vote at most once in a term."""
+    """Term and vote, durable so that a replica votes at most once in a term across restarts."""
 
     term: int = 0
     voted_for: str | None = None
@@ -111,7 +113,7 @@
 
 
 class RestoredState(msgspec.Struct, frozen=True):
-    """Everything a replica finds on its disk when it starts."""
+    """Everything that a replica reads back from its disk when it starts."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -126,13 +128,13 @@
     heartbeat_seconds
         Time between two appends to a follower that has nothing new to receive.
     election_timeout_min_seconds, election_timeout_max_seconds
-        A follower starts an election after a random silence between the two. The smaller one
-        is also how long it refuses votes after it has heard a leader.
+        A follower starts an election after a random time without a leader's message, between the
+        two. The shorter one is also how long it refuses votes after a leader's message.
     restart_election_seconds
         A voter that has just started asks for pre-votes after a random time between this and its
         double, and again until it has been up for the shortest election timeout.
     leader_lease_seconds
-        How long after the send time of an acknowledged append a leader may answer reads alone.
+        How long after the send time of an acknowledged append a leader may serve reads alone.
         Must be below `election_timeout_min_seconds` by `clock_drift_margin`.
     clock_drift_margin
         Share by which two monotonic clocks may run at different rates.
@@ -164,14 +166,23 @@
     catch_up_max_lag_entries: int = 64
 
     def __post_init__(self) -> None:
-        """Refuse settings under which a lease could outlive the votes that guard it."""
+        """Reject settings under which a lease could outlive the promises not to vote.
+
+        Raises
+        ------
+        InvalidSettingsError
+            Another leader could be elected while a lease is valid, or a lease could expire between
+            two heartbeats.
+        """
         margin = 1.0 + self.clock_drift_margin
         if self.leader_lease_seconds * margin >= self.election_timeout_min_seconds:
-            raise ValueError("leader_lease_seconds must be below election_timeout_min_seconds")
+            raise InvalidSettingsError(
+                "leader_lease_seconds must be below election_timeout_min_seconds"
+            )
         if self.election_timeout_min_seconds > self.election_timeout_max_seconds:
-            raise ValueError("election_timeout_min_seconds is above the maximum")
+            raise InvalidSettingsError("election_timeout_min_seconds is above the maximum")
         if self.heartbeat_seconds * 2 > self.leader_lease_seconds:
-            raise ValueError("heartbeat_seconds must fit twice into leader_lease_seconds")
+            raise InvalidSettingsError("heartbeat_seconds must fit twice into leader_lease_seconds")
 
 
 class ReadTicket(msgspec.Struct, frozen=True):
