--- /dev/null
+++ b/src/orchidpath/consensus/bootstrap.py
@@ -0,0 +1,50 @@
+"""The first entry of a new group."""
+
+from orchidpath.consensus.errors import NotBootstrapVoterError
+from orchidpath.consensus.log import encode_membership
+from orchidpath.consensus.replica import Replica
+from orchidpath.consensus.types import EntryKind, HardState, LogEntry, Membership, RestoredState
+
+BOOTSTRAP_TERM = 1
+"""Term of the first entry, below that of any election."""
+
+
+def needs_bootstrap(restored: RestoredState) -> bool:
+    """Return whether nothing was stored, or a crash interrupted the bootstrap.
+
+    Parameters
+    ----------
+    restored
+        What the disk holds.
+
+    Returns
+    -------
+    bool
+        True for a replica that has never taken part in a group.
+    """
+    started = restored.hard_state.term > BOOTSTRAP_TERM or restored.entries
+    return not started and restored.snapshot is None
+
+
+def bootstrap(replica: Replica, membership: Membership) -> None:
+    """Append the first entry, which is the same on every voter of a new group.
+
+    Its term is below that of any election, so all logs agree on it from the start.
+
+    Parameters
+    ----------
+    replica
+        A voter of the new group.
+    membership
+        Membership of the new group.
+
+    Raises
+    ------
+    NotBootstrapVoterError
+        The membership doesn't count the replica as a voter.
+    """
+    if replica.node_id not in membership.voters:
+        raise NotBootstrapVoterError(replica.node_id)
+    replica.set_hard_state(HardState(term=BOOTSTRAP_TERM))
+    payload = encode_membership(membership)
+    replica.append_entries([LogEntry(1, BOOTSTRAP_TERM, EntryKind.MEMBERSHIP, payload)])
--- a/src/orchidpath/consensus/effects.py
+++ b/src/orchidpath/consensus/effects.py
@@ -2,10 +2,12 @@
 
 The shell executes effects strictly in list order, and lists in the order in which the calls
 returned them. Every `Persist*` effect is synced to disk before any later effect runs; a failed
-sync is fatal for the replica and never retried. This order is what makes an answer safe: a vote
-or an acknowledgement is sent only after the record it promises has become durable.
+sync is fatal for the replica and never retried. This order is what makes a reply safe: a vote or
+an acknowledgement is sent only after the record that it promises is durable.
 """
 
+from typing import NamedTuple
+
 import msgspec
 
 from orchidpath.consensus.raft_messages import RaftMessage
@@ -19,7 +21,7 @@
 
 
 class PersistEntries(msgspec.Struct, frozen=True):
-    """Drop entries from `truncate_from` on (unless None), append `entries`, and sync."""
+    """Truncate the log from `truncate_from` on (unless None), append `entries`, and sync."""
 
     truncate_from: int | None
     entries: list[LogEntry]
@@ -28,7 +30,7 @@
 class PersistSnapshot(msgspec.Struct, frozen=True):
     """Replace the snapshot and sync.
 
-    Entries after it are kept only if the log holds its last entry with the same term.
+    Entries after it are retained only if the log holds its last entry with the same term.
     """
 
     snapshot: Snapshot
@@ -61,6 +63,36 @@
     leader_id: str | None
 
 
+class Proposal(NamedTuple):
+    """Commands that a leader has appended.
+
+    Attributes
+    ----------
+    indexes
+        Index of each command, in the order of the proposal.
+    effects
+        Effects to execute, in order.
+    """
+
+    indexes: list[int]
+    effects: list["Effect"]
+
+
+class ProposedMembership(NamedTuple):
+    """A membership change that a leader has appended.
+
+    Attributes
+    ----------
+    entry_index
+        Index of the entry that carries it.
+    effects
+        Effects to execute, in order.
+    """
+
+    entry_index: int
+    effects: list["Effect"]
+
+
 Effect = (
     PersistHardState
     | PersistEntries
--- a/src/orchidpath/consensus/election.py
+++ b/src/orchidpath/consensus/election.py
@@ -13,7 +13,7 @@
 
 
 def on_election_timeout(replica: Replica, now: float) -> None:
-    """React to silence: a voter asks for pre-votes, a learner only keeps waiting."""
+    """Process an election timeout: a voter requests pre-votes, a learner only waits again."""
     if must_wait(replica, now):
         replica.arm_first_election(now)
     else:
@@ -29,8 +29,8 @@
 def _start_pre_vote(replica: Replica, now: float) -> None:
     """Ask whether an election could be won, without raising the term.
 
-    A replica that was cut off would otherwise come back with a higher term and depose a
-    leader that serves a healthy majority.
+    A partitioned replica would otherwise return with a higher term and depose a leader that
+    serves a healthy majority (thesis, section 9.6).
     """
     replica.set_role(Role.PRE_CANDIDATE, None)
     replica.votes = {replica.node_id}
@@ -42,19 +42,20 @@
 
 
 def _may_start_election(replica: Replica, now: float) -> bool:
-    """Return whether the answers to the pre-vote allow an election."""
+    """Return whether the replies to the pre-vote allow an election."""
     if nobody_holds_a_lease(replica):
         return True
-    # Its own vote counts too, and a promise from before a restart may forbid it.
+    # Its own vote counts too, and a promise not to vote from before a restart may forbid it.
     return _has_vote_quorum(replica) and not must_wait(replica, now)
 
 
 def _start_election(replica: Replica, now: float) -> None:
-    # The vote for itself is durable before the first request leaves (order of effects).
+    # The vote for itself is durable before the first request is sent (order of effects): after a
+    # crash in between, the replica can't vote for another candidate in the same term.
     replica.set_hard_state(HardState(term=replica.term + 1, voted_for=replica.node_id))
     replica.set_role(Role.CANDIDATE, None)
     replica.arm_election(now)
-    # Asked before the votes are counted anew: it rests on the answers to the pre-vote.
+    # Checked before the votes are reset: it depends on the replies to the pre-vote.
     nobody_leads = nobody_holds_a_lease(replica)
     replica.votes = {replica.node_id}
     if _has_vote_quorum(replica):
@@ -84,14 +85,14 @@
 
 
 def on_request_vote(replica: Replica, message: RequestVote, now: float) -> None:
-    """Answer a vote or pre-vote.
+    """Reply to a vote or pre-vote request.
 
-    The replica answers whether or not its own log counts it as a voter: a candidate's log may
+    The replica replies whether or not its own log counts it as a voter: a candidate's log may
     hold a newer membership. The candidate counts only the voters of that membership. Without
     this rule a group that has just grown from one voter to two could never elect again if the
     entry that promoted the second had not reached it.
     """
-    if message.term < replica.term or _must_refuse(replica, now):
+    if message.term < replica.term or _is_bound_to_leader(replica, now):
         _reply(replica, message, granted=False)
         return
     up_to_date = _is_up_to_date(replica, message)
@@ -104,20 +105,20 @@
         return
     if message.term > replica.term:
         replica.become_follower(message.term, None)
-    free = replica.hard_state.voted_for in (None, message.sender) and replica.leader_id is None
-    granted = free and up_to_date
+    may_vote = replica.hard_state.voted_for in (None, message.sender) and replica.leader_id is None
+    granted = may_vote and up_to_date
     if granted:
         replica.set_hard_state(HardState(term=replica.term, voted_for=message.sender))
         replica.arm_election(now)
     _reply(replica, message, granted=granted)
 
 
-def _must_refuse(replica: Replica, now: float) -> bool:
-    """Return whether a promise to a leader may still bind this replica.
+def _is_bound_to_leader(replica: Replica, now: float) -> bool:
+    """Return whether a promise to a leader not to vote may still bind this replica.
 
-    A leader's lease rests on followers that refuse votes for the shortest election timeout
-    after they heard it. The term of a refused request isn't adopted either, as this would depose
-    the leader all the same.
+    A leader's lease depends on followers that refuse votes for the shortest election timeout
+    after they received an append. The term of a refused request isn't adopted either, as this
+    would depose the leader all the same.
     """
     window = replica.settings.election_timeout_min_seconds
     if not replica.guarded(Guard.LEASE_VOTE_REFUSAL):
@@ -147,7 +148,7 @@
 
 
 def on_request_vote_reply(replica: Replica, message: RequestVoteReply, now: float) -> None:
-    """Count a vote, or learn of a newer term."""
+    """Count a vote, or adopt a newer term."""
     if not message.granted and message.term > replica.term:
         replica.become_follower(message.term, None)
         return
@@ -174,10 +175,10 @@
 
 
 def _become_leader(replica: Replica, now: float) -> None:
-    """Lead, and append a no-op.
+    """Become the leader, and append a no-op.
 
     Entries of earlier terms commit only together with one of this term, and reads need to know
-    what is committed: the no-op brings both about without waiting for a proposal.
+    the commit index: the no-op provides both without waiting for a proposal.
     """
     replica.set_role(Role.LEADER, replica.node_id)
     replica.became_leader_at = now
--- a/src/orchidpath/consensus/follower.py
+++ b/src/orchidpath/consensus/follower.py
@@ -1,5 +1,7 @@
 """The follower's side of replication: appends and snapshots from a leader."""
 
+from typing import NamedTuple
+
 from orchidpath.consensus.effects import ApplySnapshot, PersistSnapshot
 from orchidpath.consensus.errors import ProtocolViolationError
 from orchidpath.consensus.raft_messages import (
@@ -13,22 +15,26 @@
 
 
 def on_append(replica: Replica, message: AppendEntries, now: float) -> None:
-    """Take entries from the leader; the answer leaves after they are durable."""
+    """Store entries from the leader.
+
+    The reply is sent after the entries are durable (order of effects): the leader counts it
+    towards a commit, which must survive a crash of this replica.
+    """
     if message.term < replica.term:
-        # The answer's higher term tells a replaced leader to step down.
-        _refuse_append(replica, message, conflict_index=0, conflict_term=0)
+        # The reply's higher term makes a deposed leader step down.
+        _reject_append(replica, message, conflict_index=0, conflict_term=0)
         return
     _follow(replica, message.sender, message.term, now)
     prev_index, entries = _skip_compacted(replica, message)
     if prev_index > replica.log.last_index:
-        _refuse_append(replica, message, replica.log.last_index + 1, 0)
+        _reject_append(replica, message, replica.log.last_index + 1, 0)
         return
-    current_term = replica.log.term_at(prev_index)
-    if prev_index == message.prev_index and current_term != message.prev_term:
+    local_term = replica.log.term_at(prev_index)
+    if prev_index == message.prev_index and local_term != message.prev_term:
         first = replica.log.first_index_of_term(prev_index)
-        _refuse_append(replica, message, first, current_term or 0)
+        _reject_append(replica, message, first, local_term or 0)
         return
-    _store(replica, entries)
+    _store_entries(replica, entries)
     match_index = message.prev_index + len(message.entries)
     replica.commit_up_to(min(message.commit_index, max(match_index, prev_index)))
     reply = AppendEntriesReply(
@@ -51,25 +57,32 @@
     replica.arm_election(now)
 
 
-def _skip_compacted(replica: Replica, message: AppendEntries) -> tuple[int, list[LogEntry]]:
+class _NewEntries(NamedTuple):
+    """Entries of an append after the snapshot, and the index that they follow."""
+
+    prev_index: int
+    entries: list[LogEntry]
+
+
+def _skip_compacted(replica: Replica, message: AppendEntries) -> _NewEntries:
     """Drop entries that the snapshot covers: they are committed, so both logs agree there."""
     covered = replica.log.snapshot_index - message.prev_index
     if covered <= 0:
-        return message.prev_index, message.entries
-    return replica.log.snapshot_index, message.entries[covered:]
+        return _NewEntries(message.prev_index, message.entries)
+    return _NewEntries(replica.log.snapshot_index, message.entries[covered:])
 
 
-def _store(replica: Replica, entries: list[LogEntry]) -> None:
-    """Append what is new; drop own entries only where they contradict the leader's.
+def _store_entries(replica: Replica, entries: list[LogEntry]) -> None:
+    """Append new entries; truncate own ones only where they conflict with the leader's.
 
-    An append that arrives late or twice must not cut off entries that a newer one brought.
+    An append that arrives late or twice must not truncate entries that a newer one brought.
     """
     for position, entry in enumerate(entries):
-        current_term = replica.log.term_at(entry.index)
-        if current_term == entry.term:
+        local_term = replica.log.term_at(entry.index)
+        if local_term == entry.term:
             continue
         truncate_from = None
-        if current_term is not None:
+        if local_term is not None:
             if entry.index <= replica.commit_index:
                 raise ProtocolViolationError(f"leader contradicts committed entry {entry.index}")
             truncate_from = entry.index
@@ -78,7 +91,7 @@
         return
 
 
-def _refuse_append(
+def _reject_append(
     replica: Replica, message: AppendEntries, conflict_index: int, conflict_term: int
 ) -> None:
     reply = AppendEntriesReply(
@@ -94,7 +107,7 @@
 
 
 def on_install_snapshot(replica: Replica, message: InstallSnapshot, now: float) -> None:
-    """Gather the chunks of a snapshot and install it when it is complete."""
+    """Collect the chunks of a snapshot and install it when it is complete."""
     if message.term < replica.term:
         _reply_snapshot(replica, message, next_offset=0, installed=False)
         return
@@ -115,14 +128,15 @@
 
 
 def _incoming_for(replica: Replica, message: InstallSnapshot) -> IncomingSnapshot:
-    """Return the gathered chunks.
+    """Return the chunks received so far.
 
-    They are dropped when the leader changes: two leaders may cut one state into other bytes.
+    They are dropped when the leader changes: two leaders may encode one state differently.
     """
     incoming = replica.incoming_snapshot
-    wanted = (message.term, message.last_index, message.last_term)
-    if incoming is None or (incoming.term, incoming.last_index, incoming.last_term) != wanted:
-        incoming = IncomingSnapshot(*wanted, data=bytearray())
+    if incoming is None or not incoming.is_of(message):
+        incoming = IncomingSnapshot(
+            message.term, message.last_index, message.last_term, data=bytearray()
+        )
         replica.incoming_snapshot = incoming
     return incoming
 
--- a/src/orchidpath/consensus/membership.py
+++ b/src/orchidpath/consensus/membership.py
@@ -10,15 +10,15 @@
 from orchidpath.consensus.types import EntryKind, Guard, LogEntry, Membership
 
 
-def append_membership(replica: Replica, wanted: Membership) -> int:
-    """Check a change and append it; it counts from now on.
+def append_membership(replica: Replica, proposed: Membership) -> int:
+    """Check a change and append it; it is in force from its append on.
 
     Parameters
     ----------
     replica
         The leader.
-    wanted
-        The whole new membership.
+    proposed
+        The complete new membership.
 
     Returns
     -------
@@ -28,37 +28,37 @@
     Raises
     ------
     MembershipChangePendingError, LearnerNotCaughtUpError, InvalidMembershipError
-        The change is refused and nothing has changed.
+        The change is rejected and nothing has changed.
     """
-    _check_complete(wanted)
+    _check_complete(proposed)
     if replica.guarded(Guard.SINGLE_MEMBERSHIP_CHANGE):
         _check_nothing_pending(replica)
-        _check_one_voter_differs(replica.log.membership, wanted)
-    _check_new_voters_caught_up(replica, wanted)
+        _check_one_voter_differs(replica.log.membership, proposed)
+    _check_new_voters_caught_up(replica, proposed)
     index = replica.log.last_index + 1
-    payload = encode_membership(wanted)
+    payload = encode_membership(proposed)
     replica.append_entries([LogEntry(index, replica.term, EntryKind.MEMBERSHIP, payload)])
     _adjust_progress(replica)
     return index
 
 
-def _check_complete(wanted: Membership) -> None:
-    members = wanted.members()
-    if not wanted.voters:
+def _check_complete(proposed: Membership) -> None:
+    members = proposed.members()
+    if not proposed.voters:
         raise InvalidMembershipError("a group needs a voter")
     if len(set(members)) != len(members):
         raise InvalidMembershipError("a replica is listed twice")
-    missing = [node for node in members if node not in wanted.addresses]
+    missing = [node for node in members if node not in proposed.addresses]
     if missing:
         raise InvalidMembershipError(f"no address for {', '.join(missing)}")
 
 
 def _check_nothing_pending(replica: Replica) -> None:
-    """Refuse while an earlier change, or every entry of this term, is uncommitted.
+    """Reject while an earlier change, or every entry of this term, is uncommitted.
 
-    Two changes under way could give two majorities with no common voter. A change that an
-    earlier leader left uncommitted is such a one too, and only a committed entry of this
-    leader's own term rules out that it comes back.
+    Two pending changes could give two majorities with no common voter. A change that an
+    earlier leader left uncommitted is pending too, and only a committed entry of this leader's
+    own term rules out that it is replicated again.
     """
     if replica.commit_index < replica.term_start_index:
         raise MembershipChangePendingError("no entry of this term is committed yet")
@@ -66,27 +66,27 @@
         raise MembershipChangePendingError("an earlier change is not committed yet")
 
 
-def _check_one_voter_differs(current: Membership, wanted: Membership) -> None:
+def _check_one_voter_differs(current: Membership, proposed: Membership) -> None:
     """Allow one voter more or less: any two majorities then share a voter."""
-    if len(set(current.voters) ^ set(wanted.voters)) > 1:
+    if len(set(current.voters) ^ set(proposed.voters)) > 1:
         raise InvalidMembershipError("more than one voter differs; change one at a time")
 
 
-def _check_new_voters_caught_up(replica: Replica, wanted: Membership) -> None:
-    """Let a learner vote only when it lacks next to nothing.
+def _check_new_voters_caught_up(replica: Replica, proposed: Membership) -> None:
+    """Promote a learner only when it lacks few entries.
 
-    A voter without the log would raise the majority without being able to help it commit.
+    A voter without the log would raise the quorum without being able to help it commit.
     """
     current = replica.log.membership
     limit = replica.settings.catch_up_max_lag_entries
-    for node in set(wanted.voters) - set(current.voters):
+    for node in set(proposed.voters) - set(current.voters):
         if node not in current.learners:
             raise InvalidMembershipError(f"{node} must be a learner before it votes")
         progress = replica.progress.get(node)
-        held = progress.match_index if progress else 0
-        committed_missing = held < replica.term_start_index
-        if committed_missing or replica.log.last_index - held > limit:
-            raise LearnerNotCaughtUpError(f"{node} holds entries up to {held} only")
+        match_index = progress.match_index if progress else 0
+        lacks_committed = match_index < replica.term_start_index
+        if lacks_committed or replica.log.last_index - match_index > limit:
+            raise LearnerNotCaughtUpError(f"{node} has entries up to {match_index} only")
 
 
 def _adjust_progress(replica: Replica) -> None:
--- a/src/orchidpath/consensus/raft_core.py
+++ b/src/orchidpath/consensus/raft_core.py
@@ -1,22 +1,25 @@
 """The consensus state machine of one replica: no input or output, no clock.
 
 The clock values passed in must come from one monotonic clock that also runs while the machine
-is suspended; otherwise a leader could believe in a lease that has run out meanwhile.
+is suspended; otherwise a leader could rely on a lease that has expired meanwhile.
 """
 
 import random as random_module
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
+from types import MappingProxyType
 from typing import Any
 
-from orchidpath.consensus.effects import Effect, PersistSnapshot
+from orchidpath.consensus import leadership
+from orchidpath.consensus.bootstrap import bootstrap as write_bootstrap
+from orchidpath.consensus.bootstrap import needs_bootstrap
+from orchidpath.consensus.effects import Effect, PersistSnapshot, Proposal, ProposedMembership
 from orchidpath.consensus.election import (
     on_election_timeout,
     on_request_vote,
     on_request_vote_reply,
 )
-from orchidpath.consensus.errors import CompactionError, NotLeaderError
+from orchidpath.consensus.errors import CompactionError
 from orchidpath.consensus.follower import on_append, on_install_snapshot
-from orchidpath.consensus.log import encode_membership
 from orchidpath.consensus.membership import append_membership
 from orchidpath.consensus.raft_messages import (
     AppendEntries,
@@ -33,12 +36,10 @@
     broadcast_append,
     on_append_reply,
     on_snapshot_reply,
-    quorum_silent_seconds,
 )
 from orchidpath.consensus.types import (
     EntryKind,
     Guard,
-    HardState,
     LogEntry,
     Membership,
     RaftSettings,
@@ -48,16 +49,20 @@
     Snapshot,
 )
 
-BOOTSTRAP_TERM = 1
-
-_HANDLERS: dict[type, Callable[[Replica, Any, float], None]] = {
-    RequestVote: on_request_vote,
-    RequestVoteReply: on_request_vote_reply,
-    AppendEntries: on_append,
-    AppendEntriesReply: on_append_reply,
-    InstallSnapshot: on_install_snapshot,
-    InstallSnapshotReply: on_snapshot_reply,
-}
+MessageHandler = Callable[[Replica, Any, float], None]
+"""Processes one type of message at a time, and emits effects on the replica."""
+
+MESSAGE_HANDLERS: Mapping[type, MessageHandler] = MappingProxyType(
+    {
+        RequestVote: on_request_vote,
+        RequestVoteReply: on_request_vote_reply,
+        AppendEntries: on_append,
+        AppendEntriesReply: on_append_reply,
+        InstallSnapshot: on_install_snapshot,
+        InstallSnapshotReply: on_snapshot_reply,
+    }
+)
+"""Handler of every type of message."""
 
 
 class RaftCore:
@@ -97,28 +102,11 @@
         disabled_guards: frozenset[Guard] = frozenset(),
     ) -> None:
         self._replica = Replica(node_id, settings, restored, now, random, disabled_guards)
-        if bootstrap is not None and self._is_new(restored):
-            self._bootstrap(bootstrap)
+        if bootstrap is not None and needs_bootstrap(restored):
+            write_bootstrap(self._replica, bootstrap)
         self._replica.set_role(Role.FOLLOWER, None)
         self._replica.arm_first_election(now)
 
-    def _is_new(self, restored: RestoredState) -> bool:
-        """Return whether nothing was stored, or a crash cut the bootstrap short."""
-        started = restored.hard_state.term > BOOTSTRAP_TERM or restored.entries
-        return not started and restored.snapshot is None
-
-    def _bootstrap(self, membership: Membership) -> None:
-        """Write the first entry, which is the same on every voter of a new group.
-
-        Its term is below that of any election, so all logs agree on it from the start.
-        """
-        if self._replica.node_id not in membership.voters:
-            raise ValueError(f"{self._replica.node_id} is no voter of the new group")
-        self._replica.set_hard_state(HardState(term=BOOTSTRAP_TERM))
-        payload = encode_membership(membership)
-        entry = LogEntry(1, BOOTSTRAP_TERM, EntryKind.MEMBERSHIP, payload)
-        self._replica.append_entries([entry])
-
     @property
     def node_id(self) -> str:
         """Identity of the replica."""
@@ -175,9 +163,9 @@
         return self._replica.log.membership_index <= self._replica.commit_index
 
     def tick(self, now: float) -> list[Effect]:
-        """Let time pass: elections, heartbeats, and a leader's check of its majority."""
+        """Process the passing of time: elections, heartbeats, and a quorum check."""
         replica = self._replica
-        self._observe(now)
+        leadership.observe_clock(self._replica, now)
         if replica.role is Role.LEADER:
             if now >= replica.heartbeat_due_at:
                 broadcast_append(replica, now, heartbeat=True)
@@ -186,23 +174,23 @@
         return replica.take_effects()
 
     def receive(self, message: RaftMessage, now: float) -> list[Effect]:
-        """Take a message from another replica.
+        """Process a message from another replica.
 
         Raises
         ------
         ProtocolViolationError
             The message contradicts the protocol; the replica must stop.
         """
-        self._observe(now)
-        _HANDLERS[type(message)](self._replica, message, now)
+        leadership.observe_clock(self._replica, now)
+        MESSAGE_HANDLERS[type(message)](self._replica, message, now)
         return self._replica.take_effects()
 
-    def propose(self, payloads: Sequence[bytes], now: float) -> tuple[list[int], list[Effect]]:
+    def propose(self, payloads: Sequence[bytes], now: float) -> Proposal:
         """Append commands, in one batch.
 
         Returns
         -------
-        tuple[list[int], list[Effect]]
+        Proposal
             Index of each command, and the effects. A command is committed when an `Apply` shows
             its index with the term that is current now.
 
@@ -222,9 +210,9 @@
         if entries:
             replica.append_entries(entries)
             self._replicate(now)
-        return [entry.index for entry in entries], replica.take_effects()
+        return Proposal([entry.index for entry in entries], replica.take_effects())
 
-    def propose_membership(self, membership: Membership, now: float) -> tuple[int, list[Effect]]:
+    def propose_membership(self, membership: Membership, now: float) -> ProposedMembership:
         """Append a change of the membership by at most one voter.
 
         Raises
@@ -232,31 +220,20 @@
         NotLeaderError
             The replica doesn't lead.
         MembershipChangeError
-            The change is refused; its subclass says why.
+            The change is rejected; its subclass says why.
         """
         self._require_leader(now)
         index = append_membership(self._replica, membership)
         self._replicate(now)
-        return index, self._replica.take_effects()
-
-    def _replicate(self, now: float) -> None:
-        broadcast_append(self._replica, now, heartbeat=False)
-        advance_commit(self._replica, now)
+        return ProposedMembership(index, self._replica.take_effects())
 
     def has_lease(self, now: float) -> bool:
         """Return whether this leader may answer a linearizable read from its applied state.
 
-        A majority has acknowledged an append sent within the lease, and each of its voters
-        refuses votes for longer than that after it received it: nobody else can have been
-        elected. An entry of the current term must be committed, else the leader may not know
-        yet which earlier entries are. The state that is read must have applied
-        `applied_index`, and `now` must have been taken after the read was asked for.
+        The state that is read must have applied `applied_index`, and `now` must have been read
+        after the read was requested; see :func:`.leadership.has_lease`.
         """
-        replica = self._replica
-        if replica.role is not Role.LEADER or replica.commit_index < replica.term_start_index:
-            return False
-        age_seconds = now - replica.quorum_acked_sent_at(now)
-        return age_seconds < replica.settings.leader_lease_seconds
+        return leadership.has_lease(self._replica, now)
 
     def read_barrier(self, now: float) -> ReadTicket:
         """Start a linearizable read; a heartbeat is due at once to confirm the leadership.
@@ -267,10 +244,7 @@
             The replica doesn't lead.
         """
         self._require_leader(now)
-        replica = self._replica
-        replica.heartbeat_due_at = min(replica.heartbeat_due_at, now)
-        index = max(replica.commit_index, replica.term_start_index)
-        return ReadTicket(index=index, term=replica.term, issued_at=now)
+        return leadership.issue_read_ticket(self._replica, now)
 
     def read_is_ready(self, ticket: ReadTicket, now: float) -> bool:
         """Return whether the read of a ticket may run now, on the applied state.
@@ -278,14 +252,9 @@
         Raises
         ------
         NotLeaderError
-            The leadership that issued the ticket is over; ask again.
+            The leadership that issued the ticket is over; start the read again.
         """
-        replica = self._replica
-        if replica.role is not Role.LEADER or replica.term != ticket.term:
-            raise NotLeaderError(replica.leader_id)
-        if replica.commit_index < ticket.index:
-            return False
-        return self.has_lease(now) or replica.quorum_acked_sent_at(now) >= ticket.issued_at
+        return leadership.read_is_ready(self._replica, ticket, now)
 
     def compact(self, snapshot_data: bytes, at_index: int, now: float) -> list[Effect]:
         """Replace the log up to `at_index` by a snapshot of the state machine there.
@@ -296,7 +265,7 @@
             The index isn't applied yet, or is already covered.
         """
         replica = self._replica
-        self._observe(now)
+        leadership.observe_clock(self._replica, now)
         term = replica.log.term_at(at_index)
         if term is None or not replica.log.snapshot_index < at_index <= replica.commit_index:
             raise CompactionError(f"no snapshot possible at {at_index}")
@@ -338,36 +307,9 @@
         return progress.acked_sent_at if progress else float("-inf")
 
     def _require_leader(self, now: float) -> None:
-        self._observe(now)
-        if self._replica.role is not Role.LEADER:
-            raise NotLeaderError(self._replica.leader_id)
+        leadership.observe_clock(self._replica, now)
+        leadership.require_leader(self._replica)
 
-    def _observe(self, now: float) -> None:
-        """Compare the clock with the last activity before anything believed is acted on."""
-        replica = self._replica
-        idle_seconds = now - replica.last_activity
-        replica.last_activity = now
-        if replica.role is Role.LEADER:
-            self._check_leadership(idle_seconds, now)
-            return
-        overdue_seconds = now - replica.election_deadline
-        if overdue_seconds > replica.settings.election_timeout_min_seconds:
-            # The process was frozen: its silence says nothing about the leader.
-            replica.arm_election(now)
-
-    def _check_leadership(self, idle_seconds: float, now: float) -> None:
-        """Step down after a freeze longer than the lease, or without a majority.
-
-        After a freeze another leader may have been elected and have committed; a proposal
-        taken now would only wait to be overwritten. A leader without a majority must tell its
-        callers so, rather than let them wait for a commit that can't come.
-        """
-        replica = self._replica
-        settings = replica.settings
-        lease_over = now - replica.quorum_acked_sent_at(now) > settings.leader_lease_seconds
-        frozen = idle_seconds > settings.leader_lease_seconds and lease_over
-        silent = quorum_silent_seconds(replica, now) >= settings.election_timeout_max_seconds
-        wakes = frozen and replica.guarded(Guard.WAKE_STEP_DOWN)
-        if wakes or (silent and replica.guarded(Guard.CHECK_QUORUM)):
-            replica.become_follower(replica.term, None)
-            replica.arm_election(now)
+    def _replicate(self, now: float) -> None:
+        broadcast_append(self._replica, now, heartbeat=False)
+        advance_commit(self._replica, now)
--- a/src/orchidpath/consensus/replica.py
+++ b/src/orchidpath/consensus/replica.py
@@ -16,7 +16,7 @@
     Send,
 )
 from orchidpath.consensus.log import ReplicaLog
-from orchidpath.consensus.raft_messages import RaftMessage
+from orchidpath.consensus.raft_messages import InstallSnapshot, RaftMessage
 from orchidpath.consensus.types import (
     Guard,
     HardState,
@@ -32,7 +32,7 @@
 
 
 class ProgressMode(enum.Enum):
-    """How a leader feeds one follower."""
+    """How a leader replicates to one follower."""
 
     PROBE = "probe"
     REPLICATE = "replicate"
@@ -40,7 +40,7 @@
 
 
 class Progress(msgspec.Struct):
-    """What a leader knows of one follower.
+    """Replication state of one follower at the leader.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
     probe_outstanding
         A probe with entries was sent; heartbeats repeat it without entries.
     snapshot, snapshot_offset, snapshot_sent_at
-        The snapshot under way, the next chunk, and when that chunk was last sent.
+        The snapshot in transfer, the next chunk, and when that chunk was last sent.
     """
 
     next_index: int
@@ -74,9 +74,22 @@
     last_term: int
     data: bytearray
 
+    def is_of(self, message: InstallSnapshot) -> bool:
+        """Return whether a chunk belongs to this snapshot, sent in this leadership."""
+        return (
+            self.term == message.term
+            and self.last_index == message.last_index
+            and self.last_term == message.last_term
+        )
+
 
 class Replica:
-    """Shared state of one replica; see `RaftCore` for the meaning of the parameters."""
+    """Shared state of one replica; see `RaftCore` for the meaning of the parameters.
+
+    One class for all of it, though it has many fields: this is the state of the Raft paper's
+    figure 2 (term, vote, log, commit index, progress), with the timers and collected votes that
+    its rules read and write together. The rules stand in modules of functions by event.
+    """
 
     def __init__(
         self,
@@ -93,7 +106,7 @@
         self.disabled_guards = disabled_guards
         self.log = ReplicaLog(restored.snapshot, list(restored.entries))
         self.hard_state = restored.hard_state
-        # Only the snapshot is known to be committed; the leader tells the rest again.
+        # Only the snapshot is known to be committed; the leader's appends carry the rest.
         self.commit_index = self.log.snapshot_index
         self.role = Role.FOLLOWER
         self.leader_id: str | None = None
@@ -142,7 +155,7 @@
         self.emit(Send(to, message))
 
     def take_effects(self) -> list[Effect]:
-        """Return the effects gathered since the last call."""
+        """Return the effects emitted since the last call."""
         effects = self._effects
         self._effects = []
         return effects
@@ -150,7 +163,7 @@
     def set_hard_state(self, hard_state: HardState) -> None:
         """Change term and vote, durably before any later effect.
 
-        A vote that a restart forgets could be given twice in a term, which makes two leaders.
+        A vote that a restart loses could be granted twice in a term, which elects two leaders.
         """
         self.hard_state = hard_state
         durable = hard_state
@@ -170,7 +183,7 @@
         self.election_deadline = now + self.random.uniform(shortest, 2 * shortest)
 
     def become_follower(self, term: int, leader_id: str | None) -> None:
-        """Follow in `term`, with no vote given yet if the term is new."""
+        """Become a follower in `term`, with no vote granted yet if the term is new."""
         if term > self.term:
             self.set_hard_state(HardState(term=term, voted_for=None))
         self.votes = set()
@@ -179,7 +192,7 @@
         self.set_role(Role.FOLLOWER, leader_id)
 
     def set_role(self, role: Role, leader_id: str | None) -> None:
-        """Take a role and report it if role, term or leader differs from the last report."""
+        """Change the role, and report it if role, term or leader differs from the last report."""
         if role is Role.FOLLOWER and not self.is_voter:
             role = Role.LEARNER
         self.role = role
@@ -210,11 +223,11 @@
         self.commit_index = index
 
     def quorum_acked_sent_at(self, now: float) -> float:
-        """Return the newest time since which a majority has acknowledged an append.
+        """Return the latest send time whose append a quorum has acknowledged.
 
-        The times are those of the sending, on this replica's clock. The time of the answer's
-        arrival would be wrong: the follower may have heard the leader long before, and its
-        promise not to vote runs from then.
+        Send times are on this replica's clock. The time of the reply's arrival would be unsafe:
+        the follower may have received the append long before, and its promise not to vote runs
+        from then.
         """
         membership = self.log.membership
         times = [self._acked_sent_at(node, now) for node in membership.voters]
--- a/src/orchidpath/consensus/replication.py
+++ b/src/orchidpath/consensus/replication.py
@@ -1,24 +1,26 @@
 """The leader's side of replication: appends, acknowledgements, commit (Raft, section 5.3).
 
 Appends are batched and pipelined: once a follower has confirmed where its log agrees, the
-leader sends on without waiting, up to a window. A lost message shows as a refusal of a later
-one, and the leader goes back to probing.
+leader sends without waiting, up to a window. A lost message causes the rejection of a later
+one, and the leader returns to probing.
 """
 
-import math
-
 from orchidpath.consensus.raft_messages import (
     AppendEntries,
     AppendEntriesReply,
-    InstallSnapshot,
     InstallSnapshotReply,
 )
 from orchidpath.consensus.replica import Progress, ProgressMode, Replica
-from orchidpath.consensus.types import Guard, LogEntry, Role, Snapshot
+from orchidpath.consensus.snapshot_transfer import (
+    send_next_chunk,
+    send_transfer_heartbeat,
+    start_transfer,
+)
+from orchidpath.consensus.types import Guard, LogEntry, Role
 
 
 def broadcast_append(replica: Replica, now: float, heartbeat: bool) -> None:
-    """Send to every other member what it lacks; as a heartbeat also where nothing is new."""
+    """Send to every other member the entries it lacks; as a heartbeat also if it lacks none."""
     if heartbeat:
         replica.heartbeat_due_at = now + replica.settings.heartbeat_seconds
     for node in list(replica.progress):
@@ -26,14 +28,14 @@
 
 
 def send_append(replica: Replica, node: str, now: float, heartbeat: bool) -> None:
-    """Send to one member what it lacks, within its window."""
+    """Send to one member the entries it lacks, within its window."""
     progress = replica.progress[node]
     if progress.mode is ProgressMode.SNAPSHOT:
         if heartbeat:
-            _keep_snapshot_going(replica, node, progress, now)
+            send_transfer_heartbeat(replica, node, progress, now)
         return
     if replica.log.term_at(progress.next_index - 1) is None:
-        _start_snapshot(replica, node, progress, now)
+        start_transfer(replica, node, progress, now)
         return
     if progress.mode is ProgressMode.PROBE:
         _send_probe(replica, node, progress, now, heartbeat)
@@ -63,8 +65,10 @@
     sent = False
     window_end = progress.match_index + replica.settings.max_in_flight_entries
     while progress.next_index <= min(replica.log.last_index, window_end):
-        room = window_end - progress.next_index + 1
-        batch = replica.log.batch_from(progress.next_index, replica.settings.max_batch_bytes, room)
+        window = window_end - progress.next_index + 1
+        batch = replica.log.batch_from(
+            progress.next_index, replica.settings.max_batch_bytes, window
+        )
         _send_entries(replica, node, progress.next_index - 1, batch, now)
         progress.next_index += len(batch)
         sent = True
@@ -86,70 +90,24 @@
     replica.send(node, message)
 
 
-def _start_snapshot(replica: Replica, node: str, progress: Progress, now: float) -> None:
-    """Switch to the snapshot: the entries the follower needs are no longer in the log."""
-    progress.mode = ProgressMode.SNAPSHOT
-    progress.snapshot = replica.log.snapshot
-    progress.snapshot_offset = 0
-    _send_chunk(replica, node, progress, now)
-
-
-def _send_chunk(replica: Replica, node: str, progress: Progress, now: float) -> None:
-    snapshot = progress.snapshot
-    if snapshot is None:
-        return
-    end = progress.snapshot_offset + replica.settings.snapshot_chunk_bytes
-    progress.snapshot_sent_at = now
-    message = InstallSnapshot(
-        sender=replica.node_id,
-        term=replica.term,
-        last_index=snapshot.last_index,
-        last_term=snapshot.last_term,
-        membership=snapshot.membership,
-        offset=progress.snapshot_offset,
-        data=snapshot.data[progress.snapshot_offset : end],
-        done=end >= len(snapshot.data),
-        sent_at=now,
-    )
-    replica.send(node, message)
-
-
-def _keep_snapshot_going(replica: Replica, node: str, progress: Progress, now: float) -> None:
-    """Send an empty append at the start of the log, which any log matches, as the heartbeat.
-
-    A chunk that stays unanswered is sent again.
-    """
-    heartbeat = AppendEntries(
-        sender=replica.node_id,
-        term=replica.term,
-        prev_index=0,
-        prev_term=0,
-        commit_index=0,
-        sent_at=now,
-    )
-    replica.send(node, heartbeat)
-    if now - progress.snapshot_sent_at >= replica.settings.election_timeout_min_seconds:
-        _send_chunk(replica, node, progress, now)
-
-
 def on_append_reply(replica: Replica, message: AppendEntriesReply, now: float) -> None:
-    """Take an acknowledgement or a refusal of an append."""
+    """Process an acknowledgement or a rejection of an append."""
     progress = _progress_for_reply(replica, message.sender, message.term)
     if progress is None:
         return
-    # A refusal counts for the lease too: the follower has accepted this leader and its term.
+    # A rejection counts for the lease too: the follower has accepted this leader and its term.
     _record_contact(replica, progress, message.sent_at, now)
     if message.success:
         _on_append_success(replica, message, progress, now)
     else:
-        _on_append_refused(replica, message, progress, now)
+        _on_append_rejected(replica, message, progress, now)
 
 
 def _progress_for_reply(replica: Replica, sender: str, term: int) -> Progress | None:
     if term > replica.term:
         replica.become_follower(term, None)
         return None
-    # An answer of an earlier term speaks of another leadership, perhaps of another log.
+    # A reply of an earlier term belongs to another leadership, perhaps to another log.
     if replica.role is not Role.LEADER or term < replica.term:
         return None
     return replica.progress.get(sender)
@@ -179,29 +137,29 @@
         send_append(replica, message.sender, now, heartbeat=False)
 
 
-def _on_append_refused(
+def _on_append_rejected(
     replica: Replica, message: AppendEntriesReply, progress: Progress, now: float
 ) -> None:
-    """Go back to where the logs may agree, one term (not one entry) a round trip."""
+    """Move back to where the logs may agree, one term (not one entry) a round trip."""
     if progress.mode is ProgressMode.SNAPSHOT or message.prev_index <= progress.match_index:
         return
     if progress.mode is ProgressMode.PROBE and message.prev_index != progress.next_index - 1:
         return
-    candidate = message.conflict_index
+    next_index = message.conflict_index
     if message.conflict_term > 0:
         # Entries of a later term than the follower's can't match; earlier ones may.
         last = min(message.prev_index, replica.log.last_index)
         shared = replica.log.last_index_at_most_term(last, message.conflict_term)
         if replica.log.term_at(shared) == message.conflict_term:
-            candidate = shared + 1
-    progress.next_index = max(progress.match_index + 1, min(candidate, message.prev_index))
+            next_index = shared + 1
+    progress.next_index = max(progress.match_index + 1, min(next_index, message.prev_index))
     progress.mode = ProgressMode.PROBE
     progress.probe_outstanding = False
     send_append(replica, message.sender, now, heartbeat=True)
 
 
 def on_snapshot_reply(replica: Replica, message: InstallSnapshotReply, now: float) -> None:
-    """Send the next chunk, or go on with entries when the snapshot is durable."""
+    """Send the next chunk, or resume with entries when the snapshot is durable."""
     progress = _progress_for_reply(replica, message.sender, message.term)
     if progress is None:
         return
@@ -210,7 +168,7 @@
     if snapshot is None or snapshot.last_index != message.last_index:
         return
     if not message.installed:
-        _continue_snapshot(replica, message, progress, snapshot, now)
+        send_next_chunk(replica, message.sender, progress, message.next_offset, now)
         return
     progress.snapshot = None
     progress.match_index = max(progress.match_index, message.last_index)
@@ -222,25 +180,11 @@
         send_append(replica, message.sender, now, heartbeat=True)
 
 
-def _continue_snapshot(
-    replica: Replica,
-    message: InstallSnapshotReply,
-    progress: Progress,
-    snapshot: Snapshot,
-    now: float,
-) -> None:
-    # A repeated answer asks for a chunk that is already on its way: send none twice for it.
-    if message.next_offset == progress.snapshot_offset and message.next_offset > 0:
-        return
-    progress.snapshot_offset = min(message.next_offset, len(snapshot.data))
-    _send_chunk(replica, message.sender, progress, now)
-
-
 def advance_commit(replica: Replica, now: float) -> None:
     """Commit what a majority of the voters holds durably.
 
     The leader's own entries count at once: its `PersistEntries` runs before the sends, so any
-    acknowledgement comes after its own copy is durable. Only an entry of the current term
+    acknowledgement arrives after its own replica is durable. Only an entry of the current term
     commits by counting; earlier ones follow from it. A majority that holds an older entry can
     still lose it to a leader with a later last term (Raft, section 5.4.2).
     """
@@ -275,9 +219,3 @@
         return
     broadcast_append(replica, now, heartbeat=True)
     replica.become_follower(replica.term, None)
-
-
-def quorum_silent_seconds(replica: Replica, now: float) -> float:
-    """Return for how long a leader has had no majority, counted at most from its election."""
-    since = max(replica.quorum_acked_sent_at(now), replica.became_leader_at)
-    return now - since if since > -math.inf else math.inf
--- a/src/orchidpath/consensus/restart_votes.py
+++ b/src/orchidpath/consensus/restart_votes.py
@@ -1,12 +1,12 @@
 """Votes of replicas that have just restarted.
 
-A leader's lease rests on followers that refuse votes for a while after they heard it, and a
-restarted replica has forgotten when that was. So it refuses for as long after its start, which
-costs a group whose replicas all restarted together its first election.
+A leader's lease depends on followers that refuse votes for the shortest election timeout after an
+append, and a restart loses the time of the last append. So a restarted replica refuses votes for as
+long after its start, which delays the first election of a group that restarted together.
 
-That wait is over sooner when nobody can hold a lease: when the candidate, which has heard no leader
-since its start, is told by every voter that it does not lead. A leader that is elected after its
-answer does no harm: it holds a lease only once an entry of its term is on a majority, and the
+The wait ends earlier when nobody can hold a lease: when the candidate, which has received no append
+since its start, has a reply of every voter that it does not lead. A leader that is elected after
+its reply is safe: it holds a lease only once an entry of its term is on a majority, and the
 candidate lacks that entry, so a voter of that majority refuses it.
 """
 
@@ -16,7 +16,7 @@
 
 
 def must_wait(replica: Replica, now: float) -> bool:
-    """Return whether a promise made before the restart may still bind this replica."""
+    """Return whether a promise not to vote, made before the restart, may still hold."""
     window = replica.settings.election_timeout_min_seconds
     return replica.guarded(Guard.RESTART_VOTE_DELAY) and now - replica.started_at < window
 
@@ -30,12 +30,12 @@
 
 
 def is_answer_to_this_run(replica: Replica, start_id: int) -> bool:
-    """Return whether a voter's word is not one that it gave before this replica restarted."""
+    """Return whether a voter's reply answers a request of this run, not of one before a restart."""
     return start_id == replica.start_id or not replica.guarded(Guard.START_ID_MATCH)
 
 
 def nobody_holds_a_lease(replica: Replica) -> bool:
-    """Return whether every voter has answered a pre-vote, and the last leader is among them."""
+    """Return whether every voter has replied to a pre-vote, and the last leader is among them."""
     if replica.last_leader_contact >= replica.started_at:
         return False
     answered = replica.votes | replica.idle_voters
@@ -45,9 +45,9 @@
 
 
 def _last_leader_votes(replica: Replica) -> bool:
-    """Return whether the leader of the log's last term is a voter, so that it was asked.
+    """Return whether the leader of the log's last term is a voter, so that it was queried.
 
-    One that has removed itself leads on until that is committed.
+    A leader that has removed itself leads until its removal is committed.
     """
     log = replica.log
     if log.membership_index <= replica.commit_index:
--- a/src/orchidpath/simulation/raft/group.py
+++ b/src/orchidpath/simulation/raft/group.py
@@ -26,6 +26,7 @@
 from orchidpath.simulation.raft.group_checks import History, InvariantViolationError, LeaseView
 from orchidpath.simulation.raft.group_faults import (
     FIRST_VOTERS,
+    GroupFault,
     draw_fault_plan,
     draw_membership,
     links_between,
@@ -33,8 +34,8 @@
 from orchidpath.simulation.raft.group_machine import Machine
 
 MACHINE_COUNT = 5
-DEFAULT_CHAOS_SECONDS = 10.0
-SETTLE_SECONDS = 8.0
+DEFAULT_FAULT_SECONDS = 10.0
+CONVERGENCE_SECONDS = 8.0
 COMMIT_SECONDS = 2.0
 READ_INTERVAL_SECONDS = 0.15
 LATE_MESSAGE_SECONDS = 2.5
@@ -63,26 +64,26 @@
     seed
         Determines everything that happens.
     disabled_guards
-        Safety rules to leave out, to see that the checks notice.
-    chaos_seconds
-        For how long faults strike; the group must then recover by itself.
+        Safety rules to disable, to verify that the checks detect it.
+    fault_seconds
+        How long faults are injected, in seconds; the group must then recover by itself.
     """
 
     def __init__(
         self,
         seed: int,
         disabled_guards: frozenset[Guard] = frozenset(),
-        chaos_seconds: float = DEFAULT_CHAOS_SECONDS,
+        fault_seconds: float = DEFAULT_FAULT_SECONDS,
     ) -> None:
         self.time = 0.0
         self.history = History()
         self._random = random_module.Random(seed)
         self._plan = draw_fault_plan(self._random)
-        self._chaos_seconds = chaos_seconds
+        self._fault_seconds = fault_seconds
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = itertools.count()
-        self._cut_links: set[tuple[str, str]] = set()
-        self._chaos = True
+        self._blocked_links: set[tuple[str, str]] = set()
+        self._faults_active = True
         self._proposal_count = 0
         voters = tuple(f"m{number}-1" for number in range(FIRST_VOTERS))
         self._bootstrap = Membership(voters, (), {node: node for node in voters})
@@ -104,10 +105,10 @@
 
     def transmit(self, sender: str, receiver: str, message: RaftMessage) -> None:
         """Carry a message, or lose it, late, or twice."""
-        if self._chaos and self._random.random() < self._plan.loss:
+        if self._faults_active and self._random.random() < self._plan.loss:
             return
         copies = 1
-        if self._chaos and self._random.random() < self._plan.duplication:
+        if self._faults_active and self._random.random() < self._plan.duplication:
             copies = 2
         for _ in range(copies):
             action = self._delivery(sender, receiver, message)
@@ -115,7 +116,7 @@
 
     def _delivery(self, sender: str, receiver: str, message: RaftMessage) -> Callable[[], None]:
         def deliver() -> None:
-            if (_machine_name(sender), _machine_name(receiver)) in self._cut_links:
+            if (_machine_name(sender), _machine_name(receiver)) in self._blocked_links:
                 return
             for machine in self.machines:
                 if machine.identity == receiver:
@@ -124,7 +125,7 @@
         return deliver
 
     def _draw_delay(self) -> float:
-        if self._chaos and self._random.random() < self._plan.late:
+        if self._faults_active and self._random.random() < self._plan.late:
             return self._random.uniform(0, LATE_MESSAGE_SECONDS)
         return self._random.uniform(0.001, self._plan.slow_delay_seconds)
 
@@ -139,10 +140,10 @@
         self._start_all()
         self._repeat(self._plan.proposal_interval_seconds, self._propose)
         self._repeat(READ_INTERVAL_SECONDS, self._read)
-        self._repeat(self._plan.interval_seconds, self._strike)
-        self._run_until(self._chaos_seconds)
-        self._end_chaos()
-        end = self._chaos_seconds + SETTLE_SECONDS
+        self._repeat(self._plan.interval_seconds, self._inject_fault)
+        self._run_until(self._fault_seconds)
+        self._end_faults()
+        end = self._fault_seconds + CONVERGENCE_SECONDS
         self._run_until(end - COMMIT_SECONDS)
         proposed = [m.core.last_index for m in self._leaders() if m.core is not None]
         self._run_until(end)
@@ -187,38 +188,38 @@
     def _leaders(self) -> list[Machine]:
         return [m for m in self.machines if m.core is not None and m.core.role is Role.LEADER]
 
-    def _strike(self) -> None:
-        if not self._chaos:
+    def _inject_fault(self) -> None:
+        if not self._faults_active:
             self._repair_membership()
             return
         faults = {
-            "cut": self._cut,
-            "cut_one_way": self._cut_one_way,
-            "heal": self._cut_links.clear,
-            "kill": self._kill_one,
-            "kill_most": self._kill_most,
-            "freeze": self._freeze_one,
-            "slow_disk": self._slow_disk,
-            "disk_error": self._fail_disk,
-            "membership": self._change_membership,
-            "lose_disk": self._lose_disk,
+            GroupFault.PARTITION: self._partition,
+            GroupFault.ONE_WAY_PARTITION: self._partition_one_way,
+            GroupFault.HEAL_NETWORK: self._blocked_links.clear,
+            GroupFault.KILL: self._kill_one,
+            GroupFault.KILL_MOST: self._kill_most,
+            GroupFault.FREEZE: self._freeze_one,
+            GroupFault.SLOW_DISK: self._slow_disk,
+            GroupFault.DISK_ERROR: self._fail_disk,
+            GroupFault.MEMBERSHIP_CHANGE: self._change_membership,
+            GroupFault.DISK_LOSS: self._lose_disk,
         }
-        names = list(self._plan.weights)
-        name = self._random.choices(names, [self._plan.weights[n] for n in names])[0]
-        faults[name]()
+        kinds = list(self._plan.weights)
+        kind = self._random.choices(kinds, list(self._plan.weights.values()))[0]
+        faults[kind]()
 
-    def _cut(self) -> None:
+    def _partition(self) -> None:
         names = {machine.name for machine in self.machines}
         side = set(self._random.sample(sorted(names), self._random.randint(1, 2)))
-        self._cut_for_a_while(links_between(side, names - side))
+        self._block_links(links_between(side, names - side))
 
-    def _cut_for_a_while(self, links: set[tuple[str, str]]) -> None:
-        self._cut_links |= links
+    def _block_links(self, links: set[tuple[str, str]]) -> None:
+        self._blocked_links |= links
         duration_seconds = self._random.uniform(0.2, 3.0)
-        self.schedule(duration_seconds, lambda: self._cut_links.difference_update(links))
+        self.schedule(duration_seconds, lambda: self._blocked_links.difference_update(links))
 
-    def _cut_one_way(self) -> None:
-        """Cut one direction: to one machine, to all, or from all."""
+    def _partition_one_way(self) -> None:
+        """Block one direction: to one machine, to all, or from all."""
         machine = self._pick()
         others = [other for other in self.machines if other is not machine]
         kind = self._random.choice(("pair", "mute", "deaf"))
@@ -226,10 +227,10 @@
             others = [self._random.choice(others)]
         outgoing = {(machine.name, other.name) for other in others}
         incoming = {(other.name, machine.name) for other in others}
-        self._cut_for_a_while(incoming if kind == "deaf" else outgoing)
+        self._block_links(incoming if kind == "deaf" else outgoing)
 
     def _pick(self) -> Machine:
-        """Prefer the leader now and then: most faults hurt most there."""
+        """Prefer the leader at times, where most faults have the largest effect."""
         leaders = self._leaders()
         if leaders and self._random.random() < 0.4:
             return self._random.choice(leaders)
@@ -260,7 +261,7 @@
     def _slow_disk(self) -> None:
         machine = self._pick()
         machine.sync_seconds = self._random.choice((0.02, 0.1, 0.4))
-        self.schedule(self._random.uniform(0.2, 2.0), machine.speed_disk_up)
+        self.schedule(self._random.uniform(0.2, 2.0), machine.reset_disk_latency)
 
     def _fail_disk(self) -> None:
         machine = self._pick()
@@ -268,9 +269,9 @@
             machine.files.sync_fails = True
         else:
             machine.files.capacity_bytes = 0
-        self.schedule(self._random.uniform(0.1, 1.0), lambda: self._mend_disk(machine))
+        self.schedule(self._random.uniform(0.1, 1.0), lambda: self._repair_disk(machine))
 
-    def _mend_disk(self, machine: Machine) -> None:
+    def _repair_disk(self, machine: Machine) -> None:
         machine.files.sync_fails = False
         machine.files.capacity_bytes = None
         self._restart(machine)
@@ -298,28 +299,28 @@
         return {machine.identity for machine in self.machines if machine.identity}
 
     def _change_membership(self) -> None:
-        """Change the membership; now and then the leader is cut off from the other voters."""
+        """Change the membership; at times the leader is partitioned from the other voters."""
         for leader in self._leaders():
             if leader.core is not None and self._random.random() < 0.3:
-                self._cut_off_voters(leader, leader.core.membership)
+                self._partition_from_voters(leader, leader.core.membership)
             leader.submit(self._propose_membership)
 
-    def _cut_off_voters(self, leader: Machine, membership: Membership) -> None:
+    def _partition_from_voters(self, leader: Machine, membership: Membership) -> None:
         voters = {m.name for m in self.machines if m.identity in membership.voters}
         voters.discard(leader.name)
         rest = {m.name for m in self.machines} - voters
-        self._cut_for_a_while(links_between(rest, voters))
+        self._block_links(links_between(rest, voters))
 
     def _propose_membership(self, core: RaftCore, now: float) -> list[Effect]:
-        wanted = draw_membership(core.membership, self._identities(), self._random)
+        proposed = draw_membership(core.membership, self._identities(), self._random)
         try:
-            _, effects = core.propose_membership(wanted, now)
+            _, effects = core.propose_membership(proposed, now)
         except (NotLeaderError, MembershipChangeError):
             return []
         return effects
 
     def _repair_membership(self) -> None:
-        """After the chaos, let lost replicas be removed and new ones join."""
+        """After the faults, let lost replicas be removed and new ones join."""
         for leader in self._leaders():
             core = leader.core
             if core is None:
@@ -327,12 +328,12 @@
             if set(core.membership.members()) != self._identities():
                 leader.submit(self._propose_membership)
 
-    def _end_chaos(self) -> None:
-        self._chaos = False
-        self._cut_links.clear()
+    def _end_faults(self) -> None:
+        self._faults_active = False
+        self._blocked_links.clear()
         for machine in self.machines:
-            machine.speed_disk_up()
-            self._mend_disk(machine)
+            machine.reset_disk_latency()
+            self._repair_disk(machine)
 
     def _check_recovered(self, required_index: int) -> None:
         """Check that the group serves again, has committed, and that all replicas follow."""
@@ -356,10 +357,10 @@
 def run_seed(
     seed: int,
     disabled_guards: frozenset[Guard] = frozenset(),
-    chaos_seconds: float = DEFAULT_CHAOS_SECONDS,
+    fault_seconds: float = DEFAULT_FAULT_SECONDS,
 ) -> SeedResult:
-    """Run one seed and return what came of it."""
-    cluster = Cluster(seed, disabled_guards, chaos_seconds)
+    """Run one seed and return its outcome."""
+    cluster = Cluster(seed, disabled_guards, fault_seconds)
     violation = None
     try:
         cluster.run()
@@ -371,7 +372,7 @@
 
 @click.command()
 @click.option("--seeds", required=True, help="First and last seed, as A..B.")
-@click.option("--seconds", default=DEFAULT_CHAOS_SECONDS, help="How long faults strike.")
+@click.option("--seconds", default=DEFAULT_FAULT_SECONDS, help="How long faults are injected.")
 @click.option("--disable", multiple=True, type=click.Choice([guard.value for guard in Guard]))
 def main(seeds: str, seconds: float, disable: tuple[str, ...]) -> None:
     """Run seeds A..B, both included, and print the ones that break an invariant."""
--- a/src/orchidpath/simulation/raft/group_checks.py
+++ b/src/orchidpath/simulation/raft/group_checks.py
@@ -1,7 +1,7 @@
-"""What must hold of every history of a replica group, whatever fails meanwhile.
+"""Invariants of every history of a replica group, whatever fails meanwhile.
 
 The checks read what replicas send, apply and answer, and compare replicas with each other; no
-replica's own opinion of its state is taken for true.
+replica's own view of its state is trusted.
 """
 
 import crc32c
@@ -43,13 +43,13 @@
         """Last index that any replica has applied."""
         return len(self._digest_at) - 1
 
-    def note_leader(self, term: int, node: str) -> None:
+    def record_leader(self, term: int, node: str) -> None:
         """Check that a term has one leader."""
         known = self.leader_of_term.setdefault(term, node)
         if known != node:
             raise InvariantViolationError(f"term {term} has two leaders: {known}, {node}")
 
-    def note_vote(self, term: int, voter: str, candidate: str) -> None:
+    def record_vote(self, term: int, voter: str, candidate: str) -> None:
         """Check that a replica votes once in a term, across its restarts."""
         known = self._vote_of.setdefault((term, voter), candidate)
         if known != candidate:
@@ -57,14 +57,14 @@
                 f"{voter} voted for {known} and for {candidate} in term {term}"
             )
 
-    def note_state(self, node: str, index: int, digest: int) -> None:
+    def record_state(self, node: str, index: int, digest: int) -> None:
         """Check that all replicas have the same state after the same index."""
         known = self._digest_at.setdefault(index, digest)
         if known != digest:
             raise InvariantViolationError(f"{node} differs at committed entry {index}")
 
-    def note_acknowledged(self, index: int) -> None:
-        """Remember that a caller was told that the entry at `index` is committed."""
+    def record_acknowledged(self, index: int) -> None:
+        """Record that a caller was notified that the entry at `index` is committed."""
         self.acknowledged_index = max(self.acknowledged_index, index)
 
     def check_read(self, node: str, read_index: int, required_index: int) -> None:
--- a/src/orchidpath/simulation/raft/group_faults.py
+++ b/src/orchidpath/simulation/raft/group_faults.py
@@ -1,5 +1,6 @@
-"""Which faults and membership changes a seed brings upon a replica group."""
+"""Which faults and membership changes a seed injects into a replica group."""
 
+import enum
 import random as random_module
 
 import msgspec
@@ -9,8 +10,36 @@
 FIRST_VOTERS = 3
 
 
+class GroupFault(enum.Enum):
+    """What may happen to a replica group."""
+
+    PARTITION = "partition"
+    ONE_WAY_PARTITION = "one_way_partition"
+    HEAL_NETWORK = "heal_network"
+    KILL = "kill"
+    KILL_MOST = "kill_most"
+    FREEZE = "freeze"
+    SLOW_DISK = "slow_disk"
+    DISK_ERROR = "disk_error"
+    MEMBERSHIP_CHANGE = "membership_change"
+    DISK_LOSS = "disk_loss"
+
+
+# In this order, since a seed's draws depend on it.
+_COMMON_KINDS = (
+    GroupFault.PARTITION,
+    GroupFault.ONE_WAY_PARTITION,
+    GroupFault.HEAL_NETWORK,
+    GroupFault.KILL,
+    GroupFault.KILL_MOST,
+    GroupFault.FREEZE,
+    GroupFault.SLOW_DISK,
+    GroupFault.DISK_ERROR,
+)
+
+
 class FaultPlan(msgspec.Struct, frozen=True):
-    """How badly the network of one seed behaves, and how often each fault strikes."""
+    """Loss and delays of one seed's network, and how often each fault occurs."""
 
     loss: float
     duplication: float
@@ -18,16 +47,15 @@
     slow_delay_seconds: float
     interval_seconds: float
     proposal_interval_seconds: float
-    weights: dict[str, float]
+    weights: dict[GroupFault, float]
 
 
 def draw_fault_plan(random: random_module.Random) -> FaultPlan:
     """Draw a mix of faults; some seeds leave some faults out so that others get further."""
-    names = ("cut", "cut_one_way", "heal", "kill", "kill_most", "freeze", "slow_disk", "disk_error")
-    weights = {name: random.choice((0.0, 1.0, 4.0)) for name in names}
-    weights["heal"] = 1.0
-    weights["membership"] = random.choice((0.0, 2.0, 4.0))
-    weights["lose_disk"] = random.choice((0.0, 0.0, 1.0))
+    weights = {kind: random.choice((0.0, 1.0, 4.0)) for kind in _COMMON_KINDS}
+    weights[GroupFault.HEAL_NETWORK] = 1.0
+    weights[GroupFault.MEMBERSHIP_CHANGE] = random.choice((0.0, 2.0, 4.0))
+    weights[GroupFault.DISK_LOSS] = random.choice((0.0, 0.0, 1.0))
     return FaultPlan(
         loss=random.choice((0.0, 0.02, 0.15)),
         duplication=random.choice((0.0, 0.05, 0.2)),
@@ -52,7 +80,7 @@
 ) -> Membership:
     """Draw a change; removing a lost replica comes first, or the group could get stuck.
 
-    Now and then the change concerns several voters at once, which must be refused.
+    At times the change concerns several voters at once, which must be rejected.
 
     Parameters
     ----------
--- a/src/orchidpath/simulation/raft/group_machine.py
+++ b/src/orchidpath/simulation/raft/group_machine.py
@@ -92,7 +92,7 @@
         self.core: RaftCore | None = None
         self.frozen = False
         self.sync_seconds = 0.0
-        self.read_tickets: list[PendingRead] = []
+        self.pending_reads: list[PendingRead] = []
         self._settings = settings
         self._network = network
         self._history = history
@@ -129,7 +129,7 @@
         self.identity = self._storage.identity
         self._effects.clear()
         self._inbox.clear()
-        self.read_tickets.clear()
+        self.pending_reads.clear()
         self._proposed.clear()
         self._syncing = False
         self.frozen = False
@@ -171,8 +171,8 @@
         except StorageError:
             return
 
-    def speed_disk_up(self) -> None:
-        """Let syncs return at once again."""
+    def reset_disk_latency(self) -> None:
+        """Let syncs return immediately again."""
         self.sync_seconds = 0.0
 
     def lose_disk(self) -> None:
@@ -201,10 +201,10 @@
         self._drain()
 
     def _check_wake(self, core: RaftCore) -> None:
-        """Check that a leader that slept longer than its lease takes no proposal."""
-        slept_seconds = self.now - self._frozen_at
+        """Check that a leader frozen for longer than its lease accepts no proposal."""
+        frozen_seconds = self.now - self._frozen_at
         leads_others = core.role is Role.LEADER and core.membership.voters != (self.identity,)
-        if not leads_others or slept_seconds <= self._settings.leader_lease_seconds:
+        if not leads_others or frozen_seconds <= self._settings.leader_lease_seconds:
             return
         try:
             core.propose([b"after a freeze"], self.now)
@@ -213,7 +213,7 @@
         raise InvariantViolationError(f"{self.identity} took a proposal after a freeze")
 
     def deliver(self, message: RaftMessage) -> None:
-        """Take a message from the network."""
+        """Process a message from the network."""
         self.submit(lambda core, now: core.receive(message, now))
 
     def submit(self, event: Event) -> None:
@@ -231,13 +231,13 @@
             return
         self._effects.extend(event(core, self.now))
         if core.role is Role.LEADER:
-            self._history.note_leader(core.term, self.identity)
-        self._poll_reads(core)
+            self._history.record_leader(core.term, self.identity)
+        self._check_pending_reads(core)
         self._schedule_tick()
         self._drain()
 
     def propose(self, payload: bytes) -> None:
-        """Propose a command as a caller would, and remember it for its acknowledgement."""
+        """Propose a command as a caller would, and record it for its acknowledgement."""
         self.submit(lambda core, now: self._propose(core, payload, now))
 
     def _propose(self, core: RaftCore, payload: bytes, now: float) -> list[Effect]:
@@ -257,12 +257,12 @@
             ticket = core.read_barrier(now)
         except NotLeaderError:
             return []
-        self.read_tickets.append(PendingRead(ticket, self._history.acknowledged_index))
+        self.pending_reads.append(PendingRead(ticket, self._history.acknowledged_index))
         return []
 
-    def _poll_reads(self, core: RaftCore) -> None:
+    def _check_pending_reads(self, core: RaftCore) -> None:
         waiting: list[PendingRead] = []
-        for read in self.read_tickets:
+        for read in self.pending_reads:
             try:
                 ready = core.read_is_ready(read.ticket, self.now)
             except NotLeaderError:
@@ -271,7 +271,7 @@
                 self._history.check_read(self.identity, core.commit_index, read.required_index)
             else:
                 waiting.append(read)
-        self.read_tickets = waiting
+        self.pending_reads = waiting
 
     def _schedule_tick(self) -> None:
         """Keep one timer; it looks at the deadline anew when it fires."""
@@ -292,7 +292,7 @@
             self._handle(lambda core, now: core.tick(now))
 
     def _drain(self) -> None:
-        """Execute effects in order; nothing passes a sync that has not returned."""
+        """Execute effects in order; no effect runs before a sync that precedes it has returned."""
         while self._effects and not self._syncing and not self.frozen and self.core is not None:
             effect = self._effects[0]
             if isinstance(effect, PersistEffect) and self.sync_seconds > 0:
@@ -350,9 +350,9 @@
     def _send(self, effect: Send) -> None:
         message = effect.message
         if isinstance(message, RequestVote) and not message.pre_vote:
-            self._history.note_vote(message.term, self.identity, self.identity)
+            self._history.record_vote(message.term, self.identity, self.identity)
         if isinstance(message, RequestVoteReply) and message.granted and not message.pre_vote:
-            self._history.note_vote(message.term, self.identity, effect.to)
+            self._history.record_vote(message.term, self.identity, effect.to)
         self._network.transmit(self.identity, effect.to, message)
 
     def _apply(self, entry: LogEntry) -> None:
@@ -360,9 +360,9 @@
             raise InvariantViolationError(f"{self.identity} applied {entry.index} out of order")
         self._applied_index = entry.index
         self._digest = next_digest(self._digest, entry)
-        self._history.note_state(self.identity, entry.index, self._digest)
+        self._history.record_state(self.identity, entry.index, self._digest)
         if self._proposed.pop(entry.index, None) == entry.term and entry.kind is EntryKind.COMMAND:
-            self._history.note_acknowledged(entry.index)
+            self._history.record_acknowledged(entry.index)
         self._maybe_compact()
 
     def _apply_snapshot(self, snapshot: Snapshot) -> None:
@@ -371,7 +371,7 @@
             raise InvariantViolationError(f"{self.identity} took a wrong snapshot")
         self._applied_index = state.index
         self._digest = state.digest
-        self._history.note_state(self.identity, state.index, state.digest)
+        self._history.record_state(self.identity, state.index, state.digest)
 
     def _maybe_compact(self) -> None:
         core = self.core
