--- a/tests/circuit/circuit_builders.py
+++ b/tests/circuit/circuit_builders.py
@@ -9,6 +9,7 @@
     apply_capacity_transition,
     apply_circuit_transition,
 )
+from orchidpath.circuit.worker_circuit import WorkerCircuit
 from orchidpath.wire.configuration import CircuitPolicy
 from orchidpath.wire.messages import (
     AttemptEffect,
@@ -18,7 +19,13 @@
     DecisionRequest,
     StageCandidates,
 )
-from orchidpath.wire.records import CapacityRecord, CircuitRecord, Stage, WorkerRecord
+from orchidpath.wire.records import (
+    CapacityRecord,
+    CircuitRecord,
+    CircuitStatus,
+    Stage,
+    WorkerRecord,
+)
 
 POLICY = CircuitPolicy()
 
@@ -69,6 +76,21 @@
     )
 
 
+def circuit_in(status: CircuitStatus, duration_seconds: float = 10.0) -> WorkerCircuit:
+    """Return the circuit of worker "w" in a status, at generation 7 after two reopenings."""
+    circuit = WorkerCircuit("w")
+    record = CircuitRecord(
+        worker_id="w",
+        status=status,
+        generation=7,
+        reopenings=2,
+        duration_seconds=duration_seconds,
+        probe_owner="owner" if status is CircuitStatus.HALF_OPEN else "",
+    )
+    circuit.accept(record, 0.0)
+    return circuit
+
+
 class AgreedTable:
     """A circuit table with the agreed records of a log that commits every proposal at once."""
 
--- a/tests/consensus/test_consensus_cluster.py
+++ b/tests/consensus/test_consensus_cluster.py
@@ -21,7 +21,7 @@
 
 
 # No seed tried so far provokes COMMIT_ONLY_CURRENT_TERM, START_ID_MATCH or LAST_LEADER_ANSWERS:
-# scripted tests in test_consensus_core.py show that they matter. So they do for PRE_VOTE and
+# scripted tests in test_consensus_*.py show that they matter. So they do for PRE_VOTE and
 # CHECK_QUORUM, which protect availability and no invariant.
 @pytest.mark.parametrize(
     ("guard", "seeds"),
--- /dev/null
+++ b/tests/consensus/test_consensus_restart_votes.py
@@ -0,0 +1,148 @@
+"""Votes of replicas that have just restarted."""
+
+import msgspec
+import pytest
+from consensus_builders import Group, membership
+
+from orchidpath.consensus.raft_messages import (
+    RequestVote,
+    RequestVoteReply,
+)
+from orchidpath.consensus.types import (
+    Guard,
+    HardState,
+    Role,
+)
+
+
+@pytest.mark.parametrize("off", [None, Guard.RESTART_VOTE_DELAY])
+def test_a_lease_outlives_the_restart_of_a_follower(off: Guard | None) -> None:
+    """The leader's lease rests on b; b restarts and is asked for its vote by c."""
+    group = Group(off=off)
+    leader = group.elect("a", 2.0)
+    group.propose("a", 1, 3.0 - 0.9)
+    group.deliver(2.1)
+    group.tick("a", 2.2)
+    group.deliver(2.2)
+    group.start("b", 2.25)
+    request = RequestVote("c", leader.term + 1, False, 3, leader.term)
+    group.run("b", group.cores["b"].receive(request, 2.3))
+    voted = group.hard_states["b"].voted_for == "c"
+    assert leader.has_lease(2.3)
+    assert voted is (off is not None)
+    group.run("b", group.cores["b"].receive(request, 2.9))
+    assert group.hard_states["b"].voted_for == "c"
+
+
+def restart_all(group: Group, now: float) -> None:
+    """Lose every process at once, and whatever was on its way."""
+    group.outbox.clear()
+    for name in tuple(group.cores):
+        group.start(name, now)
+
+
+def test_a_group_that_restarts_together_elects_without_the_wait() -> None:
+    group = Group()
+    group.elect("a", 2.0)
+    group.propose("a", 3, 2.1)
+    group.deliver(2.1)
+    restart_all(group, 5.0)
+    group.tick("b", 5.2)
+    group.deliver(5.2)
+    assert group.role("b") is Role.LEADER
+    assert group.cores["b"].has_lease(5.2)
+
+
+def test_a_restarted_group_with_a_missing_voter_waits() -> None:
+    group = Group()
+    group.elect("a", 2.0)
+    group.deliver(2.1)
+    restart_all(group, 5.0)
+    del group.cores["a"]
+    group.tick("b", 5.2)
+    group.deliver(5.2)
+    assert group.role("b") is Role.PRE_CANDIDATE
+    group.elect("b", 5.7)
+
+
+def test_restarted_followers_leave_a_living_leader_its_lease() -> None:
+    group = Group()
+    leader = group.elect("a", 2.0)
+    group.tick("a", 2.2)
+    group.deliver(2.2)
+    group.start("b", 2.25)
+    group.start("c", 2.25)
+    group.tick("b", 2.45)
+    group.tick("c", 2.45)
+    group.deliver(2.45)
+    assert leader.role is Role.LEADER
+    assert leader.has_lease(2.5)
+    assert Role.LEADER not in {group.role("b"), group.role("c")}
+
+
+@pytest.mark.parametrize("off", [None, Guard.START_ID_MATCH])
+def test_what_a_voter_said_to_an_earlier_run_counts_for_nothing(off: Guard | None) -> None:
+    """a tells c that it does not lead, is elected, and c restarts before it gets that word."""
+    group = Group(off=off)
+    group.elect("a", 2.0)
+    group.deliver(2.1)
+    restart_all(group, 5.0)
+    group.tick("c", 5.2)
+    group.deliver(5.2, lambda _, receiver, __: receiver == "a", rounds=1)
+    [(_, _, late_word)] = group.outbox
+    assert isinstance(late_word, RequestVoteReply)
+    group.outbox.clear()
+    leader = group.elect("a", 5.7)
+    group.tick("a", 5.8)
+    group.deliver(5.8)
+    group.start("b", 5.85)
+    group.start("c", 5.85)
+    group.outbox.clear()
+    group.tick("c", 6.02)
+    late = msgspec.structs.replace(late_word, term=group.cores["c"].term)
+    group.run("c", group.cores["c"].receive(late, 6.03))
+    group.deliver(6.04, lambda sender, receiver, _: "a" not in (sender, receiver))
+    assert leader.has_lease(6.05)
+    assert (group.role("c") is Role.LEADER) is (off is not None)
+
+
+def test_an_answer_from_before_an_election_harms_no_lease() -> None:
+    """c has the word of all, a is elected meanwhile: whoever holds a's entry refuses c."""
+    group = Group()
+    group.elect("a", 2.0)
+    group.deliver(2.1)
+    group.hard_states["c"] = HardState(term=group.cores["a"].term + 1)
+    restart_all(group, 5.0)
+    group.tick("c", 5.2)
+    group.deliver(5.2, rounds=2)
+    [request] = [message for _, to, message in group.outbox if to == "b"]
+    assert isinstance(request, RequestVote)
+    assert request.nobody_leads
+    group.outbox.clear()
+    del group.cores["c"]
+    leader = group.elect("a", 5.7)
+    group.start("b", 5.75)
+    group.run("b", group.cores["b"].receive(request, 5.8))
+    assert leader.has_lease(5.8)
+    assert group.hard_states["b"].voted_for != "c"
+
+
+@pytest.mark.parametrize("off", [None, Guard.LAST_LEADER_ANSWERS])
+def test_a_leader_that_removed_itself_keeps_its_lease(off: Guard | None) -> None:
+    """a's successors restart before a knows that its removal is committed."""
+    group = Group(off=off)
+    leader = group.elect("a", 2.0)
+    group.tick("a", 2.1)
+    group.deliver(2.1)
+    group.change("a", membership("bc"), 2.2)
+    group.deliver(2.2, lambda sender, _, __: sender == "a")
+    group.outbox.clear()
+    group.tick("a", 2.25)
+    assert leader.has_lease(2.3)
+    group.start("b", 2.3)
+    group.start("c", 2.3)
+    group.outbox.clear()
+    group.tick("c", 2.46)
+    group.deliver(2.46, lambda sender, receiver, _: "a" not in (sender, receiver))
+    assert leader.has_lease(2.46)
+    assert (group.role("c") is Role.LEADER) is (off is not None)
