--- a/src/orchidpath/simulation/raft/__init__.py
+++ b/src/orchidpath/simulation/raft/__init__.py
@@ -1,5 +1,5 @@
 """A replica group alone under faults, in virtual time.
 
-Begin with :mod:`.group`; what must hold is in :mod:`.group_checks`. Imported by
+Start with :mod:`.group`; the invariants are in :mod:`.invariants`. Imported by
 :mod:`orchidpath.simulation` and its command only.
 """
--- a/src/orchidpath/simulation/raft/group_machine.py
+++ b/src/orchidpath/simulation/raft/replica_machine.py
@@ -37,7 +37,7 @@
     Role,
     Snapshot,
 )
-from orchidpath.simulation.raft.group_checks import History, InvariantViolationError, next_digest
+from orchidpath.simulation.raft.invariants import History, InvariantViolationError, next_digest
 
 FOLDER = "/data"
 MAX_CLOCK_RATE_ERROR = 0.02
