--- a/src/orchidpath/control/leadership/liveness.py
+++ b/src/orchidpath/control/leadership/liveness.py
@@ -1,15 +1,17 @@
 """Which workers and routers the leader hears; soft state, pure.
 
 A new leader knows nothing of who was heard before, so it grants everyone one full lease from its
-start: a fail-over alone never makes a worker gone.
+start: a fail-over alone never removes a worker.
 """
 
+from typing import NamedTuple
+
 import msgspec
 
 from orchidpath.wire.backend import WORKER_LEASE_SECONDS
 
 ROUTER_REMOVAL_SECONDS = 60.0
-"""A router that the leader has not heard for this long leaves the roster."""
+"""A router that the leader has not heard for this long is removed."""
 
 REPEAT_PROPOSAL_SECONDS = 1.0
 """A removal that has not been applied is proposed again after this long."""
@@ -23,15 +25,23 @@
     heard_at: float
 
 
+class SilentWorker(NamedTuple):
+    """A worker whose lease has expired, and the newest announcement heard of it."""
+
+    worker_id: str
+    incarnation: str
+    sequence: int
+
+
 class LivenessTracker:
-    """Times of the last word of each worker and router.
+    """When each worker and router was last heard.
 
     Parameters
     ----------
     router_removal_seconds
-        A router that is silent for this long is to leave the roster.
+        A router that is silent for this long is to be removed.
     worker_lease_seconds
-        A worker that is silent for this long is gone.
+        A worker that is silent for this long is to be removed.
     """
 
     def __init__(
@@ -67,13 +77,13 @@
         """Seconds since a router was heard; infinite if never."""
         return now - self._routers.get(router_id, float("-inf"))
 
-    def silent_workers(self, workers: dict[str, str], now: float) -> list[tuple[str, str, int]]:
-        """Return workers whose lease has lapsed: id, incarnation and newest sequence heard.
+    def silent_workers(self, workers: dict[str, str], now: float) -> list[SilentWorker]:
+        """Return the workers whose lease has expired and whose removal may be proposed.
 
         Parameters
         ----------
         workers
-            Incarnation by worker id, as agreed.
+            Incarnation by worker id, as replicated.
         now
             Monotonic seconds.
         """
@@ -85,7 +95,7 @@
                 continue
             expired = now - heard.heard_at > self._worker_lease_seconds
             if expired and self._may_propose(worker_id, now):
-                silent.append((worker_id, incarnation, heard.sequence))
+                silent.append(SilentWorker(worker_id, incarnation, heard.sequence))
         return silent
 
     def silent_routers(self, router_ids: list[str], now: float) -> list[str]:
--- a/src/orchidpath/control/leadership/plan_driver.py
+++ b/src/orchidpath/control/leadership/plan_driver.py
@@ -1,4 +1,4 @@
-"""Drives the plan that runs: turns its next actions into proposals and fenced orders; pure.
+"""Drives the plan that runs: turns its next actions into proposals and fenced commands; pure.
 
 One object per leadership, asked on the ticks of a leader that holds its lease. What it remembers
 is soft: a successor begins from the replicated phases (docs/design/plans.md, "Execution").
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from orchidpath.control.replica.control_effects import SendWorkerCommand
+from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.placement.execution import (
     COMMAND_REPEAT_SECONDS,
     Advance,
@@ -33,7 +33,7 @@
 
 
 class _Watched(msgspec.Struct):
-    """A step's phase as this leadership sees it, and the first order that may belong to it."""
+    """A step's phase as this leadership sees it, and the first command that may belong to it."""
 
     phase: StepPhase
     first_sequence: int
@@ -46,27 +46,32 @@
     Parameters
     ----------
     term
-        Term of this leadership; with a sequence that only grows it fences every order.
+        Term of this leadership; with a sequence that only grows it fences every command.
     state
         The replicated state.
     in_flight
         Returns the attempts in flight by worker as the leader counts them at a time.
+    output
+        Where commands and proposals go.
     """
 
     def __init__(
-        self, term: int, state: FleetState, in_flight: Callable[[float], Mapping[str, int]]
+        self,
+        term: int,
+        state: FleetState,
+        in_flight: Callable[[float], Mapping[str, int]],
+        output: LeaderOutput,
     ) -> None:
         self._term = term
         self._state = state
         self._in_flight = in_flight
+        self._output = output
         self._sequence = 0
         self._plan_id = ""
         self._watched: dict[int, _Watched] = {}
         self._proposed: dict[Command, float] = {}
         self._resumed_at: dict[str, float] = {}
         self._next_check_at = float("-inf")
-        self._orders: list[SendWorkerCommand] = []
-        self._proposals: list[Command] = []
 
     def tick(self, confirmed_revision: int, now: float) -> None:
         """Look at the plan and do what is due.
@@ -82,28 +87,18 @@
         if record.active:
             self._follow(record, workers, confirmed_revision, now)
 
-    def command_answered(self, order: WorkerCommand, reply: WorkerCommandReply) -> None:
-        """Note that a worker accepted an order that belongs to its step's present phase."""
+    def command_answered(self, command: WorkerCommand, reply: WorkerCommandReply) -> None:
+        """Note that a worker accepted a command that belongs to its step's present phase."""
         record = self._state.plan
-        if record is None or order.term != self._term or not reply.accepted:
+        if record is None or command.term != self._term or not reply.accepted:
             return
         for position, step in enumerate(record.plan.steps):
             watched = self._watched.get(position)
-            if watched is None or step.worker_id != order.worker_id:
+            if watched is None or step.worker_id != command.worker_id:
                 continue
             current = record.progress.steps[position].phase is watched.phase
-            if current and order.sequence >= watched.first_sequence:
-                watched.watch = msgspec.structs.replace(watched.watch, accepted=order.kind)
-
-    def take_commands(self) -> list[SendWorkerCommand]:
-        """Return the orders to send, once."""
-        orders, self._orders = self._orders, []
-        return orders
-
-    def take_proposals(self) -> list[Command]:
-        """Return the commands to propose, once."""
-        proposals, self._proposals = self._proposals, []
-        return proposals
+            if current and command.sequence >= watched.first_sequence:
+                watched.watch = msgspec.structs.replace(watched.watch, accepted=command.kind)
 
     def _follow(
         self,
@@ -128,14 +123,14 @@
                 case Stop():
                     self._propose(StopPlan(plan_id=self._plan_id, reason=action.reason), now)
                 case SendStepCommand():
-                    self._order_step(record, action, now)
+                    self._command_step(record, action, now)
 
     def _resume_abandoned(self, workers: Mapping[str, WorkerRecord], now: float) -> None:
         for worker in workers_to_resume(self._state.abandoned_workers(), workers):
             last = self._resumed_at.get(worker.worker_id, float("-inf"))
             if now - last >= COMMAND_REPEAT_SECONDS:
                 self._resumed_at[worker.worker_id] = now
-                self._order(worker, WorkerCommandKind.RESUME, None)
+                self._command(worker, WorkerCommandKind.RESUME, None)
 
     def _watch(self, record: PlanRecord, now: float) -> None:
         """Begin to watch each step anew whose phase has changed."""
@@ -154,19 +149,19 @@
         if now - self._proposed.get(command, float("-inf")) < REPEAT_PROPOSAL_SECONDS:
             return
         self._proposed[command] = now
-        self._proposals.append(command)
+        self._output.propose(command)
 
-    def _order_step(self, record: PlanRecord, action: SendStepCommand, now: float) -> None:
+    def _command_step(self, record: PlanRecord, action: SendStepCommand, now: float) -> None:
         entry = self._state.find_worker(record.plan.steps[action.step].worker_id)
         if entry is None:
             return
         watched = self._watched[action.step]
         watched.watch = msgspec.structs.replace(watched.watch, ordered_at=now)
-        self._order(entry.record, action.kind, action.stage)
+        self._command(entry.record, action.kind, action.stage)
 
-    def _order(self, worker: WorkerRecord, kind: WorkerCommandKind, stage: Stage | None) -> None:
+    def _command(self, worker: WorkerRecord, kind: WorkerCommandKind, stage: Stage | None) -> None:
         self._sequence += 1
-        order = WorkerCommand(
+        command = WorkerCommand(
             term=self._term,
             sequence=self._sequence,
             worker_id=worker.worker_id,
@@ -174,7 +169,7 @@
             kind=kind,
             stage=stage,
         )
-        self._orders.append(SendWorkerCommand(worker.url, order))
+        self._output.command_worker(worker.url, command)
 
 
 def _advance_command(record: PlanRecord, action: Advance) -> AdvanceStep:
--- /dev/null
+++ b/src/orchidpath/control/leadership/router_leases.py
@@ -0,0 +1,68 @@
+"""Router leases: heartbeats, the revisions that routers have adopted, and removals; pure."""
+
+from collections.abc import Mapping
+
+from orchidpath.control.leadership.leader_output import LeaderOutput
+from orchidpath.control.leadership.liveness import LivenessTracker
+from orchidpath.state.commands import RegisterRouter, RemoveRouter
+from orchidpath.state.fleet_state import FleetState
+from orchidpath.wire.messages import RouterHeartbeat, RouterHeartbeatReply
+
+REGISTRATION_RETRY_SECONDS = 0.4
+"""A router heard less than this long ago is not proposed again: its registration is on its way."""
+
+
+class RouterLeases:
+    """Renews the leases of routers and follows what each one has adopted.
+
+    Parameters
+    ----------
+    term
+        Term of this leadership.
+    state
+        The replicated state.
+    liveness
+        When each router was last heard.
+    output
+        Where replies and proposals go.
+    """
+
+    def __init__(
+        self, term: int, state: FleetState, liveness: LivenessTracker, output: LeaderOutput
+    ) -> None:
+        self._term = term
+        self._state = state
+        self._liveness = liveness
+        self._output = output
+        self._adopted: dict[str, int] = {}
+
+    @property
+    def adopted_revisions(self) -> Mapping[str, int]:
+        """Revision that each router heard in this leadership has adopted, by router id."""
+        return self._adopted
+
+    def renew(self, heartbeat: RouterHeartbeat, now: float) -> None:
+        """Renew a router's lease and note what it has adopted.
+
+        The caller has checked that this leader holds its own lease at ``now``.
+        """
+        router_id = heartbeat.record.router_id
+        registered = self._state.find_router(router_id) == heartbeat.record
+        age_seconds = self._liveness.router_age_seconds(router_id, now)
+        if not registered and age_seconds > REGISTRATION_RETRY_SECONDS:
+            self._output.propose(RegisterRouter(record=heartbeat.record))
+        self._liveness.router_heard(router_id, now)
+        self._adopted[router_id] = heartbeat.adopted_revision
+        reply = RouterHeartbeatReply(
+            term=self._term,
+            sequence=heartbeat.sequence,
+            revision=self._state.revision,
+            registered=registered,
+        )
+        self._output.send(router_id, reply)
+
+    def propose_removals(self, now: float) -> None:
+        """Propose to remove routers that have been silent for too long."""
+        router_ids = [router.router_id for router in self._state.routers()]
+        for router_id in self._liveness.silent_routers(router_ids, now):
+            self._output.propose(RemoveRouter(router_id=router_id))
--- a/src/orchidpath/control/leadership/stage_balancer.py
+++ b/src/orchidpath/control/leadership/stage_balancer.py
@@ -1,9 +1,9 @@
 """Keeps the split of prefill and decode where operators leave it to the fleet; pure.
 
 One object per leadership, asked on the ticks of a leader that holds its lease. A worker is first
-held back from new requests; once every serving router knows, it is ordered to change its part, and
-it is released when it announces the new one. What is remembered here is soft: a successor waits
-until no order of its predecessor can be on its way, and releases whoever is held without a reason.
+cordoned; once every serving router obeys that, it is commanded to change its stage, and it is
+uncordoned when it announces the new one. What is remembered here is soft state: a successor waits
+until no command of its predecessor can be on its way, and uncordons whoever no move needs cordoned.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from orchidpath.control.replica.control_effects import SendWorkerCommand
+from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.placement.stage_allocation import StageMove, next_moves
-from orchidpath.state.commands import Command, CordonWorker
+from orchidpath.state.commands import CordonWorker
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandKind, WorkerCommandReply
 from orchidpath.wire.configuration import Service
@@ -23,7 +23,7 @@
 """Time between two looks at the split."""
 
 TAKEOVER_SECONDS = 4.0
-"""A new leader orders nothing for this long: orders of two holders must not take turns."""
+"""A new leader sends no command for this long: commands of two leaders must not interleave."""
 
 QUIET_PERIOD_SECONDS = 1.5
 """The set of workers must have been the same for this long before a move begins."""
@@ -32,18 +32,18 @@
 """The same while no worker decodes, so that nothing is served."""
 
 CORDON_SECONDS = 2.5
-"""Bound on the wait until every serving router knows of a hold."""
+"""Bound on the wait until every serving router obeys a cordon."""
 
 COMMAND_REPEAT_SECONDS = 1.0
-"""An order without an answer is sent again after this long."""
+"""A command without an answer is sent again after this long."""
 
 MOVE_SECONDS = 20.0
-"""A move that has not ended by then is given up and its worker released."""
+"""A move that has not ended by then is given up and its worker uncordoned."""
 
 
 class _Phase(StrEnum):
-    CORDONING = "holding"
-    ORDERING = "ordering"
+    CORDONING = "cordoning"
+    COMMANDING = "commanding"
     SWITCHING = "switching"
 
 
@@ -55,7 +55,7 @@
     since: float
     phase: _Phase = _Phase.CORDONING
     cordon_revision: int = 0
-    ordered_at: float = float("-inf")
+    commanded_at: float = float("-inf")
 
 
 class StageBalancer:
@@ -64,11 +64,13 @@
     Parameters
     ----------
     term
-        Term of this leadership; it fences every order.
+        Term of this leadership; it fences every command.
     state
         The replicated state.
     in_flight
         Returns the attempts in flight by worker at a time.
+    output
+        Where commands and proposals go.
     now
         Start of this leadership.
     """
@@ -78,19 +80,19 @@
         term: int,
         state: FleetState,
         in_flight: Callable[[float], Mapping[str, int]],
+        output: LeaderOutput,
         now: float,
     ) -> None:
         self._term = term
         self._state = state
         self._in_flight = in_flight
+        self._output = output
         self._sequence = 0
         self._moves: dict[str, _Move] = {}
-        self._may_order_at = now + TAKEOVER_SECONDS
+        self._may_command_at = now + TAKEOVER_SECONDS
         self._known: dict[str, frozenset[str]] = {}
         self._known_since: dict[str, float] = {}
         self._next_check_at = now
-        self._orders: list[SendWorkerCommand] = []
-        self._proposals: list[Command] = []
 
     def tick(self, confirmed_revision: int, now: float) -> None:
         """Look at every service and do what is due.
@@ -106,7 +108,7 @@
             return
         self._next_check_at = now + BALANCE_PERIOD_SECONDS
         plan = self._state.plan
-        if now < self._may_order_at or (plan is not None and plan.active):
+        if now < self._may_command_at or (plan is not None and plan.active):
             return
         workers = {worker.worker_id: worker for worker in self._state.workers()}
         for move in tuple(self._moves.values()):
@@ -116,24 +118,14 @@
                 own = [worker for worker in workers.values() if worker.service == service.name]
                 self._balance(service, own, now)
 
-    def command_answered(self, order: WorkerCommand, reply: WorkerCommandReply) -> None:
-        """Note that a worker has taken the order of its move."""
-        move = self._moves.get(order.worker_id)
-        if move is not None and reply.accepted and order.term == self._term:
+    def command_answered(self, command: WorkerCommand, reply: WorkerCommandReply) -> None:
+        """Note that a worker has accepted the command of its move."""
+        move = self._moves.get(command.worker_id)
+        if move is not None and reply.accepted and command.term == self._term:
             move.phase = _Phase.SWITCHING
 
-    def take_commands(self) -> list[SendWorkerCommand]:
-        """Return the orders to send, once."""
-        orders, self._orders = self._orders, []
-        return orders
-
-    def take_proposals(self) -> list[Command]:
-        """Return the commands to propose, once."""
-        proposals, self._proposals = self._proposals, []
-        return proposals
-
     def _balance(self, service: Service, workers: list[WorkerRecord], now: float) -> None:
-        self._release_strangers(workers)
+        self._uncordon_abandoned(workers)
         names = frozenset(worker.worker_id for worker in workers)
         if self._known.get(service.name) != names:
             self._known[service.name] = names
@@ -149,16 +141,16 @@
         for move in next_moves(service, workers, moving, self._in_flight(now)):
             self._begin(move, now)
 
-    def _release_strangers(self, workers: list[WorkerRecord]) -> None:
-        """Release workers that a former leader held back and did not come to release."""
+    def _uncordon_abandoned(self, workers: list[WorkerRecord]) -> None:
+        """Uncordon workers that a former leader cordoned and did not come to uncordon."""
         for worker in workers:
             if worker.cordoned and worker.worker_id not in self._moves:
-                self._proposals.append(CordonWorker(worker_id=worker.worker_id, cordoned=False))
+                self._output.propose(CordonWorker(worker_id=worker.worker_id, cordoned=False))
 
     def _begin(self, move: StageMove, now: float) -> None:
         worker_id = move.worker.worker_id
         self._moves[worker_id] = _Move(move.worker, move.stage, now)
-        self._proposals.append(CordonWorker(worker_id=worker_id, cordoned=True))
+        self._output.propose(CordonWorker(worker_id=worker_id, cordoned=True))
 
     def _follow(
         self, move: _Move, worker: WorkerRecord | None, confirmed_revision: int, now: float
@@ -173,19 +165,19 @@
             move.cordon_revision = move.cordon_revision or self._state.revision
             is_known = confirmed_revision >= move.cordon_revision
             if is_known or now - move.since > CORDON_SECONDS:
-                move.phase = _Phase.ORDERING
-        if move.phase is _Phase.ORDERING and now - move.ordered_at >= COMMAND_REPEAT_SECONDS:
-            move.ordered_at = now
-            self._order(worker, move.stage)
+                move.phase = _Phase.COMMANDING
+        if move.phase is _Phase.COMMANDING and now - move.commanded_at >= COMMAND_REPEAT_SECONDS:
+            move.commanded_at = now
+            self._command(worker, move.stage)
 
     def _end(self, move: _Move, worker: WorkerRecord | None) -> None:
         del self._moves[move.worker.worker_id]
         if worker is not None:
-            self._proposals.append(CordonWorker(worker_id=worker.worker_id, cordoned=False))
+            self._output.propose(CordonWorker(worker_id=worker.worker_id, cordoned=False))
 
-    def _order(self, worker: WorkerRecord, stage: Stage) -> None:
+    def _command(self, worker: WorkerRecord, stage: Stage) -> None:
         self._sequence += 1
-        order = WorkerCommand(
+        command = WorkerCommand(
             term=self._term,
             sequence=self._sequence,
             worker_id=worker.worker_id,
@@ -193,4 +185,4 @@
             kind=WorkerCommandKind.SET_STAGE,
             stage=stage,
         )
-        self._orders.append(SendWorkerCommand(worker.url, order))
+        self._output.command_worker(worker.url, command)
--- a/src/orchidpath/control/replica/control_replica.py
+++ b/src/orchidpath/control/replica/control_replica.py
@@ -24,8 +24,9 @@
 from orchidpath.consensus.errors import MembershipChangeError, NotLeaderError
 from orchidpath.consensus.raft_core import RaftCore
 from orchidpath.consensus.types import EntryKind, LogEntry, Role
+from orchidpath.control.leadership.attempt_decisions import not_leader_reply
 from orchidpath.control.leadership.confirmation import ConfirmationGuard
-from orchidpath.control.leadership.leader_duties import LeaderDuties, not_leader_reply
+from orchidpath.control.leadership.leader_duties import LeaderDuties
 from orchidpath.control.leadership.member_manager import MemberManager, MemberPolicy
 from orchidpath.control.replica.consensus_codec import decode_consensus, encode_consensus
 from orchidpath.control.replica.control_effects import (
@@ -50,15 +51,10 @@
 from orchidpath.state.outcomes import PlanResult, UpdateResult
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 from orchidpath.wire.messages import (
-    AttemptReports,
-    CapacityObserved,
     ConfigurationUpdateRequest,
     ConsensusMessage,
     ControlMembers,
-    CounterReport,
     DecisionRequest,
-    FleetUpdateRequest,
-    ForwardedAnnouncements,
     JoinRequest,
     Message,
     PlanActionRequest,
@@ -200,8 +196,7 @@
     ) -> list[ControlEffect]:
         """Take a worker's answer to an order; None if there was none in time."""
         if self.duties is not None and reply is not None:
-            self.duties.plan_driver.command_answered(order, reply)
-            self.duties.stage_balancer.command_answered(order, reply)
+            self.duties.worker_command_answered(order, reply)
         return self._drain(now)
 
     def read(self, key: int, now: float) -> list[ControlEffect]:
@@ -211,7 +206,7 @@
 
     def worker_circuits(self, now: float) -> tuple[WorkerCircuitView, ...]:
         """Return the operators' view of the circuits; empty unless this replica leads."""
-        return self.duties.circuits.view(now) if self.duties is not None else ()
+        return self.duties.decisions.worker_circuits(now) if self.duties is not None else ()
 
     def control_members(self) -> ControlMembers:
         """Answer who the control members are, as far as this replica knows."""
@@ -243,25 +238,8 @@
         if not self.has_authority(now):
             self._refuse(sender_id, message)
             return
-        duties = self.duties
-        assert duties is not None
-        match message:
-            case RouterHeartbeat():
-                duties.receive_router_heartbeat(message, now)
-            case FleetUpdateRequest():
-                duties.receive_update_request(sender_id, message)
-            case ForwardedAnnouncements():
-                duties.receive_announcements(message.announcements, now)
-            case DecisionRequest():
-                duties.receive_decision_request(sender_id, message, now)
-            case AttemptReports():
-                duties.receive_reports(sender_id, message, now)
-            case CounterReport():
-                duties.receive_counters(sender_id, message, now)
-            case CapacityObserved():
-                duties.receive_capacity(message, now)
-            case _:
-                pass
+        assert self.duties is not None
+        self.duties.receive(sender_id, message, now)
 
     def _refuse(self, sender_id: str, message: Message) -> None:
         """Tell a sender that took this replica for the leader who leads, as far as is known."""
@@ -454,10 +432,8 @@
     def _collect_duties(self) -> None:
         if self.duties is None:
             return
-        self._outbox.extend(self.duties.outbox)
-        self._proposals.extend(self.duties.proposals)
-        self.duties.outbox.clear()
-        self.duties.proposals.clear()
+        self._outbox.extend(self.duties.output.take_effects())
+        self._proposals.extend(self.duties.output.take_proposals())
 
     def _confirm_orders(self, now: float) -> None:
         confirmed = 0
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -3,6 +3,7 @@
 import msgspec
 from stage_builders import split_configuration
 
+from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.control.leadership.stage_balancer import (
     COMMAND_REPEAT_SECONDS,
     MOVE_SECONDS,
@@ -11,6 +12,7 @@
     URGENT_QUIET_PERIOD_SECONDS,
     StageBalancer,
 )
+from orchidpath.control.replica.control_effects import SendWorkerCommand
 from orchidpath.state.commands import (
     CordonWorker,
     SubmitConfiguration,
@@ -39,7 +41,8 @@
         self.lead(1)
 
     def lead(self, term: int) -> None:
-        self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.now)
+        self.output = LeaderOutput()
+        self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.output, self.now)
 
     def apply(self, command: SubmitConfiguration | WorkerChanged | CordonWorker) -> None:
         self.state.apply(self.state.applied_index + 1, encode_command(command))
@@ -61,9 +64,10 @@
             self.now += STEP_SECONDS
             confirmed = self.state.revision if self.confirms else 0
             self.balancer.tick(confirmed, self.now)
-            for effect in self.balancer.take_commands():
+            for effect in self.output.take_effects():
+                assert isinstance(effect, SendWorkerCommand)
                 self.orders.append(effect.order)
-            for command in self.balancer.take_proposals():
+            for command in self.output.take_proposals():
                 assert isinstance(command, CordonWorker)
                 self.apply(command)
 
--- a/tests/control/test_stage_orders.py
+++ b/tests/control/test_stage_orders.py
@@ -8,12 +8,14 @@
 from stage_builders import split_configuration
 
 from command_format import PlatformCommandFormat
+from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.control.leadership.stage_balancer import (
     COMMAND_REPEAT_SECONDS,
     QUIET_PERIOD_SECONDS,
     TAKEOVER_SECONDS,
     StageBalancer,
 )
+from orchidpath.control.replica.control_effects import SendWorkerCommand
 from orchidpath.control.worker_commands import WORKER_ORDER_TIMEOUT_SECONDS, WorkerCommandSender
 from orchidpath.state.commands import (
     CordonWorker,
@@ -127,7 +129,8 @@
     def lead(self, machine: str, term: int) -> None:
         """Have a machine lead from now on."""
         self.machine = machine
-        self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.now)
+        self.output = LeaderOutput()
+        self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.output, self.now)
 
     def announce(self, worker: Worker) -> None:
         worker.sequence += 1
@@ -155,10 +158,11 @@
         while self.now < end:
             self.now += STEP_SECONDS
             self.balancer.tick(self.state.revision, self.now)
-            for command in self.balancer.take_proposals():
+            for command in self.output.take_proposals():
                 assert isinstance(command, CordonWorker)
                 self._apply(command)
-            for effect in self.balancer.take_commands():
+            for effect in self.output.take_effects():
+                assert isinstance(effect, SendWorkerCommand)
                 self._reach(effect.order, status, obeys)
 
     def ordered(self) -> list[str]:
--- /dev/null
+++ b/tests/control/test_update_publisher.py
@@ -0,0 +1,87 @@
+"""What a leader sends to routers that lack something of the view."""
+
+from orchidpath.control.leadership.leader_output import LeaderOutput
+from orchidpath.control.leadership.update_publisher import MAX_CACHED_UPDATES, UpdatePublisher
+from orchidpath.control.replica.control_effects import SendToNode
+from orchidpath.state.commands import Command, RegisterRouter, encode_command
+from orchidpath.state.fleet_state import FleetState
+from orchidpath.wire.messages import FleetUpdate, FleetUpdateRequest
+from orchidpath.wire.records import RouterRecord
+
+
+class PublisherFixture:
+    """A replicated state and the publisher of one leadership."""
+
+    def __init__(self) -> None:
+        self.state = FleetState()
+        self.adopted: dict[str, int] = {}
+        self.output = LeaderOutput()
+        self.publisher = UpdatePublisher(self.state, self.adopted, self.output, 0.0)
+
+    def apply(self, command: Command) -> None:
+        self.state.apply(self.state.applied_index + 1, encode_command(command))
+
+    def register(self, number: int) -> None:
+        record = RouterRecord(
+            router_id=f"r{number}", address=f"10.0.0.{number}:1", http_address="h:1"
+        )
+        self.apply(RegisterRouter(record=record))
+
+    def request(self, router_id: str, adopted_revision: int) -> FleetUpdate:
+        self.publisher.receive_request(
+            router_id, FleetUpdateRequest(adopted_revision=adopted_revision)
+        )
+        (sent,) = self.sent()
+        return sent
+
+    def sent(self) -> list[FleetUpdate]:
+        updates = []
+        for effect in self.output.take_effects():
+            assert isinstance(effect, SendToNode)
+            assert isinstance(effect.message, FleetUpdate)
+            updates.append(effect.message)
+        return updates
+
+
+def test_routers_that_lack_the_same_get_one_and_the_same_update() -> None:
+    """After a restart of the whole fleet all ask at once: the view is made and encoded once."""
+    fixture = PublisherFixture()
+    fixture.register(1)
+    first = fixture.request("r1", 0)
+    assert all(fixture.request(f"r{number}", 0) is first for number in range(200))
+
+
+def test_an_update_is_never_older_than_the_state() -> None:
+    fixture = PublisherFixture()
+    for number in range(1, 4 * MAX_CACHED_UPDATES):
+        fixture.register(number)
+        for adopted in range(number):
+            update = fixture.request("r1", adopted)
+            assert update == fixture.state.update_since(adopted)
+            assert update.revision == fixture.state.revision
+
+
+def test_a_revision_is_pushed_once_to_every_router_that_lacks_it() -> None:
+    fixture = PublisherFixture()
+    fixture.register(1)
+    fixture.adopted.update(r1=0, r2=fixture.state.revision)
+    fixture.publisher.push(0.0)
+    assert [update.revision for update in fixture.sent()] == [fixture.state.revision]
+    fixture.publisher.push(1.0)
+    assert fixture.sent() == []
+
+
+def test_revisions_within_one_period_are_pushed_together() -> None:
+    fixture = PublisherFixture()
+    fixture.adopted["r1"] = 0
+    fixture.register(1)
+    fixture.publisher.push(0.0)
+    first = fixture.state.revision
+    assert [update.revision for update in fixture.sent()] == [first]
+    fixture.register(2)
+    fixture.register(3)
+    fixture.publisher.push(0.01)
+    assert fixture.sent() == []
+    fixture.publisher.push(0.06)
+    (update,) = fixture.sent()
+    assert update == fixture.state.update_since(first)
--- a/tests/placement/plan_world.py
+++ b/tests/placement/plan_world.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.control.leadership.plan_driver import PlanDriver
 from orchidpath.control.replica.control_effects import SendWorkerCommand
 from orchidpath.emulators.backend.backend_core import BackendCore
@@ -144,7 +145,8 @@
 
     def fail_over(self) -> None:
         self.term += 1
-        self.driver = PlanDriver(self.term, self.state, lambda _now: self.in_flight)
+        self.output = LeaderOutput()
+        self.driver = PlanDriver(self.term, self.state, lambda _now: self.in_flight, self.output)
 
     def confirm_plan(self, order_id: str = "order") -> PlanResult:
         plan = make_preview(self.state.view()).plan
@@ -171,13 +173,14 @@
         self.now += TURN_SECONDS
         if self.confirms:
             self.confirmed_revision = self.state.revision
-        driver = self.driver
+        driver, output = self.driver, self.output
         driver.tick(self.confirmed_revision, self.now)
-        for effect in driver.take_commands():
+        for effect in output.take_effects():
+            assert isinstance(effect, SendWorkerCommand)
             self.on_event()
             self.sent.append(effect)
             self._send(driver, effect.order)
-        for command in driver.take_proposals():
+        for command in output.take_proposals():
             self.on_event()
             self.apply(command)
         if self.random is not None and self.sent and self.random.random() < 0.3:
