--- a/src/orchidpath/control/api/local_access.py
+++ b/src/orchidpath/control/api/local_access.py
@@ -22,9 +22,9 @@
     ReadReady,
     UpdateAnswered,
 )
-from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.control_replica import ControlReplica
 from orchidpath.control.replica.pending_updates import CONFIRM_WAIT_SECONDS
-from orchidpath.control.replica.replica_loop import CoreRunner
+from orchidpath.control.replica.replica_loop import ReplicaLoop
 from orchidpath.state.commands import SubmitConfiguration
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.backend import Announcement, AnnouncementReply
@@ -83,7 +83,7 @@
     """
 
     def __init__(
-        self, runner: CoreRunner, clock: Clock, send_to_leader: Callable[[Message], bool]
+        self, runner: ReplicaLoop, clock: Clock, send_to_leader: Callable[[Message], bool]
     ) -> None:
         self._runner = runner
         self._clock = clock
@@ -93,7 +93,7 @@
         self._announcements: dict[str, Announcement] = {}
 
     @property
-    def _core(self) -> ControlCore:
+    def _core(self) -> ControlReplica:
         return self._runner.core
 
     async def submit(self, order: SubmitConfiguration) -> SubmitResult:
--- a/src/orchidpath/control/leadership/attempt_decisions.py
+++ b/src/orchidpath/control/leadership/attempt_decisions.py
@@ -14,7 +14,7 @@
     NeedsTransition,
     WorkerCircuitView,
 )
-from orchidpath.control.leadership.leader_output import LeaderOutput
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.placement.prefill_placement import PrefillPlacement
 from orchidpath.state.commands import CapacityChanged, CircuitChanged
 from orchidpath.state.fleet_state import FleetState
@@ -62,7 +62,7 @@
         term: int,
         state: FleetState,
         random: random_module.Random,
-        output: LeaderOutput,
+        output: ControlOutput,
         now: float,
     ) -> None:
         self._term = term
--- a/src/orchidpath/control/leadership/circuits_publisher.py
+++ b/src/orchidpath/control/leadership/circuits_publisher.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from orchidpath.control.leadership.attempt_decisions import AttemptDecisions
-from orchidpath.control.leadership.leader_output import LeaderOutput
+from orchidpath.control.replica.control_output import ControlOutput
 
 CIRCUITS_PUSH_SECONDS = 0.2
 """Changed circuits are pushed to the routers at most this often."""
@@ -31,7 +31,7 @@
         self,
         decisions: AttemptDecisions,
         router_ids: Iterable[str],
-        output: LeaderOutput,
+        output: ControlOutput,
         now: float,
     ) -> None:
         self._decisions = decisions
--- a/src/orchidpath/control/leadership/leader_duties.py
+++ b/src/orchidpath/control/leadership/leader_duties.py
@@ -10,7 +10,6 @@
 from orchidpath.control.leadership.attempt_decisions import AttemptDecisions
 from orchidpath.control.leadership.circuits_publisher import CircuitsPublisher
 from orchidpath.control.leadership.confirmation import ConfirmationGuard
-from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.control.leadership.liveness import ROUTER_REMOVAL_SECONDS, LivenessTracker
 from orchidpath.control.leadership.plan_driver import PlanDriver
 from orchidpath.control.leadership.revision_confirmation import RevisionConfirmation
@@ -18,6 +17,7 @@
 from orchidpath.control.leadership.stage_balancer import StageBalancer
 from orchidpath.control.leadership.update_publisher import UpdatePublisher
 from orchidpath.control.leadership.worker_liveness import WorkerLiveness
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.outcomes import CapacityResult, CircuitResult, Outcome
 from orchidpath.wire.backend import WORKER_LEASE_SECONDS, WorkerCommand, WorkerCommandReply
@@ -68,7 +68,7 @@
         worker_lease_seconds: float = WORKER_LEASE_SECONDS,
     ) -> None:
         self._state = state
-        self.output = LeaderOutput()
+        self.output = ControlOutput()
         liveness = LivenessTracker(router_removal_seconds, worker_lease_seconds)
         self._worker_liveness = WorkerLiveness(state, liveness, self.output)
         self._router_leases = RouterLeases(term, state, liveness, self.output)
--- a/src/orchidpath/control/leadership/plan_driver.py
+++ b/src/orchidpath/control/leadership/plan_driver.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from orchidpath.control.leadership.leader_output import LeaderOutput
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.placement.execution import (
     COMMAND_REPEAT_SECONDS,
     Advance,
@@ -60,7 +60,7 @@
         term: int,
         state: FleetState,
         in_flight: Callable[[float], Mapping[str, int]],
-        output: LeaderOutput,
+        output: ControlOutput,
     ) -> None:
         self._term = term
         self._state = state
--- a/src/orchidpath/control/leadership/revision_confirmation.py
+++ b/src/orchidpath/control/leadership/revision_confirmation.py
@@ -9,7 +9,7 @@
     ConfirmationTracker,
     RouterMembership,
 )
-from orchidpath.control.leadership.leader_output import LeaderOutput
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.state.commands import RevisionConfirmed
 from orchidpath.state.fleet_state import FleetState
 
@@ -32,7 +32,7 @@
     def __init__(
         self,
         state: FleetState,
-        output: LeaderOutput,
+        output: ControlOutput,
         now: float,
         disabled_guards: frozenset[ConfirmationGuard],
     ) -> None:
--- a/src/orchidpath/control/leadership/router_leases.py
+++ b/src/orchidpath/control/leadership/router_leases.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Mapping
 
-from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.control.leadership.liveness import LivenessTracker
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.state.commands import RegisterRouter, RemoveRouter
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.messages import RouterHeartbeat, RouterHeartbeatReply
@@ -28,7 +28,7 @@
     """
 
     def __init__(
-        self, term: int, state: FleetState, liveness: LivenessTracker, output: LeaderOutput
+        self, term: int, state: FleetState, liveness: LivenessTracker, output: ControlOutput
     ) -> None:
         self._term = term
         self._state = state
--- a/src/orchidpath/control/leadership/stage_balancer.py
+++ b/src/orchidpath/control/leadership/stage_balancer.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from orchidpath.control.leadership.leader_output import LeaderOutput
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.placement.stage_allocation import StageMove, next_moves
 from orchidpath.state.commands import CordonWorker
 from orchidpath.state.fleet_state import FleetState
@@ -80,7 +80,7 @@
         term: int,
         state: FleetState,
         in_flight: Callable[[float], Mapping[str, int]],
-        output: LeaderOutput,
+        output: ControlOutput,
         now: float,
     ) -> None:
         self._term = term
--- a/src/orchidpath/control/leadership/update_publisher.py
+++ b/src/orchidpath/control/leadership/update_publisher.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from orchidpath.control.leadership.leader_output import LeaderOutput
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.messages import FleetUpdate, FleetUpdateRequest
 
@@ -32,7 +32,7 @@
         self,
         state: FleetState,
         adopted_revisions: Mapping[str, int],
-        output: LeaderOutput,
+        output: ControlOutput,
         now: float,
     ) -> None:
         self._state = state
--- a/src/orchidpath/control/leadership/worker_liveness.py
+++ b/src/orchidpath/control/leadership/worker_liveness.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.control.leadership.liveness import LivenessTracker
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.state.commands import WorkerChanged, WorkerRemoved
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.announcements import MAX_SEQUENCE
@@ -26,7 +26,7 @@
         Where proposals go.
     """
 
-    def __init__(self, state: FleetState, liveness: LivenessTracker, output: LeaderOutput) -> None:
+    def __init__(self, state: FleetState, liveness: LivenessTracker, output: ControlOutput) -> None:
         self._state = state
         self._liveness = liveness
         self._output = output
--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -33,13 +33,13 @@
     SendWorkerCommand,
     UpdateAnswered,
 )
-from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.control_replica import ControlReplica
 from orchidpath.control.replica.formation import (
     NoAnswerError,
     may_form_fleet,
     query_control_members,
 )
-from orchidpath.control.replica.replica_loop import CoreRunner
+from orchidpath.control.replica.replica_loop import ReplicaLoop
 from orchidpath.control.worker_commands import WorkerCommandFormat, WorkerCommandSender
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 from orchidpath.wire.connection import Connection, Listener
@@ -139,7 +139,7 @@
             address=self._settings.wire_address,
             fleet=self._settings.fleet,
         )
-        self._runner = CoreRunner(
+        self._runner = ReplicaLoop(
             self._new_core(restored, None), self._storage, self._clock, self._execute, self._synced
         )
         self._access = LocalControlAccess(self._runner, self._clock, self._send_to_leader)
@@ -188,7 +188,7 @@
             return MemoryLogStorage()
         return FileLogStorage(self._settings.data_folder, self._files)
 
-    def _new_core(self, restored: RestoredState, bootstrap: Membership | None) -> ControlCore:
+    def _new_core(self, restored: RestoredState, bootstrap: Membership | None) -> ControlReplica:
         now = self._clock()
         raft = RaftCore(
             self._member.node_id, RaftSettings(), restored, bootstrap, now, self._random
@@ -201,7 +201,7 @@
         formation_voters = min(
             self._settings.target_voters, max(1, len(self._settings.formation_members))
         )
-        return ControlCore(self._member, raft, policy, formation_voters, self._random)
+        return ControlReplica(self._member, raft, policy, formation_voters, self._random)
 
     async def _start_http(self) -> None:
         app = create_operator_app(self._access, self.metrics.registry)
--- /dev/null
+++ b/src/orchidpath/control/replica/configuration_updates.py
@@ -0,0 +1,101 @@
+"""Operators' configuration updates on a leader: proposed, followed, answered; pure."""
+
+from orchidpath.consensus.errors import NotLeaderError
+from orchidpath.consensus.types import LogEntry
+from orchidpath.control.replica.control_output import ControlOutput
+from orchidpath.control.replica.pending_updates import PendingUpdates
+from orchidpath.control.replica.replicated_log import ReplicatedLog
+from orchidpath.state.commands import SubmitConfiguration
+from orchidpath.state.outcomes import UpdateResult
+
+VOTER_HEARD_SECONDS = 1.0
+"""A voter heard within this long is waited for before an update is called confirmed."""
+
+FORMATION_TIMEOUT_SECONDS = 30.0
+"""A new fleet accepts its first update after this long even if voters are missing."""
+
+_NOT_LEADER = "this process does not lead"
+_FORMING = "the fleet is still forming"
+
+
+class ConfigurationUpdates:
+    """Proposes updates and answers them once they are confirmed.
+
+    Parameters
+    ----------
+    node_id
+        This replica.
+    log
+        The replicated log.
+    output
+        Where answers go.
+    formation_voters
+        Voters wanted before a new fleet accepts its first update.
+    """
+
+    def __init__(
+        self, node_id: str, log: ReplicatedLog, output: ControlOutput, formation_voters: int
+    ) -> None:
+        self._node_id = node_id
+        self._log = log
+        self._output = output
+        self._formation_voters = formation_voters
+        self._leading_since = 0.0
+        self._pending = PendingUpdates()
+
+    def submit(
+        self, key: int, update: SubmitConfiguration, has_authority: bool, now: float
+    ) -> None:
+        """Propose an update; its answer under ``key`` follows, now or later."""
+        if not has_authority:
+            self._reject(key, _NOT_LEADER)
+            return
+        if self._is_forming(now):
+            self._reject(key, _FORMING)
+            return
+        try:
+            proposal = self._log.append(update, now)
+        except NotLeaderError:
+            self._reject(key, _NOT_LEADER)
+            return
+        self._pending.proposed(key, proposal.index, proposal.term, now)
+        self._log.run(proposal.effects, now)
+
+    def applied(self, entry: LogEntry, result: UpdateResult, now: float) -> None:
+        """Follow an update that the state has applied."""
+        revision = self._log.state.revision
+        self._output.emit_all(self._pending.applied(entry, result, revision, now))
+
+    def confirm(self, confirmed_revision: int, now: float) -> None:
+        """Answer the updates that are confirmed or have waited long enough."""
+        answers = self._pending.confirm(confirmed_revision, self._durable_index(now), now)
+        self._output.emit_all(answers)
+
+    def leadership_started(self, now: float) -> None:
+        """Begin to lead."""
+        self._leading_since = now
+
+    def leadership_lost(self) -> None:
+        """Answer everything at once: a follower cannot tell what becomes of it."""
+        self._output.emit_all(self._pending.leadership_lost())
+
+    def _reject(self, key: int, reason: str) -> None:
+        self._output.emit(self._pending.rejected(key, reason))
+
+    def _is_forming(self, now: float) -> bool:
+        """Whether a new fleet still waits for its voters before its first update."""
+        if self._log.state.configuration_version > 0:
+            return False
+        if now - self._leading_since >= FORMATION_TIMEOUT_SECONDS:
+            return False
+        return len(self._log.raft.membership.voters) < self._formation_voters
+
+    def _durable_index(self, now: float) -> int:
+        """Return the last index that is durable on every voter heard lately."""
+        raft = self._log.raft
+        indexes = [
+            raft.match_index(voter)
+            for voter in raft.membership.voters
+            if voter == self._node_id or now - raft.last_contact(voter) < VOTER_HEARD_SECONDS
+        ]
+        return min(indexes, default=0)
--- a/src/orchidpath/control/replica/replica_loop.py
+++ b/src/orchidpath/control/replica/replica_loop.py
@@ -14,7 +14,7 @@
 from orchidpath.consensus.errors import ConsensusError
 from orchidpath.consensus.storage import LogStorage
 from orchidpath.control.replica.control_effects import ControlEffect, PersistEffect
-from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.control_replica import ControlReplica
 
 CoreEvent = Callable[[float], list[ControlEffect]]
 """One call of the core, given the time at which it is made."""
@@ -23,7 +23,7 @@
 """Events taken in one turn; bounds how long a turn keeps the event loop."""
 
 
-class CoreRunner:
+class ReplicaLoop:
     """Serializes all access to a control core.
 
     Parameters
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        core: ControlCore,
+        core: ControlReplica,
         storage: LogStorage,
         clock: Clock,
         execute: Callable[[ControlEffect], None],
@@ -57,7 +57,7 @@
         self._wake = asyncio.Event()
         self._turn_ended = asyncio.Event()
 
-    def restart(self, core: ControlCore, storage: LogStorage) -> None:
+    def restart(self, core: ControlReplica, storage: LogStorage) -> None:
         """Go on with a core restored from storage; events for the old one are dropped."""
         self.core = core
         self._storage = storage
--- a/src/orchidpath/simulation/control_node.py
+++ b/src/orchidpath/simulation/control_node.py
@@ -20,7 +20,7 @@
     SendWorkerCommand,
     UpdateAnswered,
 )
-from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.control_replica import ControlReplica
 from orchidpath.control.replica.replica_loop import is_record, merge_records
 from orchidpath.simulation.world import SimulatedProcess, World
 from orchidpath.state.commands import SubmitConfiguration
@@ -74,7 +74,7 @@
         super().__init__(world, address)
         self._policy = msgspec.structs.replace(POLICY, target_voters=voters)
         self.files = SimulatedFiles()
-        self.core: ControlCore | None = None
+        self.core: ControlReplica | None = None
         self.sync_seconds = 0.0
         self._seeds = seeds
         self._raft_guards = raft_guards
@@ -82,7 +82,7 @@
         self._storage: FileLogStorage | None = None
         self._id = address
         self._bootstrap: Membership | None = None
-        self._pending: list[Callable[[ControlCore], list[ControlEffect]]] = []
+        self._pending: list[Callable[[ControlReplica], list[ControlEffect]]] = []
         self._busy = False
         self._tick_at = float("inf")
         self._answers: dict[int, AnswerHandler] = {}
@@ -122,7 +122,7 @@
             self._id, SETTINGS, restored, bootstrap, self.now, self.world.random, self._raft_guards
         )
         member = ControlMember(node_id=self._id, address=self.address, http_address=self.address)
-        self.core = ControlCore(
+        self.core = ControlReplica(
             member, raft, self._policy, 1, self.world.random, self._confirmation_guards
         )
         self._busy = False
@@ -198,7 +198,7 @@
     def _new_identity(self) -> str:
         return f"{self.world.random.getrandbits(48):012x}"
 
-    def _post(self, event: Callable[[ControlCore], list[ControlEffect]]) -> None:
+    def _post(self, event: Callable[[ControlReplica], list[ControlEffect]]) -> None:
         self._pending.append(event)
         if not self._busy:
             self._turn()
--- a/tests/compatibility/data_folder_history.py
+++ b/tests/compatibility/data_folder_history.py
@@ -27,7 +27,7 @@
     Snapshot,
 )
 from orchidpath.control.leadership.member_manager import MemberPolicy
-from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.control_replica import ControlReplica
 from orchidpath.state.commands import (
     CancelPlan,
     CapacityChanged,
@@ -287,12 +287,12 @@
     return FileLogStorage(str(target), RealFiles())
 
 
-def start_core(storage: FileLogStorage) -> tuple[ControlCore, float]:
+def start_core(storage: FileLogStorage) -> tuple[ControlReplica, float]:
     """Return a control core that leads, started from a storage, and the time then."""
     restored = storage.load()
     generator = random.Random(1)
     raft = RaftCore(NODE_ID, RaftSettings(), restored, None, 0.0, generator)
-    core = ControlCore(MEMBER, raft, MemberPolicy(), 1, generator)
+    core = ControlReplica(MEMBER, raft, MemberPolicy(), 1, generator)
     for step in range(1, LONGEST_ELECTION_TICKS):
         now = step * TICK_SECONDS
         core.tick(now)
--- a/tests/control/test_control_replica.py
+++ b/tests/control/test_control_replica.py
@@ -7,7 +7,7 @@
 from orchidpath.consensus.types import Membership, RaftSettings, RestoredState
 from orchidpath.control.leadership.member_manager import MemberPolicy
 from orchidpath.control.replica.control_effects import SendToConnected, SendToNode, UpdateAnswered
-from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.control_replica import ControlReplica
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
 from orchidpath.wire.configuration import Configuration
 from orchidpath.wire.messages import (
@@ -25,14 +25,14 @@
 ALONE = Membership(("c",), (), {"c": "c:1"})
 
 
-def core(formation_voters: int = 1) -> ControlCore:
+def core(formation_voters: int = 1) -> ControlReplica:
     generator = random.Random(1)
     raft = RaftCore("c", RaftSettings(), RestoredState(), ALONE, 0.0, generator)
     member = ControlMember(node_id="c", address="c:1")
-    return ControlCore(member, raft, MemberPolicy(), formation_voters, generator)
+    return ControlReplica(member, raft, MemberPolicy(), formation_voters, generator)
 
 
-def led(formation_voters: int = 1) -> ControlCore:
+def led(formation_voters: int = 1) -> ControlReplica:
     """Return the only control process of a fleet, which leads it at ``NOW``."""
     one = core(formation_voters)
     for step in range(1, round(NOW / TICK) + 1):
--- a/tests/control/test_plan_core.py
+++ b/tests/control/test_plan_core.py
@@ -12,7 +12,7 @@
     SendToNode,
     SendWorkerCommand,
 )
-from orchidpath.control.replica.control_replica import ControlCore
+from orchidpath.control.replica.control_replica import ControlReplica
 from orchidpath.control.replica.pending_plan_actions import PendingPlanActions
 from orchidpath.placement.planner import make_preview
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
@@ -51,7 +51,7 @@
             generator,
         )
         member = ControlMember(node_id="c", address="c")
-        self.core = ControlCore(member, raft, MemberPolicy(target_voters=1), 1, generator)
+        self.core = ControlReplica(member, raft, MemberPolicy(target_voters=1), 1, generator)
         self.workers: dict[str, WorkerRecord] = {}
         self.sequence = 0
         self.orders: list[WorkerCommand] = []
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -3,7 +3,6 @@
 import msgspec
 from stage_builders import split_configuration
 
-from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.control.leadership.stage_balancer import (
     COMMAND_REPEAT_SECONDS,
     MOVE_SECONDS,
@@ -13,6 +12,7 @@
     StageBalancer,
 )
 from orchidpath.control.replica.control_effects import SendWorkerCommand
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.state.commands import (
     CordonWorker,
     SubmitConfiguration,
@@ -41,7 +41,7 @@
         self.lead(1)
 
     def lead(self, term: int) -> None:
-        self.output = LeaderOutput()
+        self.output = ControlOutput()
         self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.output, self.now)
 
     def apply(self, command: SubmitConfiguration | WorkerChanged | CordonWorker) -> None:
--- a/tests/control/test_stage_orders.py
+++ b/tests/control/test_stage_orders.py
@@ -8,7 +8,6 @@
 from stage_builders import split_configuration
 
 from command_format import PlatformCommandFormat
-from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.control.leadership.stage_balancer import (
     COMMAND_REPEAT_SECONDS,
     QUIET_PERIOD_SECONDS,
@@ -16,6 +15,7 @@
     StageBalancer,
 )
 from orchidpath.control.replica.control_effects import SendWorkerCommand
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.control.worker_commands import WORKER_ORDER_TIMEOUT_SECONDS, WorkerCommandSender
 from orchidpath.state.commands import (
     CordonWorker,
@@ -129,7 +129,7 @@
     def lead(self, machine: str, term: int) -> None:
         """Have a machine lead from now on."""
         self.machine = machine
-        self.output = LeaderOutput()
+        self.output = ControlOutput()
         self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.output, self.now)
 
     def announce(self, worker: Worker) -> None:
--- a/tests/control/test_update_publisher.py
+++ b/tests/control/test_update_publisher.py
@@ -1,12 +1,12 @@
 """What a leader sends to routers that lack something of the view."""
 
-from orchidpath.control.leadership.leader_output import LeaderOutput
+from leadership_builders import apply_command, router_record, sent_messages
+
 from orchidpath.control.leadership.update_publisher import MAX_CACHED_UPDATES, UpdatePublisher
-from orchidpath.control.replica.control_effects import SendToNode
-from orchidpath.state.commands import Command, RegisterRouter, encode_command
+from orchidpath.control.replica.control_output import ControlOutput
+from orchidpath.state.commands import RegisterRouter
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.messages import FleetUpdate, FleetUpdateRequest
-from orchidpath.wire.records import RouterRecord
 
 
 class PublisherFixture:
@@ -15,17 +15,11 @@
     def __init__(self) -> None:
         self.state = FleetState()
         self.adopted: dict[str, int] = {}
-        self.output = LeaderOutput()
+        self.output = ControlOutput()
         self.publisher = UpdatePublisher(self.state, self.adopted, self.output, 0.0)
 
-    def apply(self, command: Command) -> None:
-        self.state.apply(self.state.applied_index + 1, encode_command(command))
-
     def register(self, number: int) -> None:
-        record = RouterRecord(
-            router_id=f"r{number}", address=f"10.0.0.{number}:1", http_address="h:1"
-        )
-        self.apply(RegisterRouter(record=record))
+        apply_command(self.state, RegisterRouter(record=router_record(f"r{number}")))
 
     def request(self, router_id: str, adopted_revision: int) -> FleetUpdate:
         self.publisher.receive_request(
@@ -36,10 +30,9 @@
 
     def sent(self) -> list[FleetUpdate]:
         updates = []
-        for effect in self.output.take_effects():
-            assert isinstance(effect, SendToNode)
-            assert isinstance(effect.message, FleetUpdate)
-            updates.append(effect.message)
+        for _, message in sent_messages(self.output):
+            assert isinstance(message, FleetUpdate)
+            updates.append(message)
         return updates
 
 
--- a/tests/placement/plan_world.py
+++ b/tests/placement/plan_world.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from orchidpath.control.leadership.leader_output import LeaderOutput
 from orchidpath.control.leadership.plan_driver import PlanDriver
 from orchidpath.control.replica.control_effects import SendWorkerCommand
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.emulators.backend.backend_core import BackendCore
 from orchidpath.placement.planner import make_preview
 from orchidpath.state.commands import (
@@ -145,7 +145,7 @@
 
     def fail_over(self) -> None:
         self.term += 1
-        self.output = LeaderOutput()
+        self.output = ControlOutput()
         self.driver = PlanDriver(self.term, self.state, lambda _now: self.in_flight, self.output)
 
     def confirm_plan(self, order_id: str = "order") -> PlanResult:
