--- a/src/orchidpath/control/api/local_access.py
+++ b/src/orchidpath/control/api/local_access.py
@@ -1,7 +1,7 @@
-"""The operators' API on any control process: what this one cannot say itself, it asks the leader.
+"""The operators' API on any control process: what this one cannot answer, it asks the leader.
 
-Forwarding keeps one rule: an order whose forwarding got no answer is ``unknown``, never
-"not taken".
+Forwarding keeps one rule: the outcome of an update whose forwarding got no answer is ``unknown``,
+never ``no``.
 """
 
 import asyncio
@@ -45,14 +45,14 @@
 )
 from orchidpath.wire.records import WorkerStatus
 
-ORDER_TIMEOUT_SECONDS = CONFIRM_WAIT_SECONDS + 2.0
-"""After this long without an outcome an order is answered as unknown."""
+UPDATE_TIMEOUT_SECONDS = CONFIRM_WAIT_SECONDS + 2.0
+"""After this long without an outcome an update or a plan action is answered as unknown."""
 
 DEPARTURE_TIMEOUT_SECONDS = 0.8
-"""Bound on the wait until the fleet has agreed that a worker drains or is gone."""
+"""Bound on the wait until the replicated state shows that a worker drains or is removed."""
 
 DEPARTURE_PERIOD_SECONDS = 0.05
-"""Time between two looks whether it has."""
+"""Time between two reads of the state during that wait."""
 
 READ_TIMEOUT_SECONDS = 2.0
 """Bound on a linearizable read."""
@@ -70,12 +70,12 @@
 
 
 class LocalControlAccess(ControlAccess, PlanAccess):
-    """Answers operators from this process's core, or from the leader's.
+    """Answers operators from this process's replica, or from the leader's.
 
     Parameters
     ----------
-    runner
-        Gives access to the core.
+    replica_loop
+        Runs the replica.
     clock
         Monotonic clock.
     send_to_leader
@@ -83,28 +83,27 @@
     """
 
     def __init__(
-        self, runner: ReplicaLoop, clock: Clock, send_to_leader: Callable[[Message], bool]
+        self, replica_loop: ReplicaLoop, clock: Clock, send_to_leader: Callable[[Message], bool]
     ) -> None:
-        self._runner = runner
+        self._loop = replica_loop
         self._clock = clock
         self._send_to_leader = send_to_leader
         self._next_key = 0
         self._waiting: dict[int, asyncio.Future[object]] = {}
-        self._announcements: dict[str, Announcement] = {}
 
     @property
-    def _core(self) -> ControlReplica:
-        return self._runner.core
+    def _replica(self) -> ControlReplica:
+        return self._loop.replica
 
-    async def submit(self, order: SubmitConfiguration) -> SubmitResult:
-        """Propose an order here, or forward it to the leader, and wait for its outcome."""
+    async def submit(self, update: SubmitConfiguration) -> SubmitResult:
+        """Propose an update here, or forward it to the leader, and wait for its outcome."""
         key = self._new_key()
-        if self._core.is_leader:
-            self._runner.post(lambda now: self._core.submit(key, order, now))
-        elif not self._send_to_leader(_order_request(key, order)):
+        if self._replica.is_leader:
+            self._loop.post(lambda now: self._replica.submit(key, update, now))
+        elif not self._forward(key, _update_request(key, update)):
             return SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.NO)
         try:
-            answer = await self._wait(key, UpdateAnswered, ORDER_TIMEOUT_SECONDS)
+            answer = await self._wait(key, UpdateAnswered, UPDATE_TIMEOUT_SECONDS)
         except TimeoutError:
             return SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.UNKNOWN)
         return _submit_result(answer)
@@ -112,19 +111,18 @@
     async def request_plan_action(
         self, order_id: str, action: PlanAction, plan_id: str
     ) -> PlanActionResult:
-        """Take an order about a plan here, or forward it to the leader, and wait for it."""
+        """Take an action on a plan here, or forward it to the leader, and wait for its outcome."""
         key = self._new_key()
-        order = PlanActionRequest(
+        request = PlanActionRequest(
             correlation=key, order_id=order_id, action=action, plan_id=plan_id
         )
-        if self._core.is_leader:
-            self._runner.post(lambda now: self._core.request_plan_action(key, order, now))
-        elif not self._send_to_leader(order):
-            self._waiting.pop(key)
+        if self._replica.is_leader:
+            self._loop.post(lambda now: self._replica.request_plan_action(key, request, now))
+        elif not self._forward(key, request):
             reason = "no leader is known"
             return PlanActionResult(answer=PlanActionStatus.REJECTED, reason=reason)
         try:
-            answer = await self._wait(key, PlanActionAnswered, ORDER_TIMEOUT_SECONDS)
+            answer = await self._wait(key, PlanActionAnswered, UPDATE_TIMEOUT_SECONDS)
         except TimeoutError:
             reason = "no outcome in time"
             return PlanActionResult(answer=PlanActionStatus.UNKNOWN, reason=reason)
@@ -137,14 +135,14 @@
                 await self._read_as_follower()
         except TimeoutError as error:
             raise UnavailableError("no leader confirmed the read in time") from error
-        return self._core.state
+        return self._replica.state
 
     async def circuits(self) -> tuple[WorkerCircuitView, ...]:
         """Return the workers' circuits as the leader has them now."""
-        if self._core.has_authority(self._clock()):
-            return self._core.worker_circuits(self._clock())
+        if self._replica.has_authority(self._clock()):
+            return self._replica.worker_circuits(self._clock())
         key = self._new_key()
-        if not self._send_to_leader(WorkerCircuitsRequest(correlation=key)):
+        if not self._forward(key, WorkerCircuitsRequest(correlation=key)):
             raise UnavailableError("no leader is known")
         try:
             reply = await self._wait(key, WorkerCircuitsReply, READ_TIMEOUT_SECONDS)
@@ -156,23 +154,23 @@
 
     def status(self) -> StatusBody:
         """Return what this process knows of itself."""
-        core = self._core
-        membership = core.raft.membership
-        leader_id = core.raft.leader_id or ""
+        replica = self._replica
+        membership = replica.raft.membership
+        leader_id = replica.raft.leader_id or ""
         reason = "" if leader_id else "no leader is known"
-        if not core.is_member:
+        if not replica.is_member:
             reason = "not a member of the fleet yet"
         return StatusBody(
-            node_id=core.member.node_id,
-            role=core.raft.role,
-            term=core.raft.term,
+            node_id=replica.member.node_id,
+            role=replica.raft.role,
+            term=replica.raft.term,
             leader_id=leader_id,
             ready=not reason,
             reason=reason,
-            commit_index=core.raft.commit_index,
-            applied_index=core.raft.applied_index,
-            revision=core.state.revision,
-            configuration_version=core.state.configuration_version,
+            commit_index=replica.raft.commit_index,
+            applied_index=replica.raft.applied_index,
+            revision=replica.state.revision,
+            configuration_version=replica.state.configuration_version,
             voters=membership.voters,
             learners=membership.learners,
         )
@@ -180,25 +178,24 @@
     async def forward_announcement(self, announcement: Announcement) -> AnnouncementReply:
         """Pass an announcement to the leader's duties, here or over the wire."""
         message = ForwardedAnnouncements(announcements=(announcement,))
-        core = self._core
+        replica = self._replica
         accepted = True
-        if core.is_leader:
-            self._runner.post(lambda now: core.receive(core.member.node_id, message, now))
+        if replica.is_leader:
+            self._loop.post(lambda now: replica.receive(replica.member.node_id, message, now))
         else:
             accepted = self._send_to_leader(message)
-        members = core.control_members().members
+        members = replica.control_members().members
         addresses = tuple(member.http_address for member in members if member.http_address)
         return AnnouncementReply(accepted=accepted, announce_to=addresses)
 
     async def agree_on_departure(self, announcement: Announcement) -> bool:
-        """Pass on that a worker drains or leaves, and wait until the fleet has agreed on it.
+        """Pass on that a worker drains or leaves, and wait until the replicated state shows it.
 
         Returns
         -------
         bool
-            Whether the agreed state, read after the announcement was passed on, shows it.
+            Whether the state, read after the announcement was passed on, shows it.
         """
-        record = announcement.record
         try:
             async with asyncio.timeout(DEPARTURE_TIMEOUT_SECONDS):
                 while True:
@@ -206,22 +203,19 @@
                     if not reply.accepted:
                         return False
                     await asyncio.sleep(DEPARTURE_PERIOD_SECONDS)
-                    entry = (await self.read_state()).find_worker(record.worker_id)
-                    if entry is None or entry.record.incarnation != record.incarnation:
-                        return True
-                    if not announcement.leaving and entry.record.status is WorkerStatus.DRAINING:
+                    if _shows_departure(await self.read_state(), announcement):
                         return True
         except (TimeoutError, UnavailableError):
             return False
 
     def answered(self, key: int, answer: object) -> None:
-        """Hand an answer of the core, or of the leader, to the call that waits for it."""
+        """Hand an answer of the replica, or of the leader, to the call that waits for it."""
         waiting = self._waiting.get(key)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
 
-    def take_message(self, message: Message) -> bool:
-        """Take a leader's reply; False if the message is none."""
+    def receive_reply(self, message: Message) -> bool:
+        """Take a leader's reply; False if the message is not one."""
         match message:
             case ConfigurationUpdateReply():
                 answer = UpdateAnswered(
@@ -239,25 +233,27 @@
 
     async def _read_as_leader(self) -> bool:
         key = self._new_key()
-        self._runner.post(lambda now: self._core.read(key, now))
-        waiting = self._waiting[key]
-        try:
-            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
-                answer = await waiting
-        finally:
-            self._waiting.pop(key, None)
+        self._loop.post(lambda now: self._replica.read(key, now))
+        answer = await self._wait_for_any(key, READ_TIMEOUT_SECONDS)
         assert isinstance(answer, ReadReady | ReadFailed)
         return isinstance(answer, ReadReady)
 
     async def _read_as_follower(self) -> None:
         key = self._new_key()
-        if not self._send_to_leader(ReadIndexRequest(correlation=key)):
+        if not self._forward(key, ReadIndexRequest(correlation=key)):
             raise UnavailableError("no leader is known")
         reply = await self._wait(key, ReadIndexReply, READ_TIMEOUT_SECONDS)
         if not reply.available:
             raise UnavailableError("the leader could not confirm the read")
         async with asyncio.timeout(READ_TIMEOUT_SECONDS):
-            await self._runner.wait_until_applied(reply.index)
+            await self._loop.wait_until_applied(reply.index)
+
+    def _forward(self, key: int, message: Message) -> bool:
+        """Send a request to the leader; False, and nothing waits any more, if it is lost."""
+        if self._send_to_leader(message):
+            return True
+        self._waiting.pop(key)
+        return False
 
     def _new_key(self) -> int:
         self._next_key += 1
@@ -265,33 +261,45 @@
         return self._next_key
 
     async def _wait(self, key: int, kind: type[Answer], timeout_seconds: float) -> Answer:
+        answer = await self._wait_for_any(key, timeout_seconds)
+        assert isinstance(answer, kind)
+        return answer
+
+    async def _wait_for_any(self, key: int, timeout_seconds: float) -> object:
         try:
             async with asyncio.timeout(timeout_seconds):
-                answer = await self._waiting[key]
+                return await self._waiting[key]
         finally:
             self._waiting.pop(key, None)
-        assert isinstance(answer, kind)
-        return answer
 
 
-def _order_request(key: int, order: SubmitConfiguration) -> ConfigurationUpdateRequest:
+def _shows_departure(state: FleetState, announcement: Announcement) -> bool:
+    """Whether a state shows that a worker is gone, or drains as it announced."""
+    record = announcement.record
+    entry = state.find_worker(record.worker_id)
+    if entry is None or entry.record.incarnation != record.incarnation:
+        return True
+    return not announcement.leaving and entry.record.status is WorkerStatus.DRAINING
+
+
+def _update_request(key: int, update: SubmitConfiguration) -> ConfigurationUpdateRequest:
     return ConfigurationUpdateRequest(
         correlation=key,
-        order_id=order.order_id,
-        base_version=order.base_version,
-        configuration=order.configuration,
-        digest=order.digest,
-        document=order.document,
+        order_id=update.order_id,
+        base_version=update.base_version,
+        configuration=update.configuration,
+        digest=update.digest,
+        document=update.document,
     )
 
 
 def _submit_result(answer: UpdateAnswered) -> SubmitResult:
     status = _STATUS_BY_ANSWER[answer.answer]
-    taken = Accepted.NO if answer.answer is UpdateStatus.REJECTED else Accepted.UNKNOWN
-    refused = status in {SubmitStatus.CONFLICT, SubmitStatus.ORDER_ID_REUSED}
+    accepted = Accepted.NO if answer.answer is UpdateStatus.REJECTED else Accepted.UNKNOWN
+    rejected = status in {SubmitStatus.CONFLICT, SubmitStatus.ORDER_ID_REUSED}
     return SubmitResult(
         status=status,
-        version=0 if refused else answer.version,
-        current_version=answer.version if refused else 0,
-        taken=taken,
+        version=0 if rejected else answer.version,
+        current_version=answer.version if rejected else 0,
+        taken=accepted,
     )
--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -1,4 +1,4 @@
-"""The control process: wires the core to disk, peers, routers and the operators' API."""
+"""The control process: connects the replica to disk, peers, routers and the operators' API."""
 
 import asyncio
 import random as random_module
@@ -21,6 +21,8 @@
 from orchidpath.control.api.local_access import LocalControlAccess
 from orchidpath.control.api.operator_api import create_operator_app
 from orchidpath.control.api.plan_api import add_plan_routes
+from orchidpath.control.connections import ControlConnections
+from orchidpath.control.fleet_joiner import FleetJoiner
 from orchidpath.control.leadership.member_manager import MemberPolicy
 from orchidpath.control.replica.control_effects import (
     ControlEffect,
@@ -34,33 +36,22 @@
     UpdateAnswered,
 )
 from orchidpath.control.replica.control_replica import ControlReplica
-from orchidpath.control.replica.formation import (
-    NoAnswerError,
-    may_form_fleet,
-    query_control_members,
-)
 from orchidpath.control.replica.replica_loop import ReplicaLoop
 from orchidpath.control.worker_commands import WorkerCommandFormat, WorkerCommandSender
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
-from orchidpath.wire.connection import Connection, Listener
+from orchidpath.wire.connection import Connection
 from orchidpath.wire.link_faults import LinkFaults, watch_fault_file
 from orchidpath.wire.messages import (
-    ControlMembers,
     Hello,
-    JoinRequest,
     Message,
     ProcessRole,
     WhoIsControl,
 )
-from orchidpath.wire.peer_links import PeerLinks
 from orchidpath.wire.records import ControlMember
 
 DISK_FULL_RETRY_SECONDS = 0.5
 """Time between two tries to go on after the disk was full."""
 
-JOIN_PERIOD_SECONDS = 0.5
-"""Time between two tries of a replica that is no member to form or join its fleet."""
-
 IDENTITY_CHARACTERS = 12
 """Characters of the random identity that are shown in a replica's id."""
 
@@ -89,8 +80,8 @@
         Monotonic clock.
     add_routes
         Adds further calls to the operators' API, for adapters to other interfaces.
-    order_format
-        How orders to workers are written; by default in the product's own form.
+    command_format
+        How commands to workers are written; by default in the product's own form.
     """
 
     def __init__(
@@ -110,9 +101,7 @@
         self._files = files or RealFiles()
         self._storage = self._new_storage()
         self._random = random_module.Random()
-        self._incoming: dict[str, Connection] = {}
         self._tasks: list[asyncio.Task[None]] = []
-        self._was_restored = False
         self.metrics = Metrics()
         self._sync_seconds = self.metrics.latency("sync_seconds", "Time of one sync to disk")
 
@@ -124,71 +113,88 @@
     async def start(self) -> None:
         """Read the disk, listen, and take part."""
         restored = self._storage.load()
-        self._was_restored = restored != RestoredState()
-        identity = self._storage.identity[:IDENTITY_CHARACTERS]
-        self._member = ControlMember(
-            node_id=f"{self._settings.node_id}.{identity}",
+        self._member = self._describe_member()
+        self._loop = ReplicaLoop(
+            self._new_replica(restored, None),
+            self._storage,
+            self._clock,
+            self._execute,
+            self._synced,
+        )
+        self._connect_parts(is_restored=restored != RestoredState())
+        await self._connections.start()
+        await self._start_http()
+        self._start_tasks()
+
+    async def stop(self, drain_seconds: float) -> None:
+        """Stop at once; whatever was acknowledged is on disk."""
+        for task in self._tasks:
+            task.cancel()
+        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._worker_commands.close()
+        await self._connections.close()
+        await self._http_runner.cleanup()
+        self._storage.close()
+
+    async def reload(self, settings: ControlSettings) -> None:
+        """Take new settings; the log level and the seeds change in a running process."""
+        self._settings = settings
+        configure_logs(settings.log_level, node_id=settings.node_id, role="control")
+
+    def _describe_member(self) -> ControlMember:
+        """Return this replica as it registers itself; its id changes with the disk's identity."""
+        return ControlMember(
+            node_id=f"{self._settings.node_id}.{self._identity}",
             address=self._settings.wire_address,
             http_address=f"http://{self._settings.http_address}",
             may_vote=self._settings.may_vote,
         )
-        self._hello = Hello(
+
+    @property
+    def _identity(self) -> str:
+        return self._storage.identity[:IDENTITY_CHARACTERS]
+
+    def _connect_parts(self, *, is_restored: bool) -> None:
+        """Create what talks to operators, workers and other processes."""
+        hello = Hello(
             node_id=self._member.node_id,
-            incarnation=identity,
+            incarnation=self._identity,
             role=ProcessRole.CONTROL,
             address=self._settings.wire_address,
             fleet=self._settings.fleet,
         )
-        self._runner = ReplicaLoop(
-            self._new_core(restored, None), self._storage, self._clock, self._execute, self._synced
-        )
-        self._access = LocalControlAccess(self._runner, self._clock, self._send_to_leader)
+        self._faults = LinkFaults() if self._settings.fault_file else None
+        self._access = LocalControlAccess(self._loop, self._clock, self._send_to_leader)
         self._worker_commands = WorkerCommandSender(
             self._worker_command_answered, self._command_format
         )
-        self._faults = LinkFaults() if self._settings.fault_file else None
-        self._listener = Listener(
-            self._settings.wire_address,
-            self._hello,
-            on_connect=self._on_incoming,
-            on_message=self._on_message,
-            on_close=self._on_incoming_closed,
+        self._connections = ControlConnections(hello, self._on_message, self._random, self._faults)
+        self._joiner = FleetJoiner(
+            lambda: self._settings,
+            hello,
+            self._loop,
+            self._connections,
+            self._form_fleet,
+            is_restored=is_restored,
             faults=self._faults,
         )
-        self._links = PeerLinks(self._hello, self._on_message, self._random, faults=self._faults)
-        await self._listener.start()
-        await self._start_http()
+
+    def _start_tasks(self) -> None:
         self._tasks = [
-            asyncio.create_task(self._run_core()),
-            asyncio.create_task(self._join_forever()),
+            asyncio.create_task(self._run_replica()),
+            asyncio.create_task(self._joiner.run_forever()),
             asyncio.create_task(self._keep_links()),
         ]
         if self._faults is not None:
             self._tasks.append(watch_fault_file(self._settings.fault_file, self._faults))
 
-    async def stop(self, drain_seconds: float) -> None:
-        """Stop at once; whatever was acknowledged is on disk."""
-        for task in self._tasks:
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._worker_commands.close()
-        await self._links.close()
-        await self._listener.close()
-        await self._http_runner.cleanup()
-        self._storage.close()
-
-    async def reload(self, settings: ControlSettings) -> None:
-        """Take new settings; the log level and the seeds change in a running process."""
-        self._settings = settings
-        configure_logs(settings.log_level, node_id=settings.node_id, role="control")
-
     def _new_storage(self) -> LogStorage:
         """Return where this replica keeps its log; one that never votes needs no disk."""
         if not self._settings.may_vote:
             return MemoryLogStorage()
         return FileLogStorage(self._settings.data_folder, self._files)
 
-    def _new_core(self, restored: RestoredState, bootstrap: Membership | None) -> ControlReplica:
+    def _new_replica(self, restored: RestoredState, bootstrap: Membership | None) -> ControlReplica:
         now = self._clock()
         raft = RaftCore(
             self._member.node_id, RaftSettings(), restored, bootstrap, now, self._random
@@ -213,10 +219,10 @@
         host, port = self._settings.http_address.rsplit(":", 1)
         await web.TCPSite(self._http_runner, host, int(port), shutdown_timeout=0.5).start()
 
-    async def _run_core(self) -> None:
+    async def _run_replica(self) -> None:
         while True:
             try:
-                await self._runner.run_forever()
+                await self._loop.run_forever()
             except StorageFullError as error:
                 self._logger.error("disk_full", error=str(error))
                 await self._restart_replica()
@@ -224,15 +230,15 @@
                 self.fail(ReplicaStoppedError(f"{type(error).__name__}: {error}"))
                 return
             except Exception as error:
-                # A core that stopped in the middle of an event must not look alive.
-                self._logger.exception("core_failed", error=str(error))
+                # The outermost loop: a replica that stopped within an event must not look alive.
+                self._logger.exception("replica_failed", error=str(error))
                 self.fail(ReplicaStoppedError(f"{type(error).__name__}: {error}"))
                 return
 
     async def _restart_replica(self) -> None:
         """Go on from what is on the disk, as a restarted process would, once it takes bytes.
 
-        What the core believed is ahead of its disk, so nothing of it is kept.
+        What the replica believed is ahead of its disk, so nothing of it is kept.
         """
         while True:
             await asyncio.sleep(DISK_FULL_RETRY_SECONDS)
@@ -243,71 +249,23 @@
             except StorageError as error:
                 self._logger.error("disk_still_unusable", error=str(error))
                 continue
-            self._runner.restart(self._new_core(restored, None), self._storage)
+            self._loop.restart(self._new_replica(restored, None), self._storage)
             return
 
-    async def _join_forever(self) -> None:
-        """Form or join the fleet whenever this replica is no member of it."""
-        while True:
-            if not self._runner.core.is_member or not self._is_known_to_leader():
-                await self._try_to_join()
-            await asyncio.sleep(JOIN_PERIOD_SECONDS)
-
-    def _is_known_to_leader(self) -> bool:
-        """Whether a leader is heard: a replica that was removed while away hears none."""
-        return self._runner.core.raft.leader_id is not None
-
-    async def _try_to_join(self) -> None:
-        settings = self._settings
-        is_new = not self._was_restored and not self._runner.core.raft.membership.members()
-        if is_new and settings.may_vote:
-            forms = await may_form_fleet(
-                settings.wire_address, settings.formation_members, self._hello
-            )
-            if forms:
-                self._form_fleet()
-                return
-        others = dict.fromkeys([*settings.seeds, *settings.formation_members])
-        for address in others:
-            if address == settings.wire_address:
-                continue
-            try:
-                answer = await query_control_members(address, self._hello, self._faults)
-            except NoAnswerError:
-                continue
-            if await self._request_join(answer):
-                return
-
     def _form_fleet(self) -> None:
         membership = Membership(
             voters=(self._member.node_id,),
             addresses={self._member.node_id: self._member.address},
         )
         self._logger.info("forming_a_new_fleet", member=self._member.node_id)
-        self._was_restored = True
-        self._runner.core = self._new_core(RestoredState(), membership)
-
-    async def _request_join(self, answer: ControlMembers) -> bool:
-        """Ask the leader named in an answer to be added; False if it names none to ask."""
-        own = self._member.node_id
-        if any(member.node_id == own for member in answer.members):
-            return True
-        for member in answer.members:
-            if member.node_id == answer.leader_id:
-                connection = self._links.connection(member.address)
-                if connection is None:
-                    self._links.set_addresses({*self._links.addresses, member.address})
-                    return False
-                connection.send(JoinRequest(member=self._member))
-                return True
-        return False
+        self._loop.replica = self._new_replica(RestoredState(), membership)
 
     async def _keep_links(self) -> None:
         while True:
-            membership = self._runner.core.raft.membership
-            wanted = set(membership.addresses.values()) - {self._member.address}
-            if wanted:
-                self._links.set_addresses(wanted)
+            membership = self._loop.replica.raft.membership
+            other_addresses = set(membership.addresses.values()) - {self._member.address}
+            if other_addresses:
+                self._connections.link_to(other_addresses)
             await asyncio.sleep(LINKS_PERIOD_SECONDS)
 
     def _synced(self, seconds: float) -> None:
@@ -316,39 +274,27 @@
             self._logger.warning("slow_disk", seconds=round(seconds, 3))
 
     def _send_to_leader(self, message: Message) -> bool:
-        core = self._runner.core
-        address = core.raft.membership.addresses.get(core.raft.leader_id or "", "")
-        return bool(address) and self._links.send(address, message)
-
-    def _on_incoming(self, connection: Connection) -> None:
-        if connection.remote.role is ProcessRole.TOOL:
-            return
-        self._incoming[connection.remote.node_id] = connection
-
-    def _on_incoming_closed(self, connection: Connection) -> None:
-        if self._incoming.get(connection.remote.node_id) is connection:
-            del self._incoming[connection.remote.node_id]
+        raft = self._loop.replica.raft
+        address = raft.membership.addresses.get(raft.leader_id or "", "")
+        return bool(address) and self._connections.send_to_address(address, message)
 
     def _on_message(self, connection: Connection, message: Message) -> None:
-        if self._access.take_message(message):
+        if self._access.receive_reply(message):
             return
         if isinstance(message, WhoIsControl):
-            connection.send(self._runner.core.control_members())
+            connection.send(self._loop.replica.control_members())
             return
         sender_id = connection.remote.node_id
-        self._runner.post(lambda now: self._runner.core.receive(sender_id, message, now))
+        self._loop.post(lambda now: self._loop.replica.receive(sender_id, message, now))
 
     def _execute(self, effect: ControlEffect) -> None:
         match effect:
             case SendToMember():
-                # A new learner knows no address yet; it answers where it was spoken to.
-                if not self._links.send(effect.address, effect.message):
-                    self._send_to_incoming(effect.node_id, effect.message)
+                self._connections.send_to_member(effect)
             case SendToNode():
-                self._send_to_incoming(effect.node_id, effect.message)
+                self._connections.send_to_node(effect.node_id, effect.message)
             case SendToConnected():
-                for connection in self._incoming.values():
-                    connection.send(effect.message)
+                self._connections.send_to_connected(effect.message)
             case UpdateAnswered() | ReadReady() | ReadFailed() | PlanActionAnswered():
                 self._access.answered(effect.key, effect)
             case SendWorkerCommand():
@@ -364,12 +310,7 @@
                 raise AssertionError(f"{type(effect).__name__} is a record")
 
     def _worker_command_answered(
-        self, order: WorkerCommand, reply: WorkerCommandReply | None
+        self, command: WorkerCommand, reply: WorkerCommandReply | None
     ) -> None:
-        runner = self._runner
-        runner.post(lambda now: runner.core.worker_command_answered(order, reply, now))
-
-    def _send_to_incoming(self, node_id: str, message: Message) -> None:
-        connection = self._incoming.get(node_id)
-        if connection is not None:
-            connection.send(message)
+        loop = self._loop
+        loop.post(lambda now: loop.replica.worker_command_answered(command, reply, now))
--- a/src/orchidpath/control/replica/replica_loop.py
+++ b/src/orchidpath/control/replica/replica_loop.py
@@ -1,8 +1,8 @@
-"""Drives the control core: takes events, syncs what must be synced, then lets effects out.
+"""Drives a control replica: takes events, syncs what must be synced, then runs the effects.
 
 The order in here is what "synced before any answer" rests on. Events that came in while a sync was
 running are taken together (group commit): all their records are synced first, then all their other
-effects run in the order in which the core gave them. Moving a record before a message that
+effects run in the order in which the replica gave them. Moving a record before a message that
 preceded it is always safe; the reverse never is, and does not happen.
 """
 
@@ -16,60 +16,60 @@
 from orchidpath.control.replica.control_effects import ControlEffect, PersistEffect
 from orchidpath.control.replica.control_replica import ControlReplica
 
-CoreEvent = Callable[[float], list[ControlEffect]]
-"""One call of the core, given the time at which it is made."""
+ReplicaEvent = Callable[[float], list[ControlEffect]]
+"""One call of the replica, given the time at which it is made."""
 
 MAX_EVENTS_PER_TURN = 256
 """Events taken in one turn; bounds how long a turn keeps the event loop."""
 
 
 class ReplicaLoop:
-    """Serializes all access to a control core.
+    """Serializes all access to a control replica.
 
     Parameters
     ----------
-    core
+    replica
         The decisions.
     storage
         Where its records are kept.
     clock
         Monotonic clock.
     execute
-        Runs one effect that is no record; must not block.
+        Runs one effect that is not a record; must not block.
     on_sync
         Told how many seconds each turn's sync took.
     """
 
     def __init__(
         self,
-        core: ControlReplica,
+        replica: ControlReplica,
         storage: LogStorage,
         clock: Clock,
         execute: Callable[[ControlEffect], None],
         on_sync: Callable[[float], None],
     ) -> None:
-        self.core = core
+        self.replica = replica
         self._storage = storage
         self._clock = clock
         self._execute = execute
         self._on_sync = on_sync
-        self._events: list[CoreEvent] = []
+        self._events: list[ReplicaEvent] = []
         self._wake = asyncio.Event()
         self._turn_ended = asyncio.Event()
 
-    def restart(self, core: ControlReplica, storage: LogStorage) -> None:
-        """Go on with a core restored from storage; events for the old one are dropped."""
-        self.core = core
+    def restart(self, replica: ControlReplica, storage: LogStorage) -> None:
+        """Go on with a replica restored from storage; events for the old one are dropped."""
+        self.replica = replica
         self._storage = storage
         self._events.clear()
 
     async def wait_until_applied(self, index: int) -> None:
-        """Wait until the core has applied the log up to ``index``."""
-        while self.core.raft.applied_index < index:
+        """Wait until the replica has applied the log up to ``index``."""
+        while self.replica.raft.applied_index < index:
             await self._turn_ended.wait()
 
-    def post(self, event: CoreEvent) -> None:
-        """Queue a call of the core; it runs soon, in order."""
+    def post(self, event: ReplicaEvent) -> None:
+        """Queue a call of the replica; it runs soon, in order."""
         self._events.append(event)
         self._wake.set()
 
@@ -92,7 +92,7 @@
         effects: list[ControlEffect] = []
         for event in events:
             effects.extend(event(self._clock()))
-        effects.extend(self.core.tick(self._clock()))
+        effects.extend(self.replica.tick(self._clock()))
         records = merge_records(effect for effect in effects if is_record(effect))
         if records:
             await self._sync(records)
@@ -123,7 +123,7 @@
             return
         self._wake.clear()
         now = self._clock()
-        delay_seconds = max(0.0, self.core.next_deadline(now) - now)
+        delay_seconds = max(0.0, self.replica.next_deadline(now) - now)
         try:
             async with asyncio.timeout(delay_seconds):
                 await self._wake.wait()
@@ -142,7 +142,7 @@
     for effect in effects:
         previous = merged[-1] if merged else None
         if not isinstance(effect, PersistHardState | PersistEntries | PersistSnapshot):
-            raise ConsensusError(f"{type(effect).__name__} is no record")
+            raise ConsensusError(f"{type(effect).__name__} is not a record")
         if (
             isinstance(effect, PersistEntries)
             and isinstance(previous, PersistEntries)
