--- a/src/orchidpath/control/api/local_access.py
+++ b/src/orchidpath/control/api/local_access.py
@@ -12,9 +12,8 @@
 
 from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.common.clock import Clock
-from orchidpath.control.api.operator_api import ControlAccess, UnavailableError
+from orchidpath.control.api.control_access import ControlAccess, PlanAccess, UnavailableError
 from orchidpath.control.api.operator_bodies import Accepted, StatusBody, SubmitResult, SubmitStatus
-from orchidpath.control.api.plan_api import PlanAccess
 from orchidpath.control.api.plan_bodies import PlanActionResult
 from orchidpath.control.replica.control_effects import (
     PlanActionAnswered,
--- a/src/orchidpath/control/api/operator_api.py
+++ b/src/orchidpath/control/api/operator_api.py
@@ -3,45 +3,37 @@
 Endpoints, all JSON:
 
 - ``GET /v1/configuration``: version and configuration.
-- ``PUT /v1/configuration``: submit an order.
-- ``GET /v1/configuration/history``: the newest configurations taken.
-- ``GET /v1/orders/{order_id}``: first outcome of an order.
+- ``PUT /v1/configuration``: submit an update.
+- ``GET /v1/configuration/history``: the newest configurations.
+- ``GET /v1/orders/{order_id}``: first outcome of an update.
 - ``GET /v1/status``: this process.
 - ``GET /v1/workers``, ``GET /v1/routers``, ``GET /v1/members``: the fleet.
 - ``POST /v1/workers/announce``: a worker's announcement.
 - ``GET /health/live``, ``GET /health/ready``: probes.
 - ``GET /metrics``: metrics in the Prometheus text format.
 
-Reads of the fleet are linearizable: they see every order confirmed before they began, at any
+Reads of the fleet are linearizable: they see every update confirmed before they began, at any
 control process. Every error has the shape of
 :class:`~orchidpath.control.api.operator_bodies.OperatorErrorBody`.
 """
 
-import abc
-import asyncio
-import math
-from collections.abc import Awaitable, Callable
-
 import msgspec
 import prometheus_client
 import structlog
 from aiohttp import web
 
-from orchidpath.circuit.circuit_table import WorkerCircuitView
-from orchidpath.common.errors import OrchidpathError
+from orchidpath.control.api.control_access import ControlAccess
 from orchidpath.control.api.operator_bodies import (
     Accepted,
     ConfigurationBody,
     HealthBody,
     HistoryBody,
-    MalformedRequestError,
     MembersBody,
     OperatorError,
     OperatorErrorBody,
     OperatorErrorCode,
     RouterBody,
     RoutersBody,
-    StatusBody,
     SubmitReplyBody,
     SubmitResult,
     SubmitStatus,
@@ -51,79 +43,19 @@
     order_body,
     worker_body,
 )
+from orchidpath.control.api.responses import (
+    answer_errors,
+    error_response,
+    json_response,
+    read_body,
+)
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
-from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.validation import InvalidConfigurationError, parse_configuration
-from orchidpath.wire.backend import Announcement, AnnouncementReply
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 """Largest body of a request, a configuration included."""
 
-BODY_TIMEOUT_SECONDS = 10.0
-"""A request whose body takes longer than this to arrive is refused."""
-
 _log = structlog.get_logger(__name__)
-_CODES_BY_HTTP_STATUS = {
-    404: OperatorErrorCode.NOT_FOUND,
-    405: OperatorErrorCode.METHOD_NOT_ALLOWED,
-    408: OperatorErrorCode.TIMEOUT,
-    413: OperatorErrorCode.TOO_LARGE,
-}
-
-
-class UnavailableError(OrchidpathError):
-    """The control tier cannot answer now.
-
-    Parameters
-    ----------
-    message
-        Why.
-    retry_after_seconds
-        When to come back.
-    """
-
-    def __init__(self, message: str, retry_after_seconds: float = 1.0) -> None:
-        super().__init__(message)
-        self.retry_after_seconds = retry_after_seconds
-
-
-class ControlAccess(abc.ABC):
-    """What the API needs of its control process; requests may be forwarded to the leader."""
-
-    @abc.abstractmethod
-    async def submit(self, order: SubmitConfiguration) -> SubmitResult:
-        """Propose a valid order and wait, for a bounded time, until it is confirmed.
-
-        ``taken`` is NO in the result only if the order can never take effect any more.
-        """
-
-    @abc.abstractmethod
-    async def read_state(self) -> FleetState:
-        """Return a state that holds everything confirmed before the call (linearizable).
-
-        Raises
-        ------
-        UnavailableError
-            No leader confirmed the read in time.
-        """
-
-    @abc.abstractmethod
-    async def circuits(self) -> tuple[WorkerCircuitView, ...]:
-        """Return the workers' circuits as the leader has them now.
-
-        Raises
-        ------
-        UnavailableError
-            No leader answered in time.
-        """
-
-    @abc.abstractmethod
-    def status(self) -> StatusBody:
-        """Return what this process knows of itself, without asking any other."""
-
-    @abc.abstractmethod
-    async def forward_announcement(self, announcement: Announcement) -> AnnouncementReply:
-        """Pass a worker's announcement on to the leader."""
 
 
 def create_operator_app(
@@ -139,7 +71,7 @@
     registry
         Metrics to show.
     """
-    app = web.Application(middlewares=[_answer_errors], client_max_size=MAX_BODY_BYTES)
+    app = web.Application(middlewares=[answer_errors], client_max_size=MAX_BODY_BYTES)
     api = _OperatorApi(access, registry)
     app.router.add_get("/v1/configuration", api.get_configuration)
     app.router.add_put("/v1/configuration", api.put_configuration)
@@ -168,7 +100,7 @@
     async def get_configuration(self, request: web.Request) -> web.Response:
         """``GET /v1/configuration``: 200 ``{"version", "configuration"}``; 503 without a leader."""
         state = await self._access.read_state()
-        return _json(
+        return json_response(
             ConfigurationBody(
                 version=state.configuration_version, configuration=state.configuration
             )
@@ -177,29 +109,29 @@
     async def put_configuration(self, request: web.Request) -> web.Response:
         """``PUT /v1/configuration`` with ``{"order_id", "base_version", "configuration"}``.
 
-        - 200 ``{"order_id", "version", "confirmed": true}``: taken and confirmed.
-        - 202 the same with ``false``: taken; send the same order again for the confirmation.
+        - 200 ``{"order_id", "version", "confirmed": true}``: accepted and confirmed.
+        - 202 the same with ``false``: accepted; send the same update again for the confirmation.
         - 400 ``malformed`` and 422 ``invalid_configuration`` with every problem and its path:
           nothing was proposed.
-        - 409 ``version_conflict`` or ``order_id_reused``, with ``current_version``: refused.
-        - 503 ``no_leader`` with ``Retry-After``; ``taken`` is ``no`` or ``unknown``. An order of
-          unknown outcome is sent again as it is: its id makes it take effect once.
+        - 409 ``version_conflict`` or ``order_id_reused``, with ``current_version``: rejected.
+        - 503 ``no_leader`` with ``Retry-After``; ``taken`` is ``no`` or ``unknown``. An update
+          of unknown outcome is sent again as it is: its id makes it take effect once.
         """
-        body = decode_submit(await _read_body(request))
+        body = decode_submit(await read_body(request))
         try:
             configuration = parse_configuration(bytes(body.configuration))
         except InvalidConfigurationError as error:
             return _invalid_configuration(error, body.order_id)
-        order = SubmitConfiguration(
+        update = SubmitConfiguration(
             order_id=body.order_id,
             base_version=body.base_version,
             configuration=configuration,
             digest=configuration_digest(body.base_version, configuration),
         )
         try:
-            result = await self._access.submit(order)
+            result = await self._access.submit(update)
         except Exception as error:
-            # The order may already be in the log, so nothing may be promised about it.
+            # Whatever failed, the update may already be in the log: its outcome is unknown.
             _log.exception("submit_failed", order_id=body.order_id, error=str(error))
             result = SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.UNKNOWN)
         return _submit_response(body.order_id, result)
@@ -207,25 +139,27 @@
     async def get_history(self, request: web.Request) -> web.Response:
         """``GET /v1/configuration/history``: 200 ``{"history": [{"version", ...}]}``."""
         state = await self._access.read_state()
-        return _json(HistoryBody(history=state.history()))
+        return json_response(HistoryBody(history=state.history()))
 
     async def get_order(self, request: web.Request) -> web.Response:
         """``GET /v1/orders/{order_id}``: 200 with the first outcome; 404 ``unknown_order``.
 
-        An unknown order had not been taken when the request came, or is older than the newest
-        orders that are remembered; one still on its way may be taken later.
+        An unknown update had not been accepted when the request came, or is older than the newest
+        updates that are retained; one still on its way may be accepted later.
         """
         order_id = request.match_info["order_id"]
         state = await self._access.read_state()
         record = state.find_update(order_id)
         if record is None:
             message = "no order of this id is remembered"
-            return _error(404, OperatorErrorCode.UNKNOWN_COMMAND, message, order_id=order_id)
-        return _json(order_body(record))
+            return error_response(
+                404, OperatorErrorCode.UNKNOWN_COMMAND, message, order_id=order_id
+            )
+        return json_response(order_body(record))
 
     async def get_status(self, request: web.Request) -> web.Response:
         """``GET /v1/status``: 200 with what this process knows of itself."""
-        return _json(self._access.status())
+        return json_response(self._access.status())
 
     async def get_workers(self, request: web.Request) -> web.Response:
         """``GET /v1/workers``: 200 ``{"revision", "workers": [...]}`` with each one's circuit.
@@ -238,7 +172,7 @@
         workers = tuple(
             worker_body(record, circuits.get(record.worker_id)) for record in state.workers()
         )
-        return _json(WorkersBody(revision=state.revision, workers=workers))
+        return json_response(WorkersBody(revision=state.revision, workers=workers))
 
     async def get_routers(self, request: web.Request) -> web.Response:
         """``GET /v1/routers``: 200 ``{"revision", "routers": [{"record", "witness"}]}``."""
@@ -247,7 +181,7 @@
             RouterBody(record=record, witness=record.router_id in state.witnesses)
             for record in state.routers()
         )
-        return _json(RoutersBody(revision=state.revision, routers=routers))
+        return json_response(RoutersBody(revision=state.revision, routers=routers))
 
     async def get_members(self, request: web.Request) -> web.Response:
         """``GET /v1/members``: 200 ``{"term", "leader_id", "members": [...]}``."""
@@ -257,26 +191,28 @@
             msgspec.structs.replace(member, voter=member.node_id in status.voters)
             for member in state.control_members()
         )
-        return _json(MembersBody(term=status.term, leader_id=status.leader_id, members=members))
+        return json_response(
+            MembersBody(term=status.term, leader_id=status.leader_id, members=members)
+        )
 
     async def post_announcement(self, request: web.Request) -> web.Response:
-        """``POST /v1/workers/announce`` with an announcement: 200 or, if not taken on, 503."""
-        announcement = decode_announcement(await _read_body(request))
+        """``POST /v1/workers/announce`` with an announcement: 200 or, if not accepted, 503."""
+        announcement = decode_announcement(await read_body(request))
         reply = await self._access.forward_announcement(announcement)
-        response = _json(reply, status=200 if reply.accepted else 503)
+        response = json_response(reply, status=200 if reply.accepted else 503)
         if not reply.accepted:
             response.headers["Retry-After"] = "1"
         return response
 
     async def get_live(self, request: web.Request) -> web.Response:
         """``GET /health/live``: 200 as long as the process answers."""
-        return _json(HealthBody(ready=self._access.status().ready))
+        return json_response(HealthBody(ready=self._access.status().ready))
 
     async def get_ready(self, request: web.Request) -> web.Response:
         """``GET /health/ready``: 200 if the process can serve operators, else 503."""
         status = self._access.status()
         body = HealthBody(ready=status.ready, reason=status.reason)
-        return _json(body, status=200 if status.ready else 503)
+        return json_response(body, status=200 if status.ready else 503)
 
     async def get_metrics(self, request: web.Request) -> web.Response:
         """``GET /metrics``: 200 with the metrics in the Prometheus text format."""
@@ -286,51 +222,15 @@
         )
 
 
-@web.middleware
-async def _answer_errors(
-    request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
-) -> web.StreamResponse:
-    """Turn every exception into the one JSON shape of errors."""
-    try:
-        return await handler(request)
-    except MalformedRequestError as error:
-        return _error(400, OperatorErrorCode.MALFORMED, str(error))
-    except UnavailableError as error:
-        return _error(
-            503,
-            OperatorErrorCode.NO_LEADER,
-            str(error),
-            retry_after_seconds=error.retry_after_seconds,
-        )
-    except web.HTTPException as error:
-        code = _CODES_BY_HTTP_STATUS.get(error.status, OperatorErrorCode.REFUSED)
-        response = _error(error.status, code, error.reason)
-        if "Allow" in error.headers:
-            response.headers["Allow"] = error.headers["Allow"]
-        return response
-    except Exception as error:
-        _log.exception("request_failed", path=request.path, error=str(error))
-        return _error(500, OperatorErrorCode.INTERNAL, "the request failed inside the server")
-
-
-async def _read_body(request: web.Request) -> bytes:
-    """Return a request's body, for which the wait is bounded."""
-    try:
-        async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
-            return await request.read()
-    except TimeoutError as error:
-        raise web.HTTPRequestTimeout from error
-
-
 def _submit_response(order_id: str, result: SubmitResult) -> web.Response:
-    """Return the answer to an order."""
+    """Return the answer to an update."""
     match result.status:
         case SubmitStatus.CONFIRMED | SubmitStatus.ACCEPTED_NOT_CONFIRMED:
             confirmed = result.status is SubmitStatus.CONFIRMED
             body = SubmitReplyBody(order_id=order_id, version=result.version, confirmed=confirmed)
-            return _json(body, status=200 if confirmed else 202)
+            return json_response(body, status=200 if confirmed else 202)
         case SubmitStatus.CONFLICT:
-            return _error(
+            return error_response(
                 409,
                 OperatorErrorCode.VERSION_CONFLICT,
                 "the order was not built on the current version; nothing changed",
@@ -338,7 +238,7 @@
                 current_version=result.current_version,
             )
         case SubmitStatus.ORDER_ID_REUSED:
-            return _error(
+            return error_response(
                 409,
                 OperatorErrorCode.ORDER_ID_REUSED,
                 "the order id was taken by an order with other content; nothing changed",
@@ -346,7 +246,7 @@
                 current_version=result.current_version,
             )
         case SubmitStatus.UNAVAILABLE:
-            return _error(
+            return error_response(
                 503,
                 OperatorErrorCode.NO_LEADER,
                 "no leader answered; send the same order again",
@@ -365,32 +265,4 @@
         order_id=order_id,
         problems=error.problems,
     )
-    return _json(body, status=422)
-
-
-def _error(
-    status: int,
-    code: OperatorErrorCode,
-    message: str,
-    *,
-    taken: Accepted | msgspec.UnsetType = msgspec.UNSET,
-    order_id: str | msgspec.UnsetType = msgspec.UNSET,
-    current_version: int | msgspec.UnsetType = msgspec.UNSET,
-    retry_after_seconds: float | None = None,
-) -> web.Response:
-    """Return an error's response; ``Retry-After`` counts whole seconds."""
-    body = OperatorErrorBody(
-        error=OperatorError(code=code, message=message, taken=taken),
-        order_id=order_id,
-        current_version=current_version,
-    )
-    response = _json(body, status=status)
-    if retry_after_seconds is not None:
-        response.headers["Retry-After"] = str(max(1, math.ceil(retry_after_seconds)))
-    return response
-
-
-def _json(body: msgspec.Struct, status: int = 200) -> web.Response:
-    return web.Response(
-        body=msgspec.json.encode(body), status=status, content_type="application/json"
-    )
+    return json_response(body, status=422)
--- a/src/orchidpath/control/api/operator_client.py
+++ b/src/orchidpath/control/api/operator_client.py
@@ -1,7 +1,7 @@
 """Client of the operators' HTTP API: tries each control process in turn."""
 
 import asyncio
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from types import TracebackType
 from typing import Self, TypeVar
 
@@ -36,9 +36,10 @@
 
 _OK = 200
 _ACCEPTED = 202
-_UNAVAILABLE = 503
+_FIRST_SERVER_ERROR = 500
 
 BodyT = TypeVar("BodyT", bound=msgspec.Struct)
+ErrorBodyT = TypeVar("ErrorBodyT", OperatorErrorBody, PlanErrorBody)
 
 
 class NoControlAnswersError(OrchidpathError):
@@ -46,7 +47,7 @@
 
 
 class OrderRefusedError(OrchidpathError):
-    """An order was refused and changed nothing."""
+    """An update is not valid, or not built on the newest version; nothing changed."""
 
     def __init__(self, body: OperatorErrorBody) -> None:
         super().__init__(body.error.message)
@@ -54,7 +55,7 @@
 
 
 class PlanRefusedError(OrchidpathError):
-    """An order about a plan was refused and changed nothing."""
+    """An action on a plan was rejected and changed nothing."""
 
     def __init__(self, body: PlanErrorBody) -> None:
         super().__init__(body.error.message)
@@ -62,11 +63,20 @@
 
 
 class UpdateRejectedError(OrchidpathError):
-    """An order reached no control process that could take it; nothing changed."""
+    """An update or action reached no control process that could take it; nothing changed."""
 
 
 class OrderOutcomeUnknownError(OrchidpathError):
-    """An answer was lost: the order may have been taken. Send it again with the same id."""
+    """An answer was lost: it may have been accepted. Send it again with the same order id."""
+
+
+class _Change(msgspec.Struct, frozen=True):
+    """A request that changes something; safe to repeat, for its body holds an order id."""
+
+    method: str
+    path: str
+    content: bytes
+    accepted_statuses: frozenset[int]
 
 
 class _Answer(msgspec.Struct, frozen=True):
@@ -114,7 +124,7 @@
         return await self._get("/v1/configuration", ConfigurationBody)
 
     async def history(self) -> HistoryBody:
-        """Return the newest configurations taken."""
+        """Return the newest configurations."""
         return await self._get("/v1/configuration/history", HistoryBody)
 
     async def members(self) -> MembersBody:
@@ -142,7 +152,7 @@
         Parameters
         ----------
         order_id
-            Identifier of this order; the same for every repetition.
+            Identifier of this update; the same for every repetition.
         base_version
             Version that the configuration was built on.
         configuration
@@ -151,37 +161,23 @@
         Raises
         ------
         OrderRefusedError
-            The order is not valid or not built on the newest version; nothing changed.
+            The update is not valid or not built on the newest version; nothing changed.
         UpdateRejectedError
             No process could take it; nothing changed.
         OrderOutcomeUnknownError
-            At least one process may have taken it.
+            At least one process may have accepted it.
         """
-        order = {
+        update = {
             "order_id": order_id,
             "base_version": base_version,
             "configuration": configuration,
         }
-        content = msgspec.json.encode(order)
-        may_be_taken = False
-        failures: list[str] = []
-        for address in self._addresses:
-            try:
-                answer = await self._exchange(address, "PUT", "/v1/configuration", content)
-                if answer.status in (_OK, _ACCEPTED):
-                    return _decode(answer.body, SubmitReplyBody)
-                refusal = _decode(answer.body, OperatorErrorBody)
-            except _AnswerError as error:
-                may_be_taken = may_be_taken or error.sent
-                failures.append(f"{address}: {error}")
-                continue
-            if answer.status < 500:
-                raise OrderRefusedError(refusal)
-            may_be_taken = may_be_taken or refusal.error.taken is not Accepted.NO
-            failures.append(f"{address}: {answer.status} {refusal.error.message}")
-        if may_be_taken:
-            raise OrderOutcomeUnknownError("; ".join(failures))
-        raise UpdateRejectedError("; ".join(failures))
+        change = _Change(
+            "PUT", "/v1/configuration", msgspec.json.encode(update), frozenset({_OK, _ACCEPTED})
+        )
+        return await self._submit_to_any(
+            change, SubmitReplyBody, OperatorErrorBody, OrderRefusedError
+        )
 
     async def plan(self) -> PlanBody:
         """Return what would move now, and the newest plan that was started."""
@@ -195,30 +191,53 @@
         Raises
         ------
         PlanRefusedError
-            The order was refused; nothing changed.
+            The action was rejected; nothing changed.
+        UpdateRejectedError
+            No process could take it; nothing changed.
+        OrderOutcomeUnknownError
+            At least one process may have accepted it.
+        """
+        body = PlanActionBody(plan_id=plan_id, order_id=order_id)
+        change = _Change("POST", f"/v1/plan/{action}", msgspec.json.encode(body), frozenset({_OK}))
+        return await self._submit_to_any(
+            change, PlanOrderReplyBody, PlanErrorBody, PlanRefusedError
+        )
+
+    async def _submit_to_any(
+        self,
+        change: _Change,
+        accepted_type: type[BodyT],
+        rejected_type: type[ErrorBodyT],
+        rejected_error: Callable[[ErrorBodyT], OrchidpathError],
+    ) -> BodyT:
+        """Submit a change to one process after another until one accepts or rejects it.
+
+        Raises
+        ------
+        OrchidpathError
+            What ``rejected_error`` makes of the rejection; nothing changed.
         UpdateRejectedError
             No process could take it; nothing changed.
         OrderOutcomeUnknownError
-            At least one process may have taken it.
+            At least one process may have accepted it.
         """
-        content = msgspec.json.encode(PlanActionBody(plan_id=plan_id, order_id=order_id))
-        may_be_taken = False
+        may_be_accepted = False
         failures: list[str] = []
         for address in self._addresses:
             try:
-                answer = await self._exchange(address, "POST", f"/v1/plan/{action}", content)
-                if answer.status == _OK:
-                    return _decode(answer.body, PlanOrderReplyBody)
-                refusal = _decode(answer.body, PlanErrorBody)
+                answer = await self._exchange(address, change.method, change.path, change.content)
+                if answer.status in change.accepted_statuses:
+                    return _decode(answer.body, accepted_type)
+                rejection = _decode(answer.body, rejected_type)
             except _AnswerError as error:
-                may_be_taken = may_be_taken or error.sent
+                may_be_accepted = may_be_accepted or error.sent
                 failures.append(f"{address}: {error}")
                 continue
-            if answer.status < 500:
-                raise PlanRefusedError(refusal)
-            may_be_taken = may_be_taken or refusal.error.taken is not Accepted.NO
-            failures.append(f"{address}: {answer.status} {refusal.error.message}")
-        if may_be_taken:
+            if answer.status < _FIRST_SERVER_ERROR:
+                raise rejected_error(rejection)
+            may_be_accepted = may_be_accepted or rejection.error.taken is not Accepted.NO
+            failures.append(f"{address}: {answer.status} {rejection.error.message}")
+        if may_be_accepted:
             raise OrderOutcomeUnknownError("; ".join(failures))
         raise UpdateRejectedError("; ".join(failures))
 
--- a/src/orchidpath/control/api/plan_api.py
+++ b/src/orchidpath/control/api/plan_api.py
@@ -1,19 +1,16 @@
 """The operators' HTTP API for plans, served by every control process.
 
 - ``GET /v1/plan``: what would move now, and the newest plan with its progress.
-- ``POST /v1/plan/confirm``, ``halt``, ``resume``, ``cancel``: orders about a plan.
+- ``POST /v1/plan/confirm``, ``halt``, ``resume``, ``cancel``: actions on a plan.
 
-The preview is computed from agreed state alone, so every control process answers the same one.
+The preview is computed from the replicated state alone, so every control process answers the same.
 """
 
-import abc
-import asyncio
-
 import msgspec
 import structlog
 from aiohttp import web
 
-from orchidpath.control.api.operator_api import BODY_TIMEOUT_SECONDS, UnavailableError
+from orchidpath.control.api.control_access import PlanAccess, UnavailableError
 from orchidpath.control.api.operator_bodies import Accepted, OperatorError, OperatorErrorCode
 from orchidpath.control.api.plan_bodies import (
     PlanActionBody,
@@ -23,6 +20,7 @@
     PlanOrderReplyBody,
     decode_plan_action,
 )
+from orchidpath.control.api.responses import json_response, read_body
 from orchidpath.placement.planner import PlanPreview, make_preview
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.messages import PlanAction, PlanActionStatus
@@ -33,29 +31,6 @@
 _log = structlog.get_logger(__name__)
 
 
-class PlanAccess(abc.ABC):
-    """What the API for plans needs of its control process."""
-
-    @abc.abstractmethod
-    async def request_plan_action(
-        self, order_id: str, action: PlanAction, plan_id: str
-    ) -> PlanActionResult:
-        """Take an order about a plan and wait, for a bounded time, for its outcome.
-
-        REJECTED only if the order can never take effect any more.
-        """
-
-    @abc.abstractmethod
-    async def read_state(self) -> FleetState:
-        """Return a state that holds everything confirmed before the call (linearizable).
-
-        Raises
-        ------
-        UnavailableError
-            No leader confirmed the read in time.
-        """
-
-
 def add_plan_routes(app: web.Application, access: PlanAccess) -> None:
     """Add the endpoints to the operators' application, which turns exceptions into errors."""
     api = _PlanApi(access)
@@ -76,37 +51,37 @@
     async def get_plan(self, request: web.Request) -> web.Response:
         """``GET /v1/plan``: 200 ``{"preview", "newest"}``; 503 without a leader."""
         state = await self._access.read_state()
-        return _json(PlanBody(preview=self._preview_of(state), newest=state.plan))
+        return json_response(PlanBody(preview=self._preview_of(state), newest=state.plan))
 
     async def post_confirm(self, request: web.Request) -> web.Response:
-        """``POST /v1/plan/confirm``: let a plan run; see `_order` for the answers."""
-        return await self._order(request, PlanAction.CONFIRM)
+        """``POST /v1/plan/confirm``: let a plan run; see `_request_action` for the answers."""
+        return await self._request_action(request, PlanAction.CONFIRM)
 
     async def post_halt(self, request: web.Request) -> web.Response:
         """``POST /v1/plan/halt``: begin no further step."""
-        return await self._order(request, PlanAction.HALT)
+        return await self._request_action(request, PlanAction.HALT)
 
     async def post_resume(self, request: web.Request) -> web.Response:
         """``POST /v1/plan/resume``: let a halted plan go on."""
-        return await self._order(request, PlanAction.RESUME)
+        return await self._request_action(request, PlanAction.RESUME)
 
     async def post_cancel(self, request: web.Request) -> web.Response:
         """``POST /v1/plan/cancel``: end a plan."""
-        return await self._order(request, PlanAction.CANCEL)
+        return await self._request_action(request, PlanAction.CANCEL)
 
-    async def _order(self, request: web.Request, action: PlanAction) -> web.Response:
+    async def _request_action(self, request: web.Request, action: PlanAction) -> web.Response:
         """``POST /v1/plan/{action}`` with ``{"plan_id", "order_id"}``.
 
-        - 200: taken. The same order again gets its first outcome.
+        - 200: accepted. The same request again gets its first outcome.
         - 409 ``plan_stale`` with the ``preview`` that holds now, or ``order_id_reused``.
         - 422 ``plan_refused`` with the reason.
         - 503 ``no_leader``; ``taken`` is ``no`` or ``unknown``.
         """
-        body = decode_plan_action(await _read_body(request))
+        body = decode_plan_action(await read_body(request))
         try:
             result = await self._access.request_plan_action(body.order_id, action, body.plan_id)
         except Exception as error:
-            # The order may already be in the log, so nothing may be promised about it.
+            # Whatever failed, the action may already be in the log: its outcome is unknown.
             _log.exception("plan_order_failed", order_id=body.order_id, error=str(error))
             reason = "the order failed inside the server"
             result = PlanActionResult(answer=PlanActionStatus.UNKNOWN, reason=reason)
@@ -120,7 +95,7 @@
                 reply = PlanOrderReplyBody(
                     plan_id=body.plan_id, order_id=body.order_id, action=action
                 )
-                return _json(reply)
+                return json_response(reply)
             case PlanActionStatus.STALE:
                 message = "this is not what would be done now; nothing changed"
                 preview = await self._preview()
@@ -132,9 +107,9 @@
                 return _error(422, OperatorErrorCode.PLAN_REFUSED, result.reason, body)
             case PlanActionStatus.REJECTED | PlanActionStatus.UNKNOWN:
                 lost = result.answer is PlanActionStatus.UNKNOWN
-                taken = Accepted.UNKNOWN if lost else Accepted.NO
+                accepted = Accepted.UNKNOWN if lost else Accepted.NO
                 code = OperatorErrorCode.NO_LEADER
-                response = _error(503, code, result.reason, body, taken=taken)
+                response = _error(503, code, result.reason, body, taken=accepted)
                 response.headers["Retry-After"] = str(RETRY_AFTER_SECONDS)
                 return response
 
@@ -152,33 +127,18 @@
         return self._newest
 
 
-async def _read_body(request: web.Request) -> bytes:
-    """Return a request's body, for which the wait is bounded."""
-    try:
-        async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
-            return await request.read()
-    except TimeoutError as error:
-        raise web.HTTPRequestTimeout from error
-
-
 def _error(
     status: int,
     code: OperatorErrorCode,
     message: str,
-    order: PlanActionBody,
+    request: PlanActionBody,
     *,
     taken: Accepted | msgspec.UnsetType = msgspec.UNSET,
     preview: PlanPreview | msgspec.UnsetType = msgspec.UNSET,
 ) -> web.Response:
     body = PlanErrorBody(
         error=OperatorError(code=code, message=message, taken=taken),
-        order_id=order.order_id,
+        order_id=request.order_id,
         preview=preview,
     )
-    return _json(body, status=status)
-
-
-def _json(body: msgspec.Struct, status: int = 200) -> web.Response:
-    return web.Response(
-        body=msgspec.json.encode(body), status=status, content_type="application/json"
-    )
+    return json_response(body, status=status)
--- /dev/null
+++ b/src/orchidpath/control/api/responses.py
@@ -0,0 +1,96 @@
+"""Reading requests and writing answers, shared by the operators' API and its part for plans."""
+
+import asyncio
+import math
+from collections.abc import Awaitable, Callable
+
+import msgspec
+import structlog
+from aiohttp import web
+
+from orchidpath.control.api.control_access import UnavailableError
+from orchidpath.control.api.operator_bodies import (
+    Accepted,
+    MalformedRequestError,
+    OperatorError,
+    OperatorErrorBody,
+    OperatorErrorCode,
+)
+
+BODY_TIMEOUT_SECONDS = 10.0
+"""A request whose body takes longer than this to arrive is refused."""
+
+_log = structlog.get_logger(__name__)
+_CODES_BY_HTTP_STATUS = {
+    404: OperatorErrorCode.NOT_FOUND,
+    405: OperatorErrorCode.METHOD_NOT_ALLOWED,
+    408: OperatorErrorCode.TIMEOUT,
+    413: OperatorErrorCode.TOO_LARGE,
+}
+
+
+@web.middleware
+async def answer_errors(
+    request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
+) -> web.StreamResponse:
+    """Turn every exception into the one JSON shape of errors."""
+    try:
+        return await handler(request)
+    except MalformedRequestError as error:
+        return error_response(400, OperatorErrorCode.MALFORMED, str(error))
+    except UnavailableError as error:
+        return error_response(
+            503,
+            OperatorErrorCode.NO_LEADER,
+            str(error),
+            retry_after_seconds=error.retry_after_seconds,
+        )
+    except web.HTTPException as error:
+        code = _CODES_BY_HTTP_STATUS.get(error.status, OperatorErrorCode.REFUSED)
+        response = error_response(error.status, code, error.reason)
+        if "Allow" in error.headers:
+            response.headers["Allow"] = error.headers["Allow"]
+        return response
+    except Exception as error:
+        _log.exception("request_failed", path=request.path, error=str(error))
+        return error_response(
+            500, OperatorErrorCode.INTERNAL, "the request failed inside the server"
+        )
+
+
+async def read_body(request: web.Request) -> bytes:
+    """Return a request's body, for which the wait is bounded."""
+    try:
+        async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
+            return await request.read()
+    except TimeoutError as error:
+        raise web.HTTPRequestTimeout from error
+
+
+def error_response(
+    status: int,
+    code: OperatorErrorCode,
+    message: str,
+    *,
+    taken: Accepted | msgspec.UnsetType = msgspec.UNSET,
+    order_id: str | msgspec.UnsetType = msgspec.UNSET,
+    current_version: int | msgspec.UnsetType = msgspec.UNSET,
+    retry_after_seconds: float | None = None,
+) -> web.Response:
+    """Return an error's response; ``Retry-After`` counts whole seconds."""
+    body = OperatorErrorBody(
+        error=OperatorError(code=code, message=message, taken=taken),
+        order_id=order_id,
+        current_version=current_version,
+    )
+    response = json_response(body, status=status)
+    if retry_after_seconds is not None:
+        response.headers["Retry-After"] = str(max(1, math.ceil(retry_after_seconds)))
+    return response
+
+
+def json_response(body: msgspec.Struct, status: int = 200) -> web.Response:
+    """Return a body as JSON."""
+    return web.Response(
+        body=msgspec.json.encode(body), status=status, content_type="application/json"
+    )
--- a/tests/compatibility/http_answers.py
+++ b/tests/compatibility/http_answers.py
@@ -7,9 +7,10 @@
 
 from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.consensus.types import Role
-from orchidpath.control.api.operator_api import ControlAccess, UnavailableError, create_operator_app
+from orchidpath.control.api.control_access import ControlAccess, PlanAccess, UnavailableError
+from orchidpath.control.api.operator_api import create_operator_app
 from orchidpath.control.api.operator_bodies import Accepted, StatusBody, SubmitResult, SubmitStatus
-from orchidpath.control.api.plan_api import PlanAccess, add_plan_routes
+from orchidpath.control.api.plan_api import add_plan_routes
 from orchidpath.control.api.plan_bodies import PlanActionResult
 from orchidpath.state.commands import SubmitConfiguration
 from orchidpath.state.fleet_state import FleetState
--- a/tests/control/test_conditional_updates.py
+++ b/tests/control/test_conditional_updates.py
@@ -10,7 +10,7 @@
     ResolvedConfiguration,
     submit_labelled,
 )
-from orchidpath.control.api.operator_api import UnavailableError
+from orchidpath.control.api.control_access import UnavailableError
 from orchidpath.control.api.operator_bodies import Accepted, SubmitResult, SubmitStatus
 from orchidpath.state.commands import SubmitConfiguration, encode_command
 from orchidpath.state.fleet_state import FleetState
@@ -66,8 +66,8 @@
 
 async def test_labels_may_rise_in_uneven_steps() -> None:
     one = OneReplica()
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.TAKEN
-    assert await submit_labelled(one, order("b", 2, 9)) is ConditionalUpdateOutcome.TAKEN
+    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.ACCEPTED
+    assert await submit_labelled(one, order("b", 2, 9)) is ConditionalUpdateOutcome.ACCEPTED
     assert one.state.configuration.label == 9
     assert one.state.document == b"b"
 
@@ -75,7 +75,7 @@
 async def test_one_of_two_on_the_same_base_wins() -> None:
     one = OneReplica()
     await submit_labelled(one, order("a", 0, 2))
-    assert await submit_labelled(one, order("b", 2, 5)) is ConditionalUpdateOutcome.TAKEN
+    assert await submit_labelled(one, order("b", 2, 5)) is ConditionalUpdateOutcome.ACCEPTED
     assert await submit_labelled(one, order("c", 2, 5)) is ConditionalUpdateOutcome.CONFLICT
     assert one.state.document == b"b"
 
@@ -91,9 +91,9 @@
 async def test_an_order_that_was_taken_is_acknowledged_again() -> None:
     one = OneReplica()
     await submit_labelled(one, order("a", 0, 2))
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.TAKEN
+    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.ACCEPTED
     await submit_labelled(one, order("b", 2, 3))
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.TAKEN
+    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.ACCEPTED
     assert one.state.configuration_version == 2
 
 
@@ -101,7 +101,7 @@
     one = OneReplica()
     one.before_submit = [order("a", 0, 2)]
     outcome = await submit_labelled(one, order("a", 0, 2))
-    assert outcome in {ConditionalUpdateOutcome.TAKEN, ConditionalUpdateOutcome.UNKNOWN}
+    assert outcome in {ConditionalUpdateOutcome.ACCEPTED, ConditionalUpdateOutcome.UNKNOWN}
     assert one.state.configuration_version == 1
 
 
@@ -110,7 +110,7 @@
     one.loses_answers = True
     assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.UNKNOWN
     one.loses_answers = False
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.TAKEN
+    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.ACCEPTED
     assert one.state.configuration_version == 1
 
 
@@ -141,8 +141,8 @@
 async def test_a_change_is_made_to_the_configuration_that_it_names() -> None:
     one = OneReplica()
     await submit_labelled(one, order("a", 0, 2))
-    assert await submit_labelled(one, change("b", 2, 5)) is ConditionalUpdateOutcome.TAKEN
-    assert await submit_labelled(one, change("c", 5, 6)) is ConditionalUpdateOutcome.TAKEN
+    assert await submit_labelled(one, change("b", 2, 5)) is ConditionalUpdateOutcome.ACCEPTED
+    assert await submit_labelled(one, change("c", 5, 6)) is ConditionalUpdateOutcome.ACCEPTED
     assert one.state.document == b"abc"
     assert one.state.configuration.label == 6
 
@@ -163,10 +163,10 @@
     one.loses_answers = True
     assert await submit_labelled(one, change("b", 2, 3)) is ConditionalUpdateOutcome.UNKNOWN
     one.loses_answers = False
-    assert await submit_labelled(one, change("b", 2, 3)) is ConditionalUpdateOutcome.TAKEN
+    assert await submit_labelled(one, change("b", 2, 3)) is ConditionalUpdateOutcome.ACCEPTED
     assert one.state.document == b"ab"
     await submit_labelled(one, change("c", 3, 4))
-    assert await submit_labelled(one, change("b", 2, 3)) is ConditionalUpdateOutcome.TAKEN
+    assert await submit_labelled(one, change("b", 2, 3)) is ConditionalUpdateOutcome.ACCEPTED
     assert one.state.document == b"abc"
     assert one.state.configuration.label == 4
 
@@ -176,7 +176,7 @@
     await submit_labelled(one, order("a", 0, 2))
     one.before_submit = [change("b", 2, 3)]
     outcome = await submit_labelled(one, change("b", 2, 3))
-    assert outcome in {ConditionalUpdateOutcome.TAKEN, ConditionalUpdateOutcome.UNKNOWN}
+    assert outcome in {ConditionalUpdateOutcome.ACCEPTED, ConditionalUpdateOutcome.UNKNOWN}
     assert one.state.document == b"ab"
 
 
--- a/tests/control/test_operator_api.py
+++ b/tests/control/test_operator_api.py
@@ -11,13 +11,9 @@
 
 from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.consensus.types import Role
-from orchidpath.control.api import operator_api
-from orchidpath.control.api.operator_api import (
-    MAX_BODY_BYTES,
-    ControlAccess,
-    UnavailableError,
-    create_operator_app,
-)
+from orchidpath.control.api import responses
+from orchidpath.control.api.control_access import ControlAccess, UnavailableError
+from orchidpath.control.api.operator_api import MAX_BODY_BYTES, create_operator_app
 from orchidpath.control.api.operator_bodies import Accepted, StatusBody, SubmitResult, SubmitStatus
 from orchidpath.state.commands import (
     Command,
@@ -389,7 +385,7 @@
 async def test_a_body_that_does_not_arrive_is_not_waited_for(
     client: Client, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(operator_api, "BODY_TIMEOUT_SECONDS", 0.0)
+    monkeypatch.setattr(responses, "BODY_TIMEOUT_SECONDS", 0.0)
     never = asyncio.Event()
 
     async def body() -> AsyncIterator[bytes]:
--- a/tests/control/test_plan_api.py
+++ b/tests/control/test_plan_api.py
@@ -8,7 +8,8 @@
 
 from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.consensus.types import Role
-from orchidpath.control.api.operator_api import ControlAccess, UnavailableError, create_operator_app
+from orchidpath.control.api.control_access import ControlAccess, PlanAccess, UnavailableError
+from orchidpath.control.api.operator_api import create_operator_app
 from orchidpath.control.api.operator_bodies import OperatorErrorCode, StatusBody, SubmitResult
 from orchidpath.control.api.operator_client import (
     OperatorClient,
@@ -16,7 +17,7 @@
     PlanRefusedError,
     UpdateRejectedError,
 )
-from orchidpath.control.api.plan_api import PlanAccess, add_plan_routes
+from orchidpath.control.api.plan_api import add_plan_routes
 from orchidpath.control.api.plan_bodies import PlanActionResult
 from orchidpath.control.replica.pending_plan_actions import plan_command
 from orchidpath.state.commands import (
