--- a/src/orchidpath/control/leadership/confirmation.py
+++ b/src/orchidpath/control/leadership/confirmation.py
@@ -1,4 +1,4 @@
-"""When a committed revision is in force at every router that serves; pure.
+"""When a committed revision is in force at every serving router; pure.
 
 Kept by the leader. The rule and why it is enough: docs/design/freshness.md, "When the leader says
 confirmed".
@@ -16,7 +16,7 @@
 
 
 class ConfirmationGuard(StrEnum):
-    """Guards that a test may turn off to see the checker catch what they hold."""
+    """Guards that a test may turn off to see the checker catch what they prevent."""
 
     WITNESS_MAJORITY = "confirm_witness_majority"
     WAIT_FOR_LEASE_EXPIRY = "confirm_wait_for_lapse"
@@ -48,8 +48,8 @@
     ----------
     confirmed_revision
         The newest revision known to be confirmed when this leadership began.
-    rosters
-        Every roster in force at any revision from ``confirmed_revision`` on, oldest first.
+    router_memberships
+        Every membership in force at any revision from ``confirmed_revision`` on, oldest first.
     now
         Monotonic seconds.
     disabled_guards
@@ -73,7 +73,7 @@
         self._disabled = disabled_guards
         self._awaited: set[str] = set()
         self._lagging: set[str] = set()
-        self._await_rosters()
+        self._await_members()
 
     @property
     def is_anyone_lagging(self) -> bool:
@@ -90,7 +90,7 @@
         self._lagging = {one for one in self._awaited if self._adopted.get(one, 0) < revision}
 
     def router_adopted(self, router_id: str, revision: int) -> None:
-        """Take a router's word; a restarted router may report a lower revision than before."""
+        """Note what a router has adopted; a restarted router may report less than before."""
         self._adopted[router_id] = revision
         if not self._pending or router_id not in self._awaited:
             return
@@ -170,12 +170,12 @@
             for router_membership in self._router_memberships
             if router_membership.revision > revision
         ]
-        # Of the older rosters only the one in force at the confirmed revision can still be obeyed.
+        # Of the older ones only the one in force at the confirmed revision can still be obeyed.
         self._router_memberships = in_force[-1:] + later
-        self._await_rosters()
+        self._await_members()
 
-    def _await_rosters(self) -> None:
-        """Await every router of every roster that some router may still obey."""
+    def _await_members(self) -> None:
+        """Await every router of every membership that some router may still obey."""
         self._awaited = {
             one
             for router_membership in self._router_memberships
--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -298,7 +298,7 @@
             case UpdateAnswered() | ReadReady() | ReadFailed() | PlanActionAnswered():
                 self._access.answered(effect.key, effect)
             case SendWorkerCommand():
-                self._worker_commands.send(effect.url, effect.order)
+                self._worker_commands.send(effect.url, effect.command)
             case LeadershipChanged():
                 self._logger.info(
                     "leadership_changed",
--- a/src/orchidpath/control/replica/control_effects.py
+++ b/src/orchidpath/control/replica/control_effects.py
@@ -1,4 +1,4 @@
-"""What the control core asks its shell to do, beyond the consensus core's own effects.
+"""What a control replica asks the loop around it to do, beyond the consensus core's effects.
 
 Executed strictly in list order, like :mod:`orchidpath.consensus.effects`: a message that follows a
 ``Persist*`` effect leaves only after that record is synced.
@@ -38,7 +38,7 @@
 
 
 class UpdateAnswered(msgspec.Struct, frozen=True):
-    """The outcome of an order that this process was asked to submit under ``key``."""
+    """The outcome of an update that this process was asked to submit under ``key``."""
 
     key: int
     answer: UpdateStatus
@@ -59,7 +59,7 @@
 
 
 class PlanActionAnswered(msgspec.Struct, frozen=True):
-    """The outcome of an order about a plan that this process was asked to take under ``key``."""
+    """The outcome of an action on a plan that this process was asked to submit under ``key``."""
 
     key: int
     answer: PlanActionStatus
@@ -67,10 +67,10 @@
 
 
 class SendWorkerCommand(msgspec.Struct, frozen=True):
-    """Post an order to a worker at its HTTP base address and hand its answer back to the core."""
+    """Post a command to a worker at its HTTP base address and pass its answer to the replica."""
 
     url: str
-    order: WorkerCommand
+    command: WorkerCommand
 
 
 PersistEffect = PersistHardState | PersistEntries | PersistSnapshot
--- a/src/orchidpath/control/replica/control_replica.py
+++ b/src/orchidpath/control/replica/control_replica.py
@@ -21,7 +21,7 @@
 from orchidpath.control.replica.configuration_updates import ConfigurationUpdates
 from orchidpath.control.replica.control_effects import ControlEffect, SendToConnected
 from orchidpath.control.replica.control_output import ControlOutput
-from orchidpath.control.replica.leader_forwarding import ForwardedOrders
+from orchidpath.control.replica.leader_forwarding import ForwardedRequests
 from orchidpath.control.replica.membership_changes import MembershipChanges
 from orchidpath.control.replica.pending_reads import PendingReads
 from orchidpath.control.replica.plan_actions import PlanActions
@@ -89,7 +89,7 @@
         )
         self._plan_actions = PlanActions(self._log, self._output)
         self._reads = PendingReads(raft)
-        self._forwarded = ForwardedOrders()
+        self._forwarded = ForwardedRequests()
 
     @property
     def raft(self) -> RaftCore:
--- a/src/orchidpath/control/replica/pending_plan_actions.py
+++ b/src/orchidpath/control/replica/pending_plan_actions.py
@@ -1,6 +1,6 @@
-"""Operators' orders about plans on their way through the log until they are answered; pure.
+"""Operators' actions on plans on their way through the log until they are answered; pure.
 
-Every order goes through the log, refusals included, so that its id always gets its first outcome
+Every action goes through the log, rejections included, so that its id always gets its first outcome
 (docs/design/plans.md, "Orders about plans").
 """
 
@@ -28,26 +28,26 @@
 
 
 class PendingPlanActions:
-    """Orders about plans that this replica has proposed and not answered yet."""
+    """Actions on plans that this replica has proposed and not answered yet."""
 
     def __init__(self) -> None:
         self._proposed: dict[int, _Proposed] = {}
 
     def rejected(self, key: int) -> PlanActionAnswered:
-        """Answer an order that was never proposed."""
+        """Answer an action that was never proposed."""
         return PlanActionAnswered(key, PlanActionStatus.REJECTED, "this process does not lead")
 
     def proposed(self, key: int, index: int, term: int) -> None:
-        """Follow an order that was proposed at a log index."""
+        """Follow an action that was proposed at a log index."""
         self._proposed[index] = _Proposed(key, term)
 
     def applied(self, entry: LogEntry, result: PlanResult) -> list[PlanActionAnswered]:
-        """Take the outcome of the order at a log entry."""
+        """Take the outcome of the action at a log entry."""
         proposed = self._proposed.pop(entry.index, None)
         if proposed is None:
             return []
         if proposed.term != entry.term:
-            # Another leader's entry took this index, so the order never will be in the log.
+            # Another leader's entry took this index, so the action never will be in the log.
             return [
                 PlanActionAnswered(proposed.key, PlanActionStatus.REJECTED, "leadership was lost")
             ]
@@ -57,30 +57,30 @@
     def leadership_lost(self) -> list[PlanActionAnswered]:
         """Answer everything at once: a follower cannot tell what becomes of it."""
         answers = [
-            PlanActionAnswered(order.key, PlanActionStatus.UNKNOWN, "leadership was lost")
-            for order in self._proposed.values()
+            PlanActionAnswered(action.key, PlanActionStatus.UNKNOWN, "leadership was lost")
+            for action in self._proposed.values()
         ]
         self._proposed.clear()
         return answers
 
 
-def plan_command(order: PlanActionRequest, state: FleetState) -> PlanActionCommand:
-    """Return the command that an order about a plan puts into the log."""
-    match order.action:
+def plan_command(request: PlanActionRequest, state: FleetState) -> PlanActionCommand:
+    """Return the command that an action on a plan puts into the log."""
+    match request.action:
         case PlanAction.CONFIRM:
-            plan = _plan_of_id(order.plan_id, state)
-            return StartPlan(order_id=order.order_id, plan_id=order.plan_id, plan=plan)
+            plan = _plan_of_id(request.plan_id, state)
+            return StartPlan(order_id=request.order_id, plan_id=request.plan_id, plan=plan)
         case PlanAction.HALT:
-            return HaltPlan(order_id=order.order_id, plan_id=order.plan_id)
+            return HaltPlan(order_id=request.order_id, plan_id=request.plan_id)
         case PlanAction.RESUME:
-            return ResumePlan(order_id=order.order_id, plan_id=order.plan_id)
+            return ResumePlan(order_id=request.order_id, plan_id=request.plan_id)
         case PlanAction.CANCEL:
-            return CancelPlan(order_id=order.order_id, plan_id=order.plan_id)
+            return CancelPlan(order_id=request.order_id, plan_id=request.plan_id)
 
 
 def _plan_of_id(plan_id: str, state: FleetState) -> Plan | None:
     """Return the plan that would be made now if it has this id."""
     if state.plan is not None and state.plan.active:
-        return None  # refused whatever it is, so it need not be computed
+        return None  # rejected whatever it is, so it need not be computed
     plan = make_preview(state.view()).plan
     return plan if plan.steps and plan.plan_id == plan_id else None
--- a/src/orchidpath/control/worker_commands.py
+++ b/src/orchidpath/control/worker_commands.py
@@ -1,7 +1,7 @@
-"""Sends workers their orders over HTTP and hands the answers back.
+"""Sends workers their commands over HTTP and passes the answers on.
 
-A lost order or answer does no harm: the order is repeated with a higher sequence, and the worker's
-fence refuses whatever arrives late (docs/design/plans.md).
+A lost command or answer does no harm: the command is repeated with a higher sequence, and the
+worker's fence rejects whatever arrives late (docs/design/plans.md).
 """
 
 import asyncio
@@ -12,47 +12,48 @@
 
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 
-WORKER_ORDER_TIMEOUT_SECONDS = 2.0
-"""Bound on a worker's answer to an order."""
+WORKER_COMMAND_TIMEOUT_SECONDS = 2.0
+"""Bound on a worker's answer to a command."""
 
-ORDERS_PATH = "/v1/orders"
+COMMANDS_PATH = "/v1/orders"
+"""Path of commands below a worker's base address."""
 
 AnswerHandler = Callable[[WorkerCommand, WorkerCommandReply | None], None]
 
 
 class WorkerCommandFormat:
-    """How an order is written to a worker, and how its answer is read; the product's own form."""
+    """How a command is written to a worker, and how its answer is read; the product's own form."""
 
-    path = ORDERS_PATH
+    path = COMMANDS_PATH
 
-    def headers(self, order: WorkerCommand) -> dict[str, str]:
-        """Return the headers of an order."""
+    def headers(self, command: WorkerCommand) -> dict[str, str]:
+        """Return the headers of a command."""
         return {}
 
-    def body(self, order: WorkerCommand) -> bytes:
-        """Return the body of an order."""
-        return msgspec.json.encode(order)
+    def body(self, command: WorkerCommand) -> bytes:
+        """Return the body of a command."""
+        return msgspec.json.encode(command)
 
-    def read_answer(self, order: WorkerCommand, status: int, body: bytes) -> WorkerCommandReply:
+    def read_answer(self, command: WorkerCommand, status: int, body: bytes) -> WorkerCommandReply:
         """Return what a worker answered.
 
         Raises
         ------
         msgspec.MsgspecError, ValueError
-            It is no answer to an order.
+            It is not an answer to a command.
         """
         return msgspec.json.decode(body, type=WorkerCommandReply)
 
 
 class WorkerCommandSender:
-    """Posts orders, each in a task of its own.
+    """Posts commands, each in a task of its own.
 
     Parameters
     ----------
     on_answer
-        Told each order's answer, or None when there was none in time.
-    order_format
-        How orders are written.
+        Told each command's answer, or None when there was none in time.
+    command_format
+        How commands are written.
     """
 
     def __init__(
@@ -63,34 +64,34 @@
         self._session: aiohttp.ClientSession | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def send(self, url: str, order: WorkerCommand) -> None:
-        """Send an order to the worker at a base address; returns at once."""
-        task = asyncio.create_task(self._post(url, order))
+    def send(self, url: str, command: WorkerCommand) -> None:
+        """Send a command to the worker at a base address; returns at once."""
+        task = asyncio.create_task(self._post(url, command))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """Give up every order that is on its way."""
+        """Give up every command that is on its way."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if self._session is not None:
             await self._session.close()
 
-    async def _post(self, url: str, order: WorkerCommand) -> None:
+    async def _post(self, url: str, command: WorkerCommand) -> None:
         if self._session is None:
-            timeout = aiohttp.ClientTimeout(total=WORKER_ORDER_TIMEOUT_SECONDS)
+            timeout = aiohttp.ClientTimeout(total=WORKER_COMMAND_TIMEOUT_SECONDS)
             self._session = aiohttp.ClientSession(timeout=timeout)
         reply: WorkerCommandReply | None = None
         try:
             posted = self._session.post(
                 url + self._format.path,
-                data=self._format.body(order),
-                headers=self._format.headers(order),
+                data=self._format.body(command),
+                headers=self._format.headers(command),
             )
             async with posted as response:
                 content = await response.read()
-                reply = self._format.read_answer(order, response.status, content)
+                reply = self._format.read_answer(command, response.status, content)
         except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError, ValueError):
-            reply = None  # the driver repeats the order until it has had its effect
-        self._on_answer(order, reply)
+            reply = None  # the driver repeats the command until it has had its effect
+        self._on_answer(command, reply)
--- a/src/orchidpath/simulation/control_node.py
+++ b/src/orchidpath/simulation/control_node.py
@@ -259,7 +259,7 @@
                 if handler is not None:
                     handler(effect.answer, effect.version)
             case SendWorkerCommand():
-                self.on_worker_command(self, effect.order)
+                self.on_worker_command(self, effect.command)
             case _:
                 pass
 
--- a/tests/control/test_plan_core.py
+++ b/tests/control/test_plan_actions.py
@@ -64,7 +64,7 @@
             found = self.core.tick(self.now)
             for effect in found:
                 if isinstance(effect, SendWorkerCommand):
-                    self.obey(effect.order)
+                    self.obey(effect.command)
             effects += found
         return effects
 
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -66,7 +66,7 @@
             self.balancer.tick(confirmed, self.now)
             for effect in self.output.take_effects():
                 assert isinstance(effect, SendWorkerCommand)
-                self.orders.append(effect.order)
+                self.orders.append(effect.command)
             for command in self.output.take_proposals():
                 assert isinstance(command, CordonWorker)
                 self.apply(command)
--- a/tests/control/test_stage_orders.py
+++ b/tests/control/test_stage_orders.py
@@ -16,7 +16,7 @@
 )
 from orchidpath.control.replica.control_effects import SendWorkerCommand
 from orchidpath.control.replica.control_output import ControlOutput
-from orchidpath.control.worker_commands import WORKER_ORDER_TIMEOUT_SECONDS, WorkerCommandSender
+from orchidpath.control.worker_commands import WORKER_COMMAND_TIMEOUT_SECONDS, WorkerCommandSender
 from orchidpath.state.commands import (
     CordonWorker,
     SubmitConfiguration,
@@ -163,7 +163,7 @@
                 self._apply(command)
             for effect in self.output.take_effects():
                 assert isinstance(effect, SendWorkerCommand)
-                self._reach(effect.order, status, obeys)
+                self._reach(effect.command, status, obeys)
 
     def ordered(self) -> list[str]:
         return [order.worker_id for _, _, order in self.arrivals]
@@ -231,4 +231,4 @@
     assert of_second[0][0] - last_of_first > LEASE_SECONDS
     assert {order.term for _, order in of_second} == {2}
     # Also if the first machine's order only arrived when its sender gave it up.
-    assert of_second[0][0] - last_of_first > WORKER_ORDER_TIMEOUT_SECONDS
+    assert of_second[0][0] - last_of_first > WORKER_COMMAND_TIMEOUT_SECONDS
--- a/tests/placement/plan_world.py
+++ b/tests/placement/plan_world.py
@@ -179,12 +179,12 @@
             assert isinstance(effect, SendWorkerCommand)
             self.on_event()
             self.sent.append(effect)
-            self._send(driver, effect.order)
+            self._send(driver, effect.command)
         for command in output.take_proposals():
             self.on_event()
             self.apply(command)
         if self.random is not None and self.sent and self.random.random() < 0.3:
-            self.obey(self.random.choice(self.sent).order)  # a late duplicate
+            self.obey(self.random.choice(self.sent).command)  # a late duplicate
 
     def run(self, turns: int = 600) -> None:
         """Run until the plan is over."""
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -281,7 +281,7 @@
     worker_id = run_to(one, StepPhase.DRAINING)
     one.unreachable.add(worker_id)
     one.turn()
-    late = one.sent[-1].order
+    late = one.sent[-1].command
     assert late.kind is WorkerCommandKind.DRAIN
     one.apply(CancelPlan(order_id="cancel", plan_id=one.plan.plan.plan_id))
     for _ in range(20):
@@ -401,10 +401,10 @@
     worker_id = run_to(one, StepPhase.DRAINING)
     one.unreachable.add(worker_id)
     one.turn()
-    old = one.sent[-1].order
+    old = one.sent[-1].command
     one.fail_over()
     one.turn()
-    new = one.sent[-1].order
+    new = one.sent[-1].command
     assert new.term > old.term and new.worker_id == old.worker_id
     return old, new
 
@@ -430,7 +430,7 @@
     one = world(Random(3))
     one.start_plan()
     one.run()
-    fences = [(effect.order.term, effect.order.sequence) for effect in one.sent]
+    fences = [(effect.command.term, effect.command.sequence) for effect in one.sent]
     assert fences == sorted(set(fences))
 
 
@@ -439,7 +439,7 @@
     one.start_plan()
     worker_id = run_to(one, StepPhase.DRAINING)
     one.turn()
-    earlier = msgspec.structs.replace(one.sent[-1].order, kind=WorkerCommandKind.RESUME)
+    earlier = msgspec.structs.replace(one.sent[-1].command, kind=WorkerCommandKind.RESUME)
     run_to(one, StepPhase.RESUMING)
     one.unreachable.add(worker_id)
     one.turn()
@@ -449,7 +449,7 @@
     one.driver.command_answered(earlier, accepted)
     one.turn()
     assert one.phase(0) is StepPhase.RESUMING
-    one.driver.command_answered(one.sent[-1].order, accepted)
+    one.driver.command_answered(one.sent[-1].command, accepted)
     one.turn()
     assert one.phase(0) is StepPhase.RELEASED
 
@@ -483,7 +483,7 @@
     worker_id = run_to(one, StepPhase.DRAINING)
     one.unreachable.add(worker_id)
     one.turn()
-    late = one.sent[-1].order
+    late = one.sent[-1].command
     one.apply(CancelPlan(order_id="cancel", plan_id=one.plan.plan.plan_id))
     one.run()
     assert one.status() is PlanStatus.CANCELLED
