--- a/src/orchidpath/cli/plan.py
+++ b/src/orchidpath/cli/plan.py
@@ -15,7 +15,7 @@
     PlanRefusedError,
     UpdateRejectedError,
 )
-from orchidpath.control.api.plan_bodies import PlanErrorBody, PlanOrderReplyBody
+from orchidpath.control.api.plan_bodies import PlanActionReplyBody, PlanErrorBody
 from orchidpath.placement.planner import PlanPreview, ServicePreview
 from orchidpath.state.plans import PlanRecord
 from orchidpath.wire.messages import PlanAction
@@ -106,7 +106,7 @@
     _report(reply, as_json)
 
 
-def _report(reply: PlanOrderReplyBody, as_json: bool) -> None:
+def _report(reply: PlanActionReplyBody, as_json: bool) -> None:
     if as_json:
         echo_json(reply)
         return
--- a/src/orchidpath/control/api/control_access.py
+++ b/src/orchidpath/control/api/control_access.py
@@ -49,7 +49,7 @@
     async def submit(self, update: SubmitConfiguration) -> SubmitResult:
         """Propose a valid update and wait, for a bounded time, until it is confirmed.
 
-        ``taken`` is NO in the result only if the update can never take effect any more.
+        ``accepted`` is NO in the result only if the update can never take effect any more.
         """
 
     @abc.abstractmethod
--- a/src/orchidpath/control/api/local_access.py
+++ b/src/orchidpath/control/api/local_access.py
@@ -100,11 +100,11 @@
         if self._replica.is_leader:
             self._loop.post(lambda now: self._replica.submit(key, update, now))
         elif not self._forward(key, _update_request(key, update)):
-            return SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.NO)
+            return SubmitResult(status=SubmitStatus.UNAVAILABLE, accepted=Accepted.NO)
         try:
             answer = await self._wait(key, UpdateAnswered, UPDATE_TIMEOUT_SECONDS)
         except TimeoutError:
-            return SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.UNKNOWN)
+            return SubmitResult(status=SubmitStatus.UNAVAILABLE, accepted=Accepted.UNKNOWN)
         return _submit_result(answer)
 
     async def request_plan_action(
@@ -300,5 +300,5 @@
         status=status,
         version=0 if rejected else answer.version,
         current_version=answer.version if rejected else 0,
-        taken=accepted,
+        accepted=accepted,
     )
--- a/src/orchidpath/control/api/operator_api.py
+++ b/src/orchidpath/control/api/operator_api.py
@@ -40,7 +40,7 @@
     WorkersBody,
     decode_announcement,
     decode_submit,
-    order_body,
+    update_body,
     worker_body,
 )
 from orchidpath.control.api.responses import (
@@ -133,7 +133,7 @@
         except Exception as error:
             # Whatever failed, the update may already be in the log: its outcome is unknown.
             _log.exception("submit_failed", order_id=body.order_id, error=str(error))
-            result = SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.UNKNOWN)
+            result = SubmitResult(status=SubmitStatus.UNAVAILABLE, accepted=Accepted.UNKNOWN)
         return _submit_response(body.order_id, result)
 
     async def get_history(self, request: web.Request) -> web.Response:
@@ -155,7 +155,7 @@
             return error_response(
                 404, OperatorErrorCode.UNKNOWN_COMMAND, message, order_id=order_id
             )
-        return json_response(order_body(record))
+        return json_response(update_body(record))
 
     async def get_status(self, request: web.Request) -> web.Response:
         """``GET /v1/status``: 200 with what this process knows of itself."""
@@ -250,7 +250,7 @@
                 503,
                 OperatorErrorCode.NO_LEADER,
                 "no leader answered; send the same order again",
-                taken=result.taken,
+                accepted=result.accepted,
                 order_id=order_id,
                 retry_after_seconds=result.retry_after_seconds,
             )
--- a/src/orchidpath/control/api/operator_bodies.py
+++ b/src/orchidpath/control/api/operator_bodies.py
@@ -28,42 +28,42 @@
 
 
 class MalformedRequestError(OrchidpathError):
-    """A request's body has not the documented form."""
+    """A request's body does not have the documented form."""
 
 
 class Accepted(StrEnum):
-    """Whether an order that got no outcome was taken."""
+    """Whether an update or action that got no outcome was accepted."""
 
     NO = "no"
     UNKNOWN = "unknown"
 
 
 class SubmitStatus(StrEnum):
-    """How the submission of an order ended."""
+    """How the submission of an update ended."""
 
     CONFIRMED = "confirmed"
     """Accepted and certain to outlast the failures that the fleet is built for."""
     ACCEPTED_NOT_CONFIRMED = "taken_not_confirmed"
-    """Committed, but the wait for the confirmation ran out; send the same order again to ask."""
+    """Committed, but the wait for the confirmation ran out; send the same update again to ask."""
     CONFLICT = "conflict"
     """Not built on the current version; nothing changed."""
     ORDER_ID_REUSED = "order_id_reused"
-    """The id belongs to an order with other content; nothing changed."""
+    """The id belongs to an update with other content; nothing changed."""
     UNAVAILABLE = "unavailable"
-    """No leader answered; ``taken`` tells what is known of the order."""
+    """No leader answered; ``accepted`` tells what is known of the update."""
 
 
 class SubmitResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Result of submitting an order.
+    """Result of submitting an update.
 
-    ``version`` is set for orders taken, ``current_version`` for those refused, ``taken`` and
+    ``version`` is set for accepted updates, ``current_version`` for rejected ones, ``accepted`` and
     ``retry_after_seconds`` when unavailable.
     """
 
     status: SubmitStatus
     version: int = 0
     current_version: int = 0
-    taken: Accepted = Accepted.UNKNOWN
+    accepted: Accepted = Accepted.UNKNOWN
     retry_after_seconds: float = 1.0
 
 
@@ -88,11 +88,11 @@
 
 
 class OperatorError(msgspec.Struct, frozen=True, kw_only=True):
-    """What went wrong; ``taken`` is given where an order's outcome is in question."""
+    """What went wrong; ``accepted`` is given where an outcome is in question."""
 
     code: OperatorErrorCode
     message: str
-    taken: Accepted | msgspec.UnsetType = msgspec.UNSET
+    accepted: Accepted | msgspec.UnsetType = msgspec.field(default=msgspec.UNSET, name="taken")
 
 
 class OperatorErrorBody(msgspec.Struct, frozen=True, kw_only=True):
@@ -113,7 +113,7 @@
 
 
 class SubmitReplyBody(msgspec.Struct, frozen=True, kw_only=True):
-    """An order was taken as ``version``."""
+    """An update was accepted as ``version``."""
 
     order_id: str
     version: int
@@ -128,29 +128,29 @@
 
 
 class HistoryBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest configurations taken, oldest first."""
+    """The newest configurations, oldest first."""
 
     history: tuple[ConfigurationEntry, ...]
 
 
-class OrderOutcomeName(StrEnum):
-    """Outcome of an order that was taken."""
+class UpdateOutcomeName(StrEnum):
+    """Outcome of an update that was decided."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
 
 
 class UpdateBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The first outcome of an order: the version it became, or the one it met."""
+    """The first outcome of an update: the version it became, or the one it conflicted with."""
 
     order_id: str
-    outcome: OrderOutcomeName
+    outcome: UpdateOutcomeName
     version: int | msgspec.UnsetType = msgspec.UNSET
     current_version: int | msgspec.UnsetType = msgspec.UNSET
 
 
 class StatusBody(msgspec.Struct, frozen=True, kw_only=True):
-    """What one control process knows of itself; not agreed with any other."""
+    """What one control process knows of itself, without asking any other."""
 
     node_id: str
     role: Role
@@ -216,12 +216,12 @@
 
 
 def decode_submit(raw: bytes) -> SubmitBody:
-    """Return the body of an order, with its configuration not yet looked at.
+    """Return the body of an update, with its configuration not yet checked.
 
     Raises
     ------
     MalformedRequestError
-        The body has not the documented form.
+        The body does not have the documented form.
     """
     try:
         body = _submit_decoder.decode(raw)
@@ -239,7 +239,7 @@
     Raises
     ------
     MalformedRequestError
-        The body has not the documented form.
+        The body does not have the documented form.
     """
     try:
         return announcements.decode_announcement(raw)
@@ -252,17 +252,17 @@
         raise MalformedRequestError(f"{name} must be {announcements.IDENTIFIER_FORM}")
 
 
-def order_body(record: UpdateRecord) -> UpdateBody:
-    """Return the first outcome of an order as it is shown."""
+def update_body(record: UpdateRecord) -> UpdateBody:
+    """Return the first outcome of an update as it is shown."""
     if isinstance(record.outcome, UpdateAccepted):
         return UpdateBody(
             order_id=record.order_id,
-            outcome=OrderOutcomeName.ACCEPTED,
+            outcome=UpdateOutcomeName.ACCEPTED,
             version=record.outcome.version,
         )
     return UpdateBody(
         order_id=record.order_id,
-        outcome=OrderOutcomeName.CONFLICT,
+        outcome=UpdateOutcomeName.CONFLICT,
         current_version=record.outcome.current_version,
     )
 
--- a/src/orchidpath/control/api/operator_client.py
+++ b/src/orchidpath/control/api/operator_client.py
@@ -22,9 +22,9 @@
 )
 from orchidpath.control.api.plan_bodies import (
     PlanActionBody,
+    PlanActionReplyBody,
     PlanBody,
     PlanErrorBody,
-    PlanOrderReplyBody,
 )
 from orchidpath.wire.messages import PlanAction
 
@@ -185,7 +185,7 @@
 
     async def request_plan_action(
         self, action: PlanAction, plan_id: str, order_id: str
-    ) -> PlanOrderReplyBody:
+    ) -> PlanActionReplyBody:
         """Confirm, halt, resume or cancel a plan; the order id makes it safe to repeat.
 
         Raises
@@ -200,7 +200,7 @@
         body = PlanActionBody(plan_id=plan_id, order_id=order_id)
         change = _Change("POST", f"/v1/plan/{action}", msgspec.json.encode(body), frozenset({_OK}))
         return await self._submit_to_any(
-            change, PlanOrderReplyBody, PlanErrorBody, PlanRefusedError
+            change, PlanActionReplyBody, PlanErrorBody, PlanRefusedError
         )
 
     async def _submit_to_any(
@@ -235,7 +235,7 @@
                 continue
             if answer.status < _FIRST_SERVER_ERROR:
                 raise rejected_error(rejection)
-            may_be_accepted = may_be_accepted or rejection.error.taken is not Accepted.NO
+            may_be_accepted = may_be_accepted or rejection.error.accepted is not Accepted.NO
             failures.append(f"{address}: {answer.status} {rejection.error.message}")
         if may_be_accepted:
             raise OrderOutcomeUnknownError("; ".join(failures))
--- a/src/orchidpath/control/api/plan_api.py
+++ b/src/orchidpath/control/api/plan_api.py
@@ -14,10 +14,10 @@
 from orchidpath.control.api.operator_bodies import Accepted, OperatorError, OperatorErrorCode
 from orchidpath.control.api.plan_bodies import (
     PlanActionBody,
+    PlanActionReplyBody,
     PlanActionResult,
     PlanBody,
     PlanErrorBody,
-    PlanOrderReplyBody,
     decode_plan_action,
 )
 from orchidpath.control.api.responses import json_response, read_body
@@ -92,7 +92,7 @@
     ) -> web.Response:
         match result.answer:
             case PlanActionStatus.ACCEPTED:
-                reply = PlanOrderReplyBody(
+                reply = PlanActionReplyBody(
                     plan_id=body.plan_id, order_id=body.order_id, action=action
                 )
                 return json_response(reply)
@@ -109,7 +109,7 @@
                 lost = result.answer is PlanActionStatus.UNKNOWN
                 accepted = Accepted.UNKNOWN if lost else Accepted.NO
                 code = OperatorErrorCode.NO_LEADER
-                response = _error(503, code, result.reason, body, taken=accepted)
+                response = _error(503, code, result.reason, body, accepted=accepted)
                 response.headers["Retry-After"] = str(RETRY_AFTER_SECONDS)
                 return response
 
@@ -133,11 +133,11 @@
     message: str,
     request: PlanActionBody,
     *,
-    taken: Accepted | msgspec.UnsetType = msgspec.UNSET,
+    accepted: Accepted | msgspec.UnsetType = msgspec.UNSET,
     preview: PlanPreview | msgspec.UnsetType = msgspec.UNSET,
 ) -> web.Response:
     body = PlanErrorBody(
-        error=OperatorError(code=code, message=message, taken=taken),
+        error=OperatorError(code=code, message=message, accepted=accepted),
         order_id=request.order_id,
         preview=preview,
     )
--- a/src/orchidpath/control/api/plan_bodies.py
+++ b/src/orchidpath/control/api/plan_bodies.py
@@ -26,8 +26,8 @@
     order_id: str
 
 
-class PlanOrderReplyBody(msgspec.Struct, frozen=True, kw_only=True):
-    """An order about a plan was taken."""
+class PlanActionReplyBody(msgspec.Struct, frozen=True, kw_only=True):
+    """An action on a plan was accepted."""
 
     plan_id: str
     order_id: str
@@ -35,7 +35,7 @@
 
 
 class PlanActionResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of an order about a plan, and why."""
+    """What became of an action on a plan, and why."""
 
     answer: PlanActionStatus
     reason: str = ""
@@ -49,19 +49,19 @@
     preview: PlanPreview | msgspec.UnsetType = msgspec.UNSET
 
 
-_order_decoder = msgspec.json.Decoder(PlanActionBody)
+_action_decoder = msgspec.json.Decoder(PlanActionBody)
 
 
 def decode_plan_action(raw: bytes) -> PlanActionBody:
-    """Return the body of an order about a plan.
+    """Return the body of an action on a plan.
 
     Raises
     ------
     MalformedRequestError
-        The body has not the documented form.
+        The body does not have the documented form.
     """
     try:
-        body = _order_decoder.decode(raw)
+        body = _action_decoder.decode(raw)
     except (msgspec.MsgspecError, RecursionError, ValueError) as error:
         raise MalformedRequestError(str(error)) from error
     for name in ("plan_id", "order_id"):
--- a/src/orchidpath/control/api/responses.py
+++ b/src/orchidpath/control/api/responses.py
@@ -72,14 +72,14 @@
     code: OperatorErrorCode,
     message: str,
     *,
-    taken: Accepted | msgspec.UnsetType = msgspec.UNSET,
+    accepted: Accepted | msgspec.UnsetType = msgspec.UNSET,
     order_id: str | msgspec.UnsetType = msgspec.UNSET,
     current_version: int | msgspec.UnsetType = msgspec.UNSET,
     retry_after_seconds: float | None = None,
 ) -> web.Response:
     """Return an error's response; ``Retry-After`` counts whole seconds."""
     body = OperatorErrorBody(
-        error=OperatorError(code=code, message=message, taken=taken),
+        error=OperatorError(code=code, message=message, accepted=accepted),
         order_id=order_id,
         current_version=current_version,
     )
--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -307,7 +307,7 @@
                     leader=effect.leader_id,
                 )
             case _:
-                raise AssertionError(f"{type(effect).__name__} is a record")
+                raise ReplicaStoppedError(f"{type(effect).__name__} is a record to be synced")
 
     def _worker_command_answered(
         self, command: WorkerCommand, reply: WorkerCommandReply | None
--- a/tests/compatibility/http_answers.py
+++ b/tests/compatibility/http_answers.py
@@ -76,7 +76,7 @@
     "conflict": SubmitResult(status=SubmitStatus.CONFLICT, current_version=5),
     "order id reused": SubmitResult(status=SubmitStatus.ORDER_ID_REUSED, current_version=5),
     "unavailable, not taken": SubmitResult(
-        status=SubmitStatus.UNAVAILABLE, taken=Accepted.NO, retry_after_seconds=2.5
+        status=SubmitStatus.UNAVAILABLE, accepted=Accepted.NO, retry_after_seconds=2.5
     ),
     "unavailable, perhaps taken": SubmitResult(status=SubmitStatus.UNAVAILABLE),
 }
--- a/tests/compatibility/http_labels.py
+++ b/tests/compatibility/http_labels.py
@@ -53,7 +53,6 @@
     OperatorError,
     OperatorErrorBody,
     OperatorErrorCode,
-    OrderOutcomeName,
     RouterBody,
     RoutersBody,
     StatusBody,
@@ -62,15 +61,16 @@
     SubmitResult,
     SubmitStatus,
     UpdateBody,
+    UpdateOutcomeName,
     WorkerBody,
     WorkersBody,
 )
 from orchidpath.control.api.plan_bodies import (
     PlanActionBody,
+    PlanActionReplyBody,
     PlanActionResult,
     PlanBody,
     PlanErrorBody,
-    PlanOrderReplyBody,
 )
 from orchidpath.emulators.backend import injected_faults
 from orchidpath.emulators.backend.injected_faults import (
@@ -241,7 +241,7 @@
     "plans: plan progress": PlanProgress,
     "plans: step progress": StepProgress,
     "plans: plan order": PlanActionBody,
-    "plans: plan order reply": PlanOrderReplyBody,
+    "plans: plan order reply": PlanActionReplyBody,
     "plans: plan error": PlanErrorBody,
     "back end: error": ErrorBody,
     "back end: error envelope": ErrorEnvelope,
@@ -313,7 +313,7 @@
     "operators: error code": OperatorErrorCode,
     "configuration: service kind": ServiceKind,
     "configuration: repetition": Repetition,
-    "operators: order outcome name": OrderOutcomeName,
+    "operators: order outcome name": UpdateOutcomeName,
     "operators: role": Role,
     "fleet: stage": Stage,
     "fleet: worker status": WorkerStatus,
--- a/tests/control/test_conditional_updates.py
+++ b/tests/control/test_conditional_updates.py
@@ -38,10 +38,10 @@
         result = self.state.apply(self.state.applied_index + 1, encode_command(order)).outcome
         assert isinstance(result, UpdateResult)
         if self.loses_answers:
-            return SubmitResult(status=SubmitStatus.UNAVAILABLE, taken=Accepted.UNKNOWN)
+            return SubmitResult(status=SubmitStatus.UNAVAILABLE, accepted=Accepted.UNKNOWN)
         if isinstance(result.outcome, UpdateAccepted):
             return SubmitResult(status=SubmitStatus.CONFIRMED, version=result.outcome.version)
-        return SubmitResult(status=SubmitStatus.CONFLICT, taken=Accepted.NO)
+        return SubmitResult(status=SubmitStatus.CONFLICT, accepted=Accepted.NO)
 
 
 def order(name: str, base: int, label: int) -> ConditionalReplacement:
--- a/tests/control/test_control_replica.py
+++ b/tests/control/test_control_replica.py
@@ -1,4 +1,4 @@
-"""The control core takes what the wire brings without ending its process."""
+"""A control replica takes what the wire brings without ending its process."""
 
 import random
 from collections.abc import Sequence
--- a/tests/control/test_operator_api.py
+++ b/tests/control/test_operator_api.py
@@ -220,7 +220,7 @@
     client: Client, access: FakeAccess, taken: Accepted
 ) -> None:
     access.result = SubmitResult(
-        status=SubmitStatus.UNAVAILABLE, taken=taken, retry_after_seconds=1.5
+        status=SubmitStatus.UNAVAILABLE, accepted=taken, retry_after_seconds=1.5
     )
     response = await client.put("/v1/configuration", data=order("o1", 0))
     body = await response.json()
--- a/tests/control/test_plan_actions.py
+++ b/tests/control/test_plan_actions.py
@@ -1,4 +1,4 @@
-"""Orders about plans in the control core: here and forwarded, taken, refused and lost."""
+"""Actions on plans in a control replica: here and forwarded, accepted, rejected and lost."""
 
 import random
 
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -1,4 +1,4 @@
-"""The leader's moves of workers between stages: hold, order, release; one holder at a time."""
+"""The leader's moves of workers between stages: cordon, command, uncordon; one leader at a time."""
 
 import msgspec
 from stage_builders import split_configuration
