--- a/src/orchidpath/control/api/operator_api.py
+++ b/src/orchidpath/control/api/operator_api.py
@@ -76,7 +76,7 @@
     app.router.add_get("/v1/configuration", api.get_configuration)
     app.router.add_put("/v1/configuration", api.put_configuration)
     app.router.add_get("/v1/configuration/history", api.get_history)
-    app.router.add_get("/v1/orders/{order_id}", api.get_order)
+    app.router.add_get("/v1/orders/{order_id}", api.get_update)
     app.router.add_get("/v1/status", api.get_status)
     app.router.add_get("/v1/workers", api.get_workers)
     app.router.add_post("/v1/workers/announce", api.post_announcement)
@@ -141,7 +141,7 @@
         state = await self._access.read_state()
         return json_response(HistoryBody(history=state.history()))
 
-    async def get_order(self, request: web.Request) -> web.Response:
+    async def get_update(self, request: web.Request) -> web.Response:
         """``GET /v1/orders/{order_id}``: 200 with the first outcome; 404 ``unknown_order``.
 
         An unknown update had not been accepted when the request came, or is older than the newest
@@ -152,9 +152,7 @@
         record = state.find_update(order_id)
         if record is None:
             message = "no order of this id is remembered"
-            return error_response(
-                404, OperatorErrorCode.UNKNOWN_COMMAND, message, order_id=order_id
-            )
+            return error_response(404, OperatorErrorCode.UNKNOWN_UPDATE, message, order_id=order_id)
         return json_response(update_body(record))
 
     async def get_status(self, request: web.Request) -> web.Response:
--- a/src/orchidpath/control/api/operator_bodies.py
+++ b/src/orchidpath/control/api/operator_bodies.py
@@ -76,7 +76,7 @@
     ORDER_ID_REUSED = "order_id_reused"
     NO_LEADER = "no_leader"
     NOT_READY = "not_ready"
-    UNKNOWN_COMMAND = "unknown_order"
+    UNKNOWN_UPDATE = "unknown_order"
     PLAN_STALE = "plan_stale"
     PLAN_REFUSED = "plan_refused"
     NOT_FOUND = "not_found"
