--- a/tests/compatibility/http_answers.py
+++ b/tests/compatibility/http_answers.py
@@ -7,9 +7,10 @@
 
 from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.consensus.types import Role
-from orchidpath.control.api.operator_api import ControlAccess, UnavailableError, create_operator_app
+from orchidpath.control.api.control_access import ControlAccess, PlanAccess, UnavailableError
+from orchidpath.control.api.operator_api import create_operator_app
 from orchidpath.control.api.operator_bodies import Accepted, StatusBody, SubmitResult, SubmitStatus
-from orchidpath.control.api.plan_api import PlanAccess, add_plan_routes
+from orchidpath.control.api.plan_api import add_plan_routes
 from orchidpath.control.api.plan_bodies import PlanActionResult
 from orchidpath.state.commands import SubmitConfiguration
 from orchidpath.state.fleet_state import FleetState
@@ -75,7 +76,7 @@
     "conflict": SubmitResult(status=SubmitStatus.CONFLICT, current_version=5),
     "order id reused": SubmitResult(status=SubmitStatus.ORDER_ID_REUSED, current_version=5),
     "unavailable, not taken": SubmitResult(
-        status=SubmitStatus.UNAVAILABLE, taken=Accepted.NO, retry_after_seconds=2.5
+        status=SubmitStatus.UNAVAILABLE, accepted=Accepted.NO, retry_after_seconds=2.5
     ),
     "unavailable, perhaps taken": SubmitResult(status=SubmitStatus.UNAVAILABLE),
 }
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -1,4 +1,4 @@
-"""The leader's moves of workers between stages: hold, order, release; one holder at a time."""
+"""The leader's moves of workers between stages: cordon, command, uncordon; one leader at a time."""
 
 import msgspec
 from stage_builders import split_configuration
@@ -11,6 +11,8 @@
     URGENT_QUIET_PERIOD_SECONDS,
     StageBalancer,
 )
+from orchidpath.control.replica.control_effects import SendWorkerCommand
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.state.commands import (
     CordonWorker,
     SubmitConfiguration,
@@ -39,7 +41,8 @@
         self.lead(1)
 
     def lead(self, term: int) -> None:
-        self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.now)
+        self.output = ControlOutput()
+        self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.output, self.now)
 
     def apply(self, command: SubmitConfiguration | WorkerChanged | CordonWorker) -> None:
         self.state.apply(self.state.applied_index + 1, encode_command(command))
@@ -61,9 +64,10 @@
             self.now += STEP_SECONDS
             confirmed = self.state.revision if self.confirms else 0
             self.balancer.tick(confirmed, self.now)
-            for effect in self.balancer.take_commands():
-                self.orders.append(effect.order)
-            for command in self.balancer.take_proposals():
+            for effect in self.output.take_effects():
+                assert isinstance(effect, SendWorkerCommand)
+                self.orders.append(effect.command)
+            for command in self.output.take_proposals():
                 assert isinstance(command, CordonWorker)
                 self.apply(command)
 
--- a/tests/control/test_stage_orders.py
+++ b/tests/control/test_stage_orders.py
@@ -14,7 +14,9 @@
     TAKEOVER_SECONDS,
     StageBalancer,
 )
-from orchidpath.control.worker_commands import WORKER_ORDER_TIMEOUT_SECONDS, WorkerCommandSender
+from orchidpath.control.replica.control_effects import SendWorkerCommand
+from orchidpath.control.replica.control_output import ControlOutput
+from orchidpath.control.worker_commands import WORKER_COMMAND_TIMEOUT_SECONDS, WorkerCommandSender
 from orchidpath.state.commands import (
     CordonWorker,
     SubmitConfiguration,
@@ -127,7 +129,8 @@
     def lead(self, machine: str, term: int) -> None:
         """Have a machine lead from now on."""
         self.machine = machine
-        self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.now)
+        self.output = ControlOutput()
+        self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.output, self.now)
 
     def announce(self, worker: Worker) -> None:
         worker.sequence += 1
@@ -155,11 +158,12 @@
         while self.now < end:
             self.now += STEP_SECONDS
             self.balancer.tick(self.state.revision, self.now)
-            for command in self.balancer.take_proposals():
+            for command in self.output.take_proposals():
                 assert isinstance(command, CordonWorker)
                 self._apply(command)
-            for effect in self.balancer.take_commands():
-                self._reach(effect.order, status, obeys)
+            for effect in self.output.take_effects():
+                assert isinstance(effect, SendWorkerCommand)
+                self._reach(effect.command, status, obeys)
 
     def ordered(self) -> list[str]:
         return [order.worker_id for _, _, order in self.arrivals]
@@ -227,4 +231,4 @@
     assert of_second[0][0] - last_of_first > LEASE_SECONDS
     assert {order.term for _, order in of_second} == {2}
     # Also if the first machine's order only arrived when its sender gave it up.
-    assert of_second[0][0] - last_of_first > WORKER_ORDER_TIMEOUT_SECONDS
+    assert of_second[0][0] - last_of_first > WORKER_COMMAND_TIMEOUT_SECONDS
--- a/tests/placement/plan_world.py
+++ b/tests/placement/plan_world.py
@@ -7,6 +7,7 @@
 
 from orchidpath.control.leadership.plan_driver import PlanDriver
 from orchidpath.control.replica.control_effects import SendWorkerCommand
+from orchidpath.control.replica.control_output import ControlOutput
 from orchidpath.emulators.backend.backend_core import BackendCore
 from orchidpath.placement.planner import make_preview
 from orchidpath.state.commands import (
@@ -144,7 +145,8 @@
 
     def fail_over(self) -> None:
         self.term += 1
-        self.driver = PlanDriver(self.term, self.state, lambda _now: self.in_flight)
+        self.output = ControlOutput()
+        self.driver = PlanDriver(self.term, self.state, lambda _now: self.in_flight, self.output)
 
     def confirm_plan(self, order_id: str = "order") -> PlanResult:
         plan = make_preview(self.state.view()).plan
@@ -171,17 +173,18 @@
         self.now += TURN_SECONDS
         if self.confirms:
             self.confirmed_revision = self.state.revision
-        driver = self.driver
+        driver, output = self.driver, self.output
         driver.tick(self.confirmed_revision, self.now)
-        for effect in driver.take_commands():
+        for effect in output.take_effects():
+            assert isinstance(effect, SendWorkerCommand)
             self.on_event()
             self.sent.append(effect)
-            self._send(driver, effect.order)
-        for command in driver.take_proposals():
+            self._send(driver, effect.command)
+        for command in output.take_proposals():
             self.on_event()
             self.apply(command)
         if self.random is not None and self.sent and self.random.random() < 0.3:
-            self.execute(self.random.choice(self.sent).order)  # a late duplicate
+            self.execute(self.random.choice(self.sent).command)  # a late duplicate
 
     def run(self, turns: int = 600) -> None:
         """Run until the plan is over."""
