--- /dev/null
+++ b/src/orchidpath/forwarding/proxy/proxy_core.py
@@ -0,0 +1,216 @@
+"""State of one forwarded request and the steps that its transitions share.
+
+Steps return effects and leave the request in the phase that follows. Nothing here looks at events;
+which step follows which event is decided in :mod:`.proxy_machine`.
+"""
+
+from enum import StrEnum
+
+import msgspec
+
+from orchidpath.circuit.classification import Observed
+from orchidpath.forwarding.progress import FailureKind, FinalOutcome, ForwardProgress, ReturnTime
+from orchidpath.forwarding.proxy import proxy_effects as effects
+from orchidpath.forwarding.proxy.decision_rounds import DecisionRounds
+from orchidpath.forwarding.proxy.prefill_path import PrefillPath
+from orchidpath.forwarding.proxy.proxy_effects import ProxyEffect
+from orchidpath.forwarding.proxy.proxy_events import (
+    ChosenWorker,
+    HeadReceived,
+    ProxyPlan,
+    ProxyShared,
+)
+from orchidpath.wire.records import Stage
+
+RETURN_TIME = ReturnTime()
+
+BROKEN_OFF_OUTCOME = "broken_off"
+"""What metrics call a request whose answer was given up after it had begun."""
+
+_STATUS_BY_OUTCOME = {
+    FinalOutcome.NOT_RUN: 503,
+    FinalOutcome.BROKEN: 502,
+    FinalOutcome.TIMED_OUT: 504,
+}
+
+
+class ProxyPhase(StrEnum):
+    """What is known of a forwarded request."""
+
+    NEW = "new"
+    CHOOSING = "choosing"
+    """Workers are being chosen; nothing has reached the caller."""
+    PREFILLING = "prefilling"
+    """A prefill worker was chosen for the prompt; its KV cache is not there yet."""
+    TRANSFERRING = "transferring"
+    """A decode worker is to fetch the KV cache; its answer will tell whether it could."""
+    AWAITING_HEAD = "awaiting_head"
+    """A worker was chosen for the whole request, and has not answered."""
+    STREAMING = "streaming"
+    """The head of an answer has reached the caller; its body follows."""
+    RESUMING = "resuming"
+    """A stream broke off; another worker is being chosen to go on with it."""
+    DONE = "done"
+    """The caller got a final answer, or never will."""
+
+
+class AnswerState(msgspec.Struct):
+    """What has reached the caller, and whether another worker can go on with it.
+
+    ``weights_version`` is the version that began the answer; ``last_event_id`` is empty before the
+    first event.
+    """
+
+    has_started: bool = False
+    weights_version: int | None = None
+    is_resumable: bool = False
+    last_event_id: str = ""
+
+
+class ProxyCore:
+    """What is known of one forwarded request, and the steps that several transitions share.
+
+    Parameters
+    ----------
+    plan
+        The request.
+    shared
+        Retry budget of its service, randomness, and whether prefill workers are there.
+    """
+
+    def __init__(self, plan: ProxyPlan, shared: ProxyShared) -> None:
+        self._plan = plan
+        self._shared = shared
+        self._phase = ProxyPhase.NEW
+        self._progress = ForwardProgress(plan.route, shared.retry_budget, plan.deadline)
+        self._rounds = DecisionRounds(plan.request_id)
+        self._prefill = PrefillPath(plan, shared.has_prefill_workers)
+        self._answer = AnswerState()
+        self._chosen_for_request: ChosenWorker | None = None
+        self._target: ChosenWorker | None = None
+        self._dispatched_at = 0.0
+        self._prefill_timeout_at = 0.0
+        self._head: HeadReceived | None = None
+
+    # Rounds
+
+    def _next_round(self, now: float) -> list[ProxyEffect]:
+        if not self._rounds.begin():
+            return self._give_up("no worker could be reached")
+        has_started = self._answer.has_started
+        prefills = self._prefill.begins_round(self._progress, now)
+        if not prefills and not self._prefill.may_prefill_on_decode(has_started=has_started):
+            return self._give_up("the prompt can't be read now")
+        self._phase = ProxyPhase.RESUMING if has_started else ProxyPhase.CHOOSING
+        pending = self._prefill.pending
+        prefill_worker_id = pending.chosen.worker.worker_id if pending is not None else ""
+        return [self._rounds.ask(self._stages(prefills), prefill_worker_id, now)]
+
+    def _stages(self, prefills: bool) -> tuple[Stage, ...]:
+        if not self._plan.is_model:
+            return (Stage.PLAIN,)
+        return (Stage.PREFILL, Stage.DECODE) if prefills else (Stage.DECODE,)
+
+    # Dispatches
+
+    def _dispatch_prefill(self, target: ChosenWorker, now: float) -> list[ProxyEffect]:
+        self._phase = ProxyPhase.PREFILLING
+        self._target = target
+        seconds = self._progress.prompt_read_seconds(now, target.expected_prefill_seconds)
+        self._prefill_timeout_at = now + seconds
+        dispatch = effects.Dispatch(
+            target=target,
+            deadline_seconds=self._progress.time_left(now),
+            # Only prefills go by rank: at a decode worker the urgent preempt running streams.
+            priority=self._plan.route.priority,
+            is_prefill=True,
+            timeout_at=self._prefill_timeout_at,
+        )
+        return [dispatch]
+
+    def _dispatch_request(self, now: float) -> list[ProxyEffect]:
+        target = self._chosen_for_request
+        assert target is not None
+        self._target = target
+        if not self._progress.may_send(target.worker.worker_id, now):
+            unused = effects.Report(target, Observed.GATEWAY_FAULT)
+            return [unused, *self._give_up("no further attempt is allowed")]
+        pending = self._prefill.pending
+        self._phase = ProxyPhase.AWAITING_HEAD if pending is None else ProxyPhase.TRANSFERRING
+        version = pending.weights_version if pending is not None else None
+        dispatch = effects.Dispatch(
+            target=target,
+            deadline_seconds=self._progress.time_left(now),
+            kv_source=pending.source if pending is not None else None,
+            expected_version=self._answer.weights_version if version is None else version,
+            last_event_id=self._answer.last_event_id,
+        )
+        return [dispatch]
+
+    # Failures
+
+    def _prefill_failed(
+        self, observed: Observed, status: int | None, now: float
+    ) -> list[ProxyEffect]:
+        reports = [
+            self._report_failed(observed, status),
+            effects.ReportRest(Observed.GATEWAY_FAULT),
+        ]
+        if not self._progress.has_workers_left():
+            # A decode worker can prefill by itself, without a further worker.
+            self._prefill.leave_to_decode()
+        return [*reports, *self._next_round(now)]
+
+    def _may_have_executed(
+        self, kind: FailureKind, observed: Observed, status: int | None, now: float
+    ) -> list[ProxyEffect]:
+        """Take a failure after which the request may have run, or may still run."""
+        self._progress.failed(kind)
+        reports = [self._report_failed(observed, status), *self._transferred()]
+        self._prefill.cache_lost(has_workers_left=self._progress.has_workers_left())
+        return [*reports, *self._go_on(now)]
+
+    def _go_on(self, now: float) -> list[ProxyEffect]:
+        """Begin the next round after a failure, or break off an answer that can't be resumed."""
+        if not self._answer.has_started:
+            return self._next_round(now)
+        if self._answer.is_resumable and self._progress.has_workers_left():
+            return self._next_round(now)
+        self._phase = ProxyPhase.DONE
+        return [effects.BreakOffAnswer(), effects.AbortConnection(), effects.DropCaller()]
+
+    # Ends
+
+    def _give_up(self, reason: str, retry_after_seconds: float = 0.0) -> list[ProxyEffect]:
+        self._phase = ProxyPhase.DONE
+        if self._answer.has_started:
+            return [effects.BreakOffAnswer(), effects.CountOutcome(BROKEN_OFF_OUTCOME)]
+        outcome = self._progress.final_status()
+        seconds = None
+        if outcome is FinalOutcome.NOT_RUN:
+            seconds = RETURN_TIME.seconds(self._shared.random.random(), retry_after_seconds)
+        answer = effects.SendFinalAnswer(_STATUS_BY_OUTCOME[outcome], reason, seconds)
+        return [effects.CountOutcome(outcome.value), answer]
+
+    # Reports
+
+    def _current(self) -> ChosenWorker:
+        assert self._target is not None
+        return self._target
+
+    def _report_failed(self, observed: Observed, status: int | None = None) -> ProxyEffect:
+        """Report a failure of the current worker, and prefer others from now on."""
+        chosen = self._current()
+        self._rounds.record_tried(chosen)
+        return effects.Report(chosen, observed, status)
+
+    def _transferred(self) -> list[ProxyEffect]:
+        """Report that the KV cache of a prefill was transferred, or may have been."""
+        pending = self._prefill.pending
+        return [] if pending is None else [effects.Report(pending.chosen, Observed.SUCCESS)]
+
+    def _release_handle(self) -> list[ProxyEffect]:
+        pending = self._prefill.take_pending()
+        if pending is None or self._answer.has_started:
+            return []
+        return [effects.ReleaseHandle(pending.source)]
--- a/src/orchidpath/router/proxy/proxy_attempts.py
+++ b/src/orchidpath/router/proxy/proxy_attempts.py
@@ -7,7 +7,9 @@
 
 from orchidpath.circuit.classification import AttemptObservation, Observed, classify
 from orchidpath.common.clock import Clock
-from orchidpath.common.errors import OrchidpathError
+from orchidpath.forwarding.proxy import proxy_effects as effects
+from orchidpath.forwarding.proxy import proxy_events as events
+from orchidpath.forwarding.proxy.proxy_events import ChosenWorker, ProxyEvent
 from orchidpath.router.background_tasks import BackgroundTasks
 from orchidpath.router.chat.chat_api import TraceEntry
 from orchidpath.router.decision_maker import DecisionMaker, DecisionSubject
@@ -19,10 +21,9 @@
     DecisionMade,
     NoCandidates,
     RequestDecision,
-    StageTried,
 )
 from orchidpath.wire.messages import AttemptEffect, AttemptReport, Rejection
-from orchidpath.wire.records import Stage, WorkerRecord
+from orchidpath.wire.records import Stage
 
 
 class ForwardEnvironment(msgspec.Struct, frozen=True, kw_only=True):
@@ -38,34 +39,6 @@
     clock: Clock
 
 
-LONGEST_WAIT_SECONDS = 2.0
-"""A request waits no longer for the read of its shared part by another one."""
-
-
-class RejectedDecisionError(OrchidpathError):
-    """No worker may be tried now; ``retry_after_seconds`` is 0 when nothing is known of when."""
-
-    def __init__(self, reason: str, retry_after_seconds: float = 0.0) -> None:
-        super().__init__(reason)
-        self.retry_after_seconds = retry_after_seconds
-
-
-class Chosen(msgspec.Struct, frozen=True):
-    """A worker that was chosen for one leg of an attempt."""
-
-    attempt_id: str
-    stage: Stage
-    worker: WorkerRecord
-    probe_generation: int | None
-    chosen_at: float
-    expected_read_seconds: float = 0.0
-
-    @property
-    def address(self) -> str:
-        """``IP:port`` of the worker."""
-        return self.worker.url.removeprefix("http://")
-
-
 class ForwardAttempts:
     """Gets workers decided for a request's attempts and reports once how each of them ended.
 
@@ -73,7 +46,7 @@
     ----------
     environment
         What all runners share.
-    facts
+    request_metadata
         What the request's headers say.
     subject
         What its decisions are about.
@@ -88,77 +61,55 @@
         self._environment = environment
         self._request_metadata = request_metadata
         self._subject = subject
-        self._count = 0
-        self._running: dict[str, Chosen] = {}
-        self.tried: dict[Stage, list[str]] = {stage: [] for stage in Stage}
+        self._running: dict[str, ChosenWorker] = {}
 
-    async def decide(
-        self, stages: tuple[Stage, ...], prefill_worker_id: str
-    ) -> dict[Stage, Chosen] | None:
-        """Have a worker chosen for each stage; None if one of them has left meanwhile.
+    async def decide(self, ask: effects.AskDecision) -> ProxyEvent:
+        """Have a worker chosen for each stage.
 
-        The leader may choose none for a prompt read that it leaves to the decode worker.
+        The leader may choose none for a prefill that it leaves to the decode worker.
 
         Parameters
         ----------
-        stages
-            Stages of the attempt.
-        prefill_worker_id
-            The worker that has read the prompt already; empty for none.
+        ask
+            The attempt, its stages and what was tried before.
 
-        Raises
-        ------
-        RejectedDecisionError
-            No worker may be tried now.
+        Returns
+        -------
+        ProxyEvent
+            What came of it.
         """
-        per_stage = tuple(
-            StageTried(stage=stage, tried=tuple(self.tried[stage]), excluded=()) for stage in stages
+        made = await self._ask(ask)
+        if isinstance(made, NoCandidates):
+            return events.DecisionRejected(made.reason)
+        reply = made.reply
+        if reply.rejection is Rejection.POSTPONED:
+            return events.DecisionPostponed(reply.retry_after_seconds)
+        if reply.rejection is not Rejection.NONE:
+            return events.DecisionRejected(reply.rejection.value, reply.retry_after_seconds)
+        return self._take_choices(ask.attempt_id, made)
+
+    async def _ask(self, ask: effects.AskDecision) -> DecisionMade | NoCandidates:
+        subject = msgspec.structs.replace(
+            self._subject, prefill_worker_id=ask.prefill_worker_id, may_wait=ask.may_wait
         )
-        subject = msgspec.structs.replace(self._subject, prefill_worker_id=prefill_worker_id)
-        waits_until = self._environment.clock() + LONGEST_WAIT_SECONDS
-        while True:
-            self._count += 1
-            attempt_id = f"{self._request_metadata.request_id}.{self._count}"
-            may_wait = self._environment.clock() < waits_until
-            subject = msgspec.structs.replace(subject, may_wait=may_wait)
-            made = await self._decide_once(subject, attempt_id, per_stage)
-            if made.reply.rejection is not Rejection.POSTPONED:
-                break
-            await asyncio.sleep(made.reply.retry_after_seconds)
-        if made.reply.rejection is not Rejection.NONE:
-            raise RejectedDecisionError(made.reply.rejection.value, made.reply.retry_after_seconds)
-        return self._take_choices(attempt_id, made)
-
-    async def _decide_once(
-        self, subject: DecisionSubject, attempt_id: str, per_stage: tuple[StageTried, ...]
-    ) -> DecisionMade:
+        decision = RequestDecision(attempt_id=ask.attempt_id, per_stage=ask.per_stage)
         deciding = self._environment.tasks.spawn(
-            self._environment.decisions.decide(
-                subject, RequestDecision(attempt_id=attempt_id, per_stage=per_stage)
-            )
+            self._environment.decisions.decide(subject, decision)
         )
         try:
-            made = await asyncio.shield(deciding)
+            return await asyncio.shield(deciding)
         except asyncio.CancelledError:
             # The decision may have been registered: its marks are freed once it is known.
-            deciding.add_done_callback(lambda done: self._release_late(attempt_id, done))
+            deciding.add_done_callback(lambda done: self._release_late(ask.attempt_id, done))
             raise
-        if not isinstance(made, DecisionMade):
-            raise RejectedDecisionError(made.reason)
-        return made
 
-    def prompt_read(self, chosen: Chosen) -> None:
-        """Tell the leader that a worker holds the prompt now; its attempt goes on."""
+    def prefill_done(self, chosen: ChosenWorker) -> None:
+        """Tell the leader that a worker holds the prompt's KV cache; its attempt goes on."""
         self._environment.decisions.record_prefill_done(
             self._request_metadata.request_id, chosen.attempt_id, chosen.worker.worker_id
         )
 
-    def failed(self, chosen: Chosen, observed: Observed, status: int | None = None) -> None:
-        """Report a failure, and prefer other workers from now on."""
-        self.tried[chosen.stage].append(chosen.worker.worker_id)
-        self.ended(chosen, observed, status)
-
-    def ended(self, chosen: Chosen, observed: Observed, status: int | None = None) -> None:
+    def ended(self, chosen: ChosenWorker, observed: Observed, status: int | None = None) -> None:
         """Report how an attempt ended for one worker, once.
 
         Parameters
@@ -192,9 +143,9 @@
         for chosen in tuple(self._running.values()):
             self.ended(chosen, observed)
 
-    def _take_choices(self, attempt_id: str, made: DecisionMade) -> dict[Stage, Chosen] | None:
+    def _take_choices(self, attempt_id: str, made: DecisionMade) -> ProxyEvent:
         now = self._environment.clock()
-        chosen: dict[Stage, Chosen] = {}
+        chosen: dict[Stage, ChosenWorker] = {}
         is_complete = True
         for choice in made.reply.choices:
             worker = self._environment.state.worker(choice.worker_id)
@@ -202,7 +153,7 @@
                 self._report(_unused(attempt_id, choice.worker_id), None)
                 is_complete = False
                 continue
-            one = Chosen(
+            one = ChosenWorker(
                 attempt_id,
                 choice.stage,
                 worker,
@@ -213,10 +164,10 @@
             chosen[choice.stage] = one
             self._running[choice.worker_id] = one
         if is_complete:
-            return chosen
+            return events.WorkersChosen(chosen)
         for one in chosen.values():
             self.ended(one, Observed.GATEWAY_FAULT)
-        return None
+        return events.ChosenWorkerGone()
 
     def _release_late(
         self, attempt_id: str, done: "asyncio.Task[DecisionMade | NoCandidates]"
--- a/src/orchidpath/router/proxy/response_relay.py
+++ b/src/orchidpath/router/proxy/response_relay.py
@@ -18,7 +18,7 @@
     ----------
     caller
         Where it goes.
-    may_be_taken_up
+    may_be_resumed
         Whether another worker can go on with it where its worker breaks off.
     """
 
@@ -26,16 +26,13 @@
         self._caller = caller
         self._stream = ResumableStream() if may_be_resumed else None
         self.has_started = False
-        self.weights_version: int | None = None
 
     @property
     def last_event_id(self) -> str:
         """Event after which another worker is to go on; empty before the first."""
         return self._stream.last_event_id if self._stream is not None and self.has_started else ""
 
-    def begin(
-        self, status: int, headers: tuple[Header, ...], weights_version: int | None = None
-    ) -> None:
+    def begin(self, status: int, headers: tuple[Header, ...]) -> None:
         """Write the head, once: a stream that was taken up keeps that of its first worker.
 
         Parameters
@@ -44,15 +41,12 @@
             Status of the worker's answer.
         headers
             Its headers, as the caller is to see them.
-        weights_version
-            Version of the weights that began it, if the worker tells it.
         """
         if self.has_started:
             return
         if status != 200 or any(name == b"content-length" for name, _ in headers):
             self._stream = None
         self.has_started = True
-        self.weights_version = weights_version
         self._caller.send_head(AnswerHead(status=status, headers=headers))
 
     def pass_on(self, part: bytes) -> None:
--- /dev/null
+++ b/tests/forwarding/proxy/proxy_machine_driver.py
@@ -0,0 +1,118 @@
+"""Drives the machine of a forwarded request by hand, and builds its events."""
+
+from random import Random
+from typing import TypeVar
+
+from orchidpath.forwarding.proxy import proxy_effects as effects
+from orchidpath.forwarding.proxy import proxy_events as events
+from orchidpath.forwarding.proxy.proxy_machine import ProxyMachine
+from orchidpath.routing.retry_budget import RetryBudget
+from orchidpath.wire.configuration import ForwardRoute, Repetition, RetryPolicy, WeightedService
+from orchidpath.wire.records import Stage, WorkerRecord
+
+EffectT = TypeVar("EffectT")
+
+NOW = 100.0
+SECONDS = 8.0
+MAX_DECODE_SIDE_TOKENS = 6_000
+
+
+def chosen(stage: Stage, worker_id: str, attempt_id: str = "r.1") -> events.ChosenWorker:
+    worker = WorkerRecord(
+        worker_id=worker_id, incarnation="i", service="s", stage=stage, url=f"http://{worker_id}:1"
+    )
+    return events.ChosenWorker(attempt_id, stage, worker, None, NOW)
+
+
+def head(status: int = 200, **changes: bool) -> events.HeadReceived:
+    says = {
+        "guarantees_not_executed": False,
+        "is_signed": True,
+        "is_encoded": False,
+        "is_full": False,
+    }
+    return events.HeadReceived(status=status, weights_version=7, **{**says, **changes})
+
+
+class Driven:
+    """A machine and what it asked for last."""
+
+    def __init__(
+        self,
+        *,
+        is_model: bool = True,
+        repetition: Repetition = Repetition.NEVER,
+        max_attempts: int = 2,
+        prompt_tokens: int = 1_000,
+        wants_prefill_stage: bool = True,
+        has_prefill_workers: bool = True,
+        seed: int = 1,
+    ) -> None:
+        self.has_prefill_workers = has_prefill_workers
+        route = ForwardRoute(
+            name="r",
+            host="h",
+            path_prefix="/",
+            services=[WeightedService(service="s")],
+            streaming=True,
+            repetition=repetition,
+            max_attempts=max_attempts,
+            priority=3,
+        )
+        plan = events.ProxyPlan(
+            request_id="r",
+            route=route,
+            is_model=is_model,
+            prompt_tokens=prompt_tokens,
+            wants_prefill_stage=is_model and wants_prefill_stage,
+            max_decode_side_prefill_tokens=MAX_DECODE_SIDE_TOKENS,
+            deadline=NOW + SECONDS,
+        )
+        shared = events.ProxyShared(
+            retry_budget=RetryBudget(RetryPolicy(budget_minimum_per_second=10.0)),
+            random=Random(seed),
+            has_prefill_workers=lambda: self.has_prefill_workers,
+        )
+        self.machine = ProxyMachine(plan, shared)
+        self.now = NOW
+        self.effects: list[effects.ProxyEffect] = []
+
+    def take(self, *taken: events.ProxyEvent) -> "Driven":
+        for event in taken:
+            self.effects = self.machine.handle(event, self.now)
+        return self
+
+    def one(self, kind: type[EffectT]) -> EffectT:
+        (effect,) = (one for one in self.effects if isinstance(one, kind))
+        return effect
+
+    def has(self, kind: type) -> bool:
+        return any(isinstance(one, kind) for one in self.effects)
+
+
+def pair(prefill: str = "p1", decode: str = "d1") -> events.WorkersChosen:
+    workers = (chosen(Stage.PREFILL, prefill), chosen(Stage.DECODE, decode))
+    return events.WorkersChosen({one.stage: one for one in workers})
+
+
+def alone(worker_id: str = "d1", stage: Stage = Stage.DECODE) -> events.WorkersChosen:
+    return events.WorkersChosen({stage: chosen(stage, worker_id)})
+
+
+def transferring(**settings: object) -> Driven:
+    """Return a machine whose prefill is complete and whose decode was dispatched."""
+    driven = Driven(**settings)  # type: ignore[arg-type]
+    prefilled = events.PrefillSucceeded("h1", 4)
+    return driven.take(
+        events.RequestStarted(), pair(), events.Dispatched(), prefilled, events.Dispatched()
+    )
+
+
+def awaiting_head(**settings: object) -> Driven:
+    """Return a machine that has dispatched a plain request."""
+    driven = Driven(is_model=False, **settings)  # type: ignore[arg-type]
+    return driven.take(events.RequestStarted(), alone("w1", Stage.PLAIN), events.Dispatched())
+
+
+REFUSED = (head(503, guarantees_not_executed=True), events.RefusalDrained())
+REFUSED_FULL = (head(503, guarantees_not_executed=True, is_full=True), events.RefusalDrained())
