--- a/src/orchidpath/forwarding/proxy/decision_rounds.py
+++ b/src/orchidpath/forwarding/proxy/decision_rounds.py
@@ -1,15 +1,15 @@
 """The rounds of decisions of one forwarded request; pure."""
 
-from orchidpath.forwarding.proxy.proxy_effects import AskDecision
+from orchidpath.forwarding.proxy.proxy_effects import ChooseWorkers
 from orchidpath.forwarding.proxy.proxy_events import ChosenWorker
 from orchidpath.routing.request.events import StageTried
 from orchidpath.wire.records import Stage
 
 MAX_ROUNDS = 8
-"""Rounds for one request, at most; connections that fail before a byte was sent are free."""
+"""Rounds for one request, at most: bounds failures before the first byte, which cost nothing."""
 
 MAX_POSTPONED_SECONDS = 2.0
-"""A decision is not postponed for longer: for the prefill of a shared prompt by another request."""
+"""The leader may postpone a decision this long, until another request's prefill is cached."""
 
 
 class DecisionRounds:
@@ -31,7 +31,7 @@
         self._postponed_until = 0.0
 
     @property
-    def asks_for_prefill(self) -> bool:
+    def includes_prefill(self) -> bool:
         """Whether this round's decision is about a prefill worker too."""
         return Stage.PREFILL in self._stages
 
@@ -42,8 +42,10 @@
         self._rounds += 1
         return True
 
-    def ask(self, stages: tuple[Stage, ...], prefill_worker_id: str, now: float) -> AskDecision:
-        """Return the question for this round's workers.
+    def choose(
+        self, stages: tuple[Stage, ...], prefill_worker_id: str, now: float
+    ) -> ChooseWorkers:
+        """Return the effect that has this round's workers chosen.
 
         Parameters
         ----------
@@ -57,12 +59,12 @@
         self._stages = stages
         self._prefill_worker_id = prefill_worker_id
         self._postponed_until = now + MAX_POSTPONED_SECONDS
-        return self.ask_again(now)
+        return self.choose_again(now)
 
-    def ask_again(self, now: float) -> AskDecision:
-        """Return the same question as an attempt of its own, after it was postponed."""
+    def choose_again(self, now: float) -> ChooseWorkers:
+        """Return the same effect as an attempt of its own, after it was postponed."""
         self._attempts += 1
-        return AskDecision(
+        return ChooseWorkers(
             attempt_id=f"{self._request_id}.{self._attempts}",
             per_stage=tuple(
                 StageTried(stage=stage, tried=tuple(self._tried[stage]), excluded=())
--- a/src/orchidpath/forwarding/proxy/proxy_core.py
+++ b/src/orchidpath/forwarding/proxy/proxy_core.py
@@ -9,7 +9,12 @@
 import msgspec
 
 from orchidpath.circuit.classification import Observed
-from orchidpath.forwarding.progress import FailureKind, FinalOutcome, ForwardProgress, ReturnTime
+from orchidpath.forwarding.progress import (
+    FailureKind,
+    FailureOutcome,
+    ForwardProgress,
+    RetryAfterRange,
+)
 from orchidpath.forwarding.proxy import proxy_effects as effects
 from orchidpath.forwarding.proxy.decision_rounds import DecisionRounds
 from orchidpath.forwarding.proxy.prefill_path import PrefillPath
@@ -22,15 +27,15 @@
 )
 from orchidpath.wire.records import Stage
 
-RETURN_TIME = ReturnTime()
+RETRY_AFTER = RetryAfterRange()
 
 BROKEN_OFF_OUTCOME = "broken_off"
 """What metrics call a request whose answer was given up after it had begun."""
 
 _STATUS_BY_OUTCOME = {
-    FinalOutcome.NOT_RUN: 503,
-    FinalOutcome.BROKEN: 502,
-    FinalOutcome.TIMED_OUT: 504,
+    FailureOutcome.NOT_EXECUTED: 503,
+    FailureOutcome.BROKEN: 502,
+    FailureOutcome.TIMED_OUT: 504,
 }
 
 
@@ -54,7 +59,7 @@
     """The caller got a final answer, or never will."""
 
 
-class AnswerState(msgspec.Struct):
+class ResponseState(msgspec.Struct):
     """What has reached the caller, and whether another worker can go on with it.
 
     ``weights_version`` is the version that began the answer; ``last_event_id`` is empty before the
@@ -85,7 +90,7 @@
         self._progress = ForwardProgress(plan.route, shared.retry_budget, plan.deadline)
         self._rounds = DecisionRounds(plan.request_id)
         self._prefill = PrefillPath(plan, shared.has_prefill_workers)
-        self._answer = AnswerState()
+        self._response = ResponseState()
         self._chosen_for_request: ChosenWorker | None = None
         self._target: ChosenWorker | None = None
         self._dispatched_at = 0.0
@@ -97,14 +102,14 @@
     def _next_round(self, now: float) -> list[ProxyEffect]:
         if not self._rounds.begin():
             return self._give_up("no worker could be reached")
-        has_started = self._answer.has_started
+        has_started = self._response.has_started
         prefills = self._prefill.begins_round(self._progress, now)
         if not prefills and not self._prefill.may_prefill_on_decode(has_started=has_started):
             return self._give_up("the prompt can't be read now")
         self._phase = ProxyPhase.RESUMING if has_started else ProxyPhase.CHOOSING
         pending = self._prefill.pending
         prefill_worker_id = pending.chosen.worker.worker_id if pending is not None else ""
-        return [self._rounds.ask(self._stages(prefills), prefill_worker_id, now)]
+        return [self._rounds.choose(self._stages(prefills), prefill_worker_id, now)]
 
     def _stages(self, prefills: bool) -> tuple[Stage, ...]:
         if not self._plan.is_model:
@@ -116,7 +121,7 @@
     def _dispatch_prefill(self, target: ChosenWorker, now: float) -> list[ProxyEffect]:
         self._phase = ProxyPhase.PREFILLING
         self._target = target
-        seconds = self._progress.prompt_read_seconds(now, target.expected_prefill_seconds)
+        seconds = self._progress.prefill_timeout_seconds(now, target.expected_prefill_seconds)
         self._prefill_timeout_at = now + seconds
         dispatch = effects.Dispatch(
             target=target,
@@ -132,7 +137,7 @@
         target = self._chosen_for_request
         assert target is not None
         self._target = target
-        if not self._progress.may_send(target.worker.worker_id, now):
+        if not self._progress.may_dispatch(target.worker.worker_id, now):
             unused = effects.Report(target, Observed.GATEWAY_FAULT)
             return [unused, *self._give_up("no further attempt is allowed")]
         pending = self._prefill.pending
@@ -142,8 +147,8 @@
             target=target,
             deadline_seconds=self._progress.time_left(now),
             kv_source=pending.source if pending is not None else None,
-            expected_version=self._answer.weights_version if version is None else version,
-            last_event_id=self._answer.last_event_id,
+            expected_version=self._response.weights_version if version is None else version,
+            last_event_id=self._response.last_event_id,
         )
         return [dispatch]
 
@@ -161,35 +166,35 @@
             self._prefill.leave_to_decode()
         return [*reports, *self._next_round(now)]
 
-    def _may_have_executed(
+    def _execution_in_doubt(
         self, kind: FailureKind, observed: Observed, status: int | None, now: float
     ) -> list[ProxyEffect]:
         """Take a failure after which the request may have run, or may still run."""
-        self._progress.failed(kind)
+        self._progress.dispatch_failed(kind)
         reports = [self._report_failed(observed, status), *self._transferred()]
         self._prefill.cache_lost(has_workers_left=self._progress.has_workers_left())
         return [*reports, *self._go_on(now)]
 
     def _go_on(self, now: float) -> list[ProxyEffect]:
         """Begin the next round after a failure, or break off an answer that can't be resumed."""
-        if not self._answer.has_started:
+        if not self._response.has_started:
             return self._next_round(now)
-        if self._answer.is_resumable and self._progress.has_workers_left():
+        if self._response.is_resumable and self._progress.has_workers_left():
             return self._next_round(now)
         self._phase = ProxyPhase.DONE
-        return [effects.BreakOffAnswer(), effects.AbortConnection(), effects.DropCaller()]
+        return [effects.AbortResponse(), effects.AbortConnection(), effects.DropCaller()]
 
     # Ends
 
     def _give_up(self, reason: str, retry_after_seconds: float = 0.0) -> list[ProxyEffect]:
         self._phase = ProxyPhase.DONE
-        if self._answer.has_started:
-            return [effects.BreakOffAnswer(), effects.CountOutcome(BROKEN_OFF_OUTCOME)]
-        outcome = self._progress.final_status()
+        if self._response.has_started:
+            return [effects.AbortResponse(), effects.CountOutcome(BROKEN_OFF_OUTCOME)]
+        outcome = self._progress.failure_outcome()
         seconds = None
-        if outcome is FinalOutcome.NOT_RUN:
-            seconds = RETURN_TIME.seconds(self._shared.random.random(), retry_after_seconds)
-        answer = effects.SendFinalAnswer(_STATUS_BY_OUTCOME[outcome], reason, seconds)
+        if outcome is FailureOutcome.NOT_EXECUTED:
+            seconds = RETRY_AFTER.seconds(self._shared.random.random(), retry_after_seconds)
+        answer = effects.SendErrorResponse(_STATUS_BY_OUTCOME[outcome], reason, seconds)
         return [effects.CountOutcome(outcome.value), answer]
 
     # Reports
@@ -211,6 +216,6 @@
 
     def _release_handle(self) -> list[ProxyEffect]:
         pending = self._prefill.take_pending()
-        if pending is None or self._answer.has_started:
+        if pending is None or self._response.has_started:
             return []
         return [effects.ReleaseHandle(pending.source)]
--- a/src/orchidpath/forwarding/proxy/proxy_effects.py
+++ b/src/orchidpath/forwarding/proxy/proxy_effects.py
@@ -13,7 +13,7 @@
 # Operations: each takes time and ends in one event
 
 
-class AskDecision(msgspec.Struct, frozen=True, kw_only=True):
+class ChooseWorkers(msgspec.Struct, frozen=True, kw_only=True):
     """Have a worker chosen for each stage; ``may_wait`` allows the leader to postpone it."""
 
     attempt_id: str
@@ -84,15 +84,15 @@
     """Read the rest of a refusal, so that its connection can be used again."""
 
 
-class RelayAnswer(msgspec.Struct, frozen=True):
+class RelayResponse(msgspec.Struct, frozen=True):
     """Pass the answer on to the caller as it comes."""
 
 
 ProxyOperation = (
-    AskDecision | Wait | Dispatch | AwaitPrefill | AwaitHead | DrainRefusal | RelayAnswer
+    ChooseWorkers | Wait | Dispatch | AwaitPrefill | AwaitHead | DrainRefusal | RelayResponse
 )
 
-OPERATIONS = (AskDecision, Wait, Dispatch, AwaitPrefill, AwaitHead, DrainRefusal, RelayAnswer)
+OPERATIONS = (ChooseWorkers, Wait, Dispatch, AwaitPrefill, AwaitHead, DrainRefusal, RelayResponse)
 """The same for ``isinstance``, which takes longer with a union."""
 
 
@@ -142,7 +142,7 @@
     outcome: str
 
 
-class SendFinalAnswer(msgspec.Struct, frozen=True):
+class SendErrorResponse(msgspec.Struct, frozen=True):
     """Answer the caller in place of a worker; without Retry-After when that is None."""
 
     status: int
@@ -150,7 +150,7 @@
     retry_after_seconds: float | None
 
 
-class BreakOffAnswer(msgspec.Struct, frozen=True):
+class AbortResponse(msgspec.Struct, frozen=True):
     """Close the caller's connection in the middle of its answer, so that it looks broken."""
 
 
@@ -166,8 +166,8 @@
     | AbortConnection
     | ReleaseHandle
     | CountOutcome
-    | SendFinalAnswer
-    | BreakOffAnswer
+    | SendErrorResponse
+    | AbortResponse
     | DropCaller
 )
 
--- a/src/orchidpath/forwarding/proxy/proxy_events.py
+++ b/src/orchidpath/forwarding/proxy/proxy_events.py
@@ -85,7 +85,7 @@
     workers: Mapping[Stage, ChosenWorker]
 
 
-class ChosenWorkerGone(msgspec.Struct, frozen=True):
+class ChosenWorkerRemoved(msgspec.Struct, frozen=True):
     """One of the chosen workers is not known here any more; the others were given back."""
 
 
@@ -160,7 +160,7 @@
     """The worker did not answer in the time that it was given."""
 
 
-class AnswerCompleted(msgspec.Struct, frozen=True):
+class ResponseCompleted(msgspec.Struct, frozen=True):
     """The whole answer was passed on to the caller."""
 
 
@@ -182,7 +182,7 @@
 ProxyEvent = (
     RequestStarted
     | WorkersChosen
-    | ChosenWorkerGone
+    | ChosenWorkerRemoved
     | DecisionPostponed
     | DecisionRejected
     | WaitElapsed
@@ -195,7 +195,7 @@
     | RefusalDrained
     | ExchangeBroken
     | ExchangeTimedOut
-    | AnswerCompleted
+    | ResponseCompleted
     | StreamBroken
     | DeadlinePassed
     | RequestClosed
--- a/src/orchidpath/forwarding/proxy/proxy_machine.py
+++ b/src/orchidpath/forwarding/proxy/proxy_machine.py
@@ -28,10 +28,10 @@
 from orchidpath.wire.configuration import Repetition
 from orchidpath.wire.records import Stage
 
-NO_LEASE_RETURN_SECONDS = 1.0
+NO_LEASE_RETRY_AFTER_SECONDS = 1.0
 """A router that has lost its lease gets it back, or is taken out of use, within about this."""
 
-UNANSWERABLE_GUARANTEES = frozenset({408, 421, 429, 503})
+GUARANTEE_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that guarantee not-executed: never passed on from a worker that gave no guarantee."""
 
 MISDIRECTED_STATUS = 421
@@ -80,15 +80,17 @@
         return [effects.Wait(event.retry_after_seconds)]
 
     def _waited(self, _event: events.WaitElapsed, now: float) -> list[ProxyEffect]:
-        return [self._rounds.ask_again(now)]
+        return [self._rounds.choose_again(now)]
 
     def _rejected(self, event: events.DecisionRejected, now: float) -> list[ProxyEffect]:
-        if not self._rounds.asks_for_prefill:
+        if not self._rounds.includes_prefill:
             return self._give_up(event.reason, event.retry_after_seconds)
         self._prefill.leave_to_decode()
         return self._next_round(now)
 
-    def _chosen_worker_gone(self, _event: events.ChosenWorkerGone, now: float) -> list[ProxyEffect]:
+    def _chosen_worker_removed(
+        self, _event: events.ChosenWorkerRemoved, now: float
+    ) -> list[ProxyEffect]:
         return self._next_round(now)
 
     def _chosen(self, event: events.WorkersChosen, now: float) -> list[ProxyEffect]:
@@ -137,9 +139,9 @@
     # The request itself
 
     def _dispatched(self, _event: events.Dispatched, now: float) -> list[ProxyEffect]:
-        self._progress.sent(self._current().worker.worker_id)
+        self._progress.dispatched(self._current().worker.worker_id)
         self._dispatched_at = now
-        return [effects.AwaitHead(self._progress.first_answer_seconds(now))]
+        return [effects.AwaitHead(self._progress.first_response_timeout_seconds(now))]
 
     def _refused_here(self, event: events.SendRefused, now: float) -> list[ProxyEffect]:
         report = self._report_failed(Observed.GATEWAY_FAULT)
@@ -147,18 +149,20 @@
 
     def _after_send_refused(self, event: events.SendRefused, now: float) -> list[ProxyEffect]:
         if event.refusal is SendRefusal.NOT_FRESH:
-            return self._give_up("this router holds no lease to serve", NO_LEASE_RETURN_SECONDS)
+            return self._give_up(
+                "this router holds no lease to serve", NO_LEASE_RETRY_AFTER_SECONDS
+            )
         return self._next_round(now)
 
     def _not_sent(self, _event: events.ConnectFailed, now: float) -> list[ProxyEffect]:
-        self._progress.failed(FailureKind.NOT_SENT)
+        self._progress.dispatch_failed(FailureKind.NOT_SENT)
         return [self._report_failed(Observed.CONNECT_FAILED), *self._go_on(now)]
 
     def _timed_out(self, _event: events.ExchangeTimedOut, now: float) -> list[ProxyEffect]:
-        return self._may_have_executed(FailureKind.TIMED_OUT, Observed.TIMED_OUT, None, now)
+        return self._execution_in_doubt(FailureKind.TIMED_OUT, Observed.TIMED_OUT, None, now)
 
     def _broken(self, _event: events.ExchangeBroken, now: float) -> list[ProxyEffect]:
-        return self._may_have_executed(FailureKind.BROKEN, Observed.CONNECTION_RESET, None, now)
+        return self._execution_in_doubt(FailureKind.BROKEN, Observed.CONNECTION_RESET, None, now)
 
     # Answers
 
@@ -172,22 +176,22 @@
         if self._plan.is_model:
             records.append(effects.RecordPrefillDone(chosen))
         if not self._may_pass_on(event):
-            malformed = self._may_have_executed(
+            malformed = self._execution_in_doubt(
                 FailureKind.BROKEN, Observed.MALFORMED_PROTOCOL, event.status, now
             )
             return [*records, effects.AbortConnection(), *malformed]
         self._phase = ProxyPhase.STREAMING
-        if not self._answer.has_started:
+        if not self._response.has_started:
             # A stream that is resumed keeps to the weights that began it.
-            self._answer.weights_version = event.weights_version
-        self._answer.has_started = True
-        return [*records, effects.RelayAnswer()]
+            self._response.weights_version = event.weights_version
+        self._response.has_started = True
+        return [*records, effects.RelayResponse()]
 
     def _may_pass_on(self, head: events.HeadReceived) -> bool:
         """Whether an answer may reach the caller as it is."""
-        if head.status in UNANSWERABLE_GUARANTEES or head.is_encoded:
+        if head.status in GUARANTEE_STATUSES or head.is_encoded:
             return False
-        if self._answer.has_started:
+        if self._response.has_started:
             return head.status == 200 and head.is_signed
         if 200 <= head.status < 300:
             return head.is_signed
@@ -206,20 +210,20 @@
         charged = effects.Report(pending.chosen, Observed.KV_TRANSFER_CHARGED)
         released = self._release_handle()
         self._prefill.transfer_failed()
-        self._progress.failed(FailureKind.REFUSED)
+        self._progress.dispatch_failed(FailureKind.REFUSED)
         neutral = effects.Report(self._current(), Observed.KV_TRANSFER_UNDECIDED)
         return [charged, *released, neutral, *self._go_on(now)]
 
     def _refused(self, _event: events.RefusalDrained, now: float) -> list[ProxyEffect]:
         assert self._head is not None
-        self._progress.failed(FailureKind.REFUSED)
+        self._progress.dispatch_failed(FailureKind.REFUSED)
         if self._head.status == MISDIRECTED_STATUS:
             report = self._report_failed(Observed.GATEWAY_FAULT)
         else:
             report = self._report_failed(Observed.HTTP_STATUS, THROTTLE_STATUS)
         return [report, *self._go_on(now)]
 
-    def _completed(self, _event: events.AnswerCompleted, _now: float) -> list[ProxyEffect]:
+    def _completed(self, _event: events.ResponseCompleted, _now: float) -> list[ProxyEffect]:
         assert self._head is not None
         status = self._head.status
         self._phase = ProxyPhase.DONE
@@ -229,9 +233,9 @@
         return [report, effects.CountOutcome(str(status))]
 
     def _stream_broken(self, event: events.StreamBroken, now: float) -> list[ProxyEffect]:
-        self._answer.is_resumable = event.is_resumable
-        self._answer.last_event_id = event.last_event_id
-        return self._may_have_executed(FailureKind.BROKEN, Observed.CONNECTION_RESET, None, now)
+        self._response.is_resumable = event.is_resumable
+        self._response.last_event_id = event.last_event_id
+        return self._execution_in_doubt(FailureKind.BROKEN, Observed.CONNECTION_RESET, None, now)
 
     # Ends
 
@@ -251,7 +255,7 @@
 
 _CHOOSING: dict[type, _Transition] = {
     events.WorkersChosen: ProxyMachine._chosen,
-    events.ChosenWorkerGone: ProxyMachine._chosen_worker_gone,
+    events.ChosenWorkerRemoved: ProxyMachine._chosen_worker_removed,
     events.DecisionPostponed: ProxyMachine._postponed,
     events.DecisionRejected: ProxyMachine._rejected,
     events.WaitElapsed: ProxyMachine._waited,
@@ -281,7 +285,7 @@
     (ProxyPhase.TRANSFERRING, events.RefusalDrained): ProxyMachine._transfer_refused,
     **{(ProxyPhase.AWAITING_HEAD, event): step for event, step in _AWAITING.items()},
     (ProxyPhase.AWAITING_HEAD, events.RefusalDrained): ProxyMachine._refused,
-    (ProxyPhase.STREAMING, events.AnswerCompleted): ProxyMachine._completed,
+    (ProxyPhase.STREAMING, events.ResponseCompleted): ProxyMachine._completed,
     (ProxyPhase.STREAMING, events.StreamBroken): ProxyMachine._stream_broken,
     **{
         (phase, events.DeadlinePassed): ProxyMachine._deadline_passed
--- a/src/orchidpath/forwarding/split.py
+++ b/src/orchidpath/forwarding/split.py
@@ -9,7 +9,7 @@
 from orchidpath.wire.configuration import ForwardRoute
 
 STEP = 0.6180339887498949
-"""Distance between two positions: the golden section, which spreads any number of them evenly."""
+"""Distance between two positions: the golden ratio, which spreads any number of them evenly."""
 
 MAX_ROUTES = 4_096
 """Positions that are kept; beyond that all are drawn anew."""
--- a/src/orchidpath/router/process.py
+++ b/src/orchidpath/router/process.py
@@ -14,7 +14,7 @@
 from orchidpath.router.observability.decision_log_writer import DecisionLogWriter
 from orchidpath.router.observability.decision_recorder import DecisionRecorder
 from orchidpath.router.proxy.protocol_mapping import ProtocolMapping
-from orchidpath.router.proxy.proxy_edge import ForwardEdge
+from orchidpath.router.proxy.proxy_edge import ProxyEdge
 from orchidpath.wire.link_faults import LinkFaults, watch_fault_file
 from orchidpath.wire.messages import Hello, ProcessRole
 from orchidpath.wire.records import RouterRecord
@@ -99,10 +99,10 @@
         self._link.set_seeds(settings.seeds)
         configure_logs(settings.log_level, node_id=settings.node_id, role="router")
 
-    def _make_edge(self, incarnation: str) -> "EdgeServer | ForwardEdge":
+    def _make_edge(self, incarnation: str) -> "EdgeServer | ProxyEdge":
         settings = self._settings
         if settings.forward_address:
-            return ForwardEdge(
+            return ProxyEdge(
                 settings, self._link, self._protocol_mapping, self._random, self._clock
             )
         # A third of a forwarding router's start would be the import of an HTTP server it lacks.
--- a/src/orchidpath/router/proxy/__init__.py
+++ b/src/orchidpath/router/proxy/__init__.py
@@ -1,5 +1,6 @@
-"""The path of opaque requests that the router passes on: server, runner, upstream connections.
+"""The proxy path of opaque requests: server, request runner, connections to workers.
 
-Begin with :mod:`.proxy_edge`, then :mod:`.proxy_runner`. Imported by
+Begin with :mod:`.proxy_edge`, then :mod:`.proxy_runner`, which carries out what the machine in
+:mod:`orchidpath.forwarding.proxy` decides. Imported by
 :mod:`orchidpath.router.process` and the platform adapter.
 """
--- a/src/orchidpath/router/proxy/protocol_mapping.py
+++ b/src/orchidpath/router/proxy/protocol_mapping.py
@@ -1,7 +1,7 @@
-"""How callers of forward routes, routers and workers tell each other what a request is about.
+"""Maps the metadata of requests and responses on forward routes to and from HTTP headers.
 
-The router reads and writes requests through this class only. Its names are data, so that an adapter
-to another platform gives other names, and overrides a method where a format differs.
+The router reads and writes requests through this class only. Header names are data, so that an
+adapter to another platform gives other names, and overrides a method where a format differs.
 """
 
 from collections.abc import Sequence
@@ -9,6 +9,7 @@
 import msgspec
 import xxhash
 
+from orchidpath.common.errors import OrchidpathError
 from orchidpath.wire.messages import PromptShape
 
 Header = tuple[bytes, bytes]
@@ -52,8 +53,8 @@
 class RequestMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """What a router must know of a request besides its bytes.
 
-    ``prefix_key`` is the same for requests that share all parts of their prompt but the last one;
-    ``shared_tokens`` is the size of those parts.
+    ``prefix_key`` is the same for requests that share all segments of their prompt but the last
+    one; ``shared_tokens`` is the size of those segments, in tokens.
     """
 
     request_id: str
@@ -72,12 +73,12 @@
         )
 
 
-class Order(msgspec.Struct, frozen=True, kw_only=True):
-    """What the router adds to a request that it sends to a worker.
+class DispatchMetadata(msgspec.Struct, frozen=True, kw_only=True):
+    """What the router adds to a request that it dispatches to a worker.
 
-    ``is_prefill`` asks for the prompt read alone. ``cache_source`` names the KV cache of an
-    earlier prompt read, as :meth:`ProtocolMapping.cache_source` made it. ``last_event_id`` is the
-    event after which a stream is to go on; empty to leave it to what the caller said.
+    ``is_prefill`` asks for the prefill alone. ``cache_source`` names the KV cache of an earlier
+    prefill, as :meth:`ProtocolMapping.cache_source` made it. ``last_event_id`` is the event after
+    which a stream is to be resumed; empty to leave the caller's own header.
     """
 
     worker_id: str
@@ -103,7 +104,7 @@
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What the head of a worker's answer says besides its status."""
+    """What the head of a worker's response says besides its status."""
 
     request_id: str
     is_signed: bool
@@ -113,19 +114,19 @@
     weights_version: int | None = None
 
 
-class PromptRead(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's answer to a prompt read: the handle of the KV cache and the weights' version."""
+class PrefillResult(msgspec.Struct, frozen=True, kw_only=True):
+    """A worker's response to a prefill: the handle of the KV cache and the weights' version."""
 
     handle: str
     version: int | None = None
 
 
-class UnreadableRequestError(ValueError):
-    """A header of the request has not the form that it must have."""
+class MalformedRequestError(OrchidpathError):
+    """A header of the request is missing or malformed."""
 
 
 class ProtocolMapping:
-    """Reads requests and answers and writes orders in one platform's names.
+    """Reads requests and responses, and writes dispatches, in one platform's names.
 
     Parameters
     ----------
@@ -148,59 +149,61 @@
 
         Raises
         ------
-        UnreadableRequestError
+        MalformedRequestError
             There is no request id, or a number is none.
         """
         names = self.names
         values = dict(headers)
         request_id = values.get(names.request_id, b"").decode("latin-1")
         if not request_id:
-            raise UnreadableRequestError("the request has no id")
+            raise MalformedRequestError("the request has no id")
         deadline = values.get(names.deadline_milliseconds)
         usage = values.get(names.token_usage, b"0").split(b",")[0]
         model = values.get(names.model, b"")
-        parts = _shared_segments(values.get(names.prompt_segments, b""))
+        segments = _shared_segments(values.get(names.prompt_segments, b""))
         return RequestMetadata(
             request_id=request_id,
             deadline_seconds=None if deadline is None else _number(deadline) / 1000.0,
             model=model.decode("latin-1"),
             prompt_tokens=int(_number(usage or b"0")),
-            prefix_key=_prefix_key(model, parts),
-            shared_tokens=sum(part.tokens for part in parts),
+            prefix_key=_prefix_key(model, segments),
+            shared_tokens=sum(segment.tokens for segment in segments),
         )
 
-    def order_headers(self, headers: Sequence[Header], order: Order) -> list[Header]:
-        """Return the headers of an order: the caller's, and what the router sets.
+    def dispatch_headers(
+        self, headers: Sequence[Header], metadata: DispatchMetadata
+    ) -> list[Header]:
+        """Return the headers of a dispatch: the caller's, and what the router sets.
 
         Parameters
         ----------
         headers
             Headers of the caller's request.
-        order
+        metadata
             What the router adds.
         """
         names = self.names
         dropped = self._set_by_router | CONNECTION_HEADERS | {names.deadline_milliseconds}
-        if order.last_event_id:
+        if metadata.last_event_id:
             dropped = dropped | {names.last_event_id}
         kept = [header for header in headers if header[0] not in dropped]
-        milliseconds = max(1, int(order.deadline_seconds * 1000))
+        milliseconds = max(1, int(metadata.deadline_seconds * 1000))
         kept.append((names.deadline_milliseconds, b"%d" % milliseconds))
-        kept.append((names.worker_id, order.worker_id.encode("latin-1")))
-        if order.priority is not None:
-            kept.append((names.priority, b"%d" % order.priority))
-        if order.is_prefill:
+        kept.append((names.worker_id, metadata.worker_id.encode("latin-1")))
+        if metadata.priority is not None:
+            kept.append((names.priority, b"%d" % metadata.priority))
+        if metadata.is_prefill:
             kept.append((names.stage, b"prefill"))
-        if order.cache_source:
-            kept.append((names.cache_source, order.cache_source.encode("latin-1")))
-        if order.last_event_id:
-            kept.append((names.last_event_id, order.last_event_id.encode("latin-1")))
-        if order.expected_version is not None:
-            kept.append((names.expected_version, b"%d" % order.expected_version))
+        if metadata.cache_source:
+            kept.append((names.cache_source, metadata.cache_source.encode("latin-1")))
+        if metadata.last_event_id:
+            kept.append((names.last_event_id, metadata.last_event_id.encode("latin-1")))
+        if metadata.expected_version is not None:
+            kept.append((names.expected_version, b"%d" % metadata.expected_version))
         return kept
 
-    def read_answer(self, status: int, headers: Sequence[Header]) -> ResponseMetadata:
-        """Return what the head of a worker's answer says."""
+    def read_response(self, status: int, headers: Sequence[Header]) -> ResponseMetadata:
+        """Return what the head of a worker's response says."""
         names = self.names
         values = dict(headers)
         return ResponseMetadata(
@@ -212,17 +215,17 @@
             weights_version=_version(values.get(names.weights_version)),
         )
 
-    def answer_headers(self, headers: Sequence[Header], keep_signature: bool) -> list[Header]:
-        """Return the headers of a worker's answer that are passed to the caller."""
+    def response_headers(self, headers: Sequence[Header], keep_signature: bool) -> list[Header]:
+        """Return the headers of a worker's response that are relayed to the caller."""
         dropped = CONNECTION_HEADERS
         if not keep_signature:
             dropped = dropped | {self.names.signature}
         return [header for header in headers if header[0] not in dropped]
 
-    def read_prompt_read(self, body: bytes) -> PromptRead | None:
-        """Return what the body of the answer to a prompt read says; None if it is none."""
+    def read_prefill_result(self, body: bytes) -> PrefillResult | None:
+        """Return the result in the response to a prefill; None if its body is malformed."""
         try:
-            return msgspec.json.decode(body, type=PromptRead)
+            return msgspec.json.decode(body, type=PrefillResult)
         except (msgspec.MsgspecError, RecursionError, ValueError):
             return None
 
@@ -239,9 +242,9 @@
     try:
         number = float(value)
     except ValueError as error:
-        raise UnreadableRequestError(f"{value[:40]!r} is no number") from error
+        raise MalformedRequestError(f"{value[:40]!r} is no number") from error
     if not 0 <= number < 1e12:
-        raise UnreadableRequestError(f"{value[:40]!r} is out of range")
+        raise MalformedRequestError(f"{value[:40]!r} is out of range")
     return number
 
 
@@ -251,16 +254,16 @@
 
 
 def _shared_segments(value: bytes) -> list[_PromptSegment]:
-    """Return the parts of a prompt, ``NAME:TOKENS`` with commas, without the request's own last."""
-    parts = []
-    for part in value.split(b",")[:-1]:
-        name, _, tokens = part.strip().partition(b":")
-        parts.append(_PromptSegment(name, int(_number(tokens or b"0"))))
-    return parts
+    """Return the shared segments of a prompt, ``NAME:TOKENS`` with commas; the last is its own."""
+    segments = []
+    for segment in value.split(b",")[:-1]:
+        name, _, tokens = segment.strip().partition(b":")
+        segments.append(_PromptSegment(name, int(_number(tokens or b"0"))))
+    return segments
 
 
-def _prefix_key(model: bytes, parts: Sequence[_PromptSegment]) -> int:
-    names = b",".join(part.name for part in parts)
+def _prefix_key(model: bytes, segments: Sequence[_PromptSegment]) -> int:
+    names = b",".join(segment.name for segment in segments)
     return xxhash.xxh64_intdigest(model + b"\x00" + names)
 
 
--- a/src/orchidpath/router/proxy/proxy_attempts.py
+++ b/src/orchidpath/router/proxy/proxy_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one forwarded request: workers chosen for them, and how they ended."""
+"""The attempts of one forwarded request: workers chosen for them, reports of how they ended."""
 
 import asyncio
 from random import Random
@@ -14,7 +14,7 @@
 from orchidpath.router.chat.chat_api import TraceEntry
 from orchidpath.router.decision_maker import DecisionMaker, DecisionSubject
 from orchidpath.router.proxy.protocol_mapping import ProtocolMapping, RequestMetadata
-from orchidpath.router.proxy.proxy_metrics import ForwardMetrics
+from orchidpath.router.proxy.proxy_metrics import ProxyMetrics
 from orchidpath.router.proxy.upstream import UpstreamPool
 from orchidpath.router.routing_state import RoutingState
 from orchidpath.routing.request.events import (
@@ -26,7 +26,7 @@
 from orchidpath.wire.records import Stage
 
 
-class ForwardEnvironment(msgspec.Struct, frozen=True, kw_only=True):
+class ProxyEnvironment(msgspec.Struct, frozen=True, kw_only=True):
     """What the runners of one router share."""
 
     state: RoutingState
@@ -34,13 +34,13 @@
     pool: UpstreamPool
     protocol_mapping: ProtocolMapping
     tasks: BackgroundTasks
-    metrics: ForwardMetrics
+    metrics: ProxyMetrics
     random: Random
     clock: Clock
 
 
-class ForwardAttempts:
-    """Gets workers decided for a request's attempts and reports once how each of them ended.
+class ProxyAttempts:
+    """Has workers chosen for a request's attempts and reports once how each of them ended.
 
     Parameters
     ----------
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        environment: ForwardEnvironment,
+        environment: ProxyEnvironment,
         request_metadata: RequestMetadata,
         subject: DecisionSubject,
     ) -> None:
@@ -63,14 +63,14 @@
         self._subject = subject
         self._running: dict[str, ChosenWorker] = {}
 
-    async def decide(self, ask: effects.AskDecision) -> ProxyEvent:
+    async def decide(self, choose: effects.ChooseWorkers) -> ProxyEvent:
         """Have a worker chosen for each stage.
 
         The leader may choose none for a prefill that it leaves to the decode worker.
 
         Parameters
         ----------
-        ask
+        choose
             The attempt, its stages and what was tried before.
 
         Returns
@@ -78,7 +78,7 @@
         ProxyEvent
             What came of it.
         """
-        made = await self._ask(ask)
+        made = await self._request_decision(choose)
         if isinstance(made, NoCandidates):
             return events.DecisionRejected(made.reason)
         reply = made.reply
@@ -86,13 +86,13 @@
             return events.DecisionPostponed(reply.retry_after_seconds)
         if reply.rejection is not Rejection.NONE:
             return events.DecisionRejected(reply.rejection.value, reply.retry_after_seconds)
-        return self._take_choices(ask.attempt_id, made)
+        return self._take_choices(choose.attempt_id, made)
 
-    async def _ask(self, ask: effects.AskDecision) -> DecisionMade | NoCandidates:
+    async def _request_decision(self, choose: effects.ChooseWorkers) -> DecisionMade | NoCandidates:
         subject = msgspec.structs.replace(
-            self._subject, prefill_worker_id=ask.prefill_worker_id, may_wait=ask.may_wait
+            self._subject, prefill_worker_id=choose.prefill_worker_id, may_wait=choose.may_wait
         )
-        decision = RequestDecision(attempt_id=ask.attempt_id, per_stage=ask.per_stage)
+        decision = RequestDecision(attempt_id=choose.attempt_id, per_stage=choose.per_stage)
         deciding = self._environment.tasks.spawn(
             self._environment.decisions.decide(subject, decision)
         )
@@ -100,7 +100,7 @@
             return await asyncio.shield(deciding)
         except asyncio.CancelledError:
             # The decision may have been registered: its marks are freed once it is known.
-            deciding.add_done_callback(lambda done: self._release_late(ask.attempt_id, done))
+            deciding.add_done_callback(lambda done: self._release_late(choose.attempt_id, done))
             raise
 
     def prefill_done(self, chosen: ChosenWorker) -> None:
@@ -167,7 +167,7 @@
             return events.WorkersChosen(chosen)
         for one in chosen.values():
             self.ended(one, Observed.GATEWAY_FAULT)
-        return events.ChosenWorkerGone()
+        return events.ChosenWorkerRemoved()
 
     def _release_late(
         self, attempt_id: str, done: "asyncio.Task[DecisionMade | NoCandidates]"
--- a/src/orchidpath/router/proxy/proxy_edge.py
+++ b/src/orchidpath/router/proxy/proxy_edge.py
@@ -1,7 +1,7 @@
 """The router's edge for forward routes: callers, readiness and metrics.
 
-A request is refused at once, as not run, while the router holds no lease to serve; whatever a route
-matches is served by a :class:`~orchidpath.router.proxy.proxy_runner.ForwardRunner`.
+A request is rejected at once, as not executed, while the router holds no lease; whatever a route
+matches is served by a :class:`~orchidpath.router.proxy.proxy_runner.ProxyRunner`.
 """
 
 import asyncio
@@ -10,18 +10,18 @@
 from orchidpath.common.clock import Clock
 from orchidpath.common.logs import Logger, get_logger
 from orchidpath.common.settings import RouterSettings
-from orchidpath.forwarding.progress import ReturnTime
+from orchidpath.forwarding.progress import RetryAfterRange
 from orchidpath.forwarding.split import WeightedSplit
 from orchidpath.router.background_tasks import BackgroundTasks
 from orchidpath.router.decision_maker import DecisionMaker
 from orchidpath.router.drain import DrainState
 from orchidpath.router.fleet_link.fleet_access import FleetAccess
-from orchidpath.router.proxy.protocol_mapping import ProtocolMapping, UnreadableRequestError
-from orchidpath.router.proxy.proxy_attempts import ForwardEnvironment
+from orchidpath.router.proxy.protocol_mapping import MalformedRequestError, ProtocolMapping
+from orchidpath.router.proxy.proxy_attempts import ProxyEnvironment
 from orchidpath.router.proxy.proxy_messages import ForwardedRequest
-from orchidpath.router.proxy.proxy_metrics import ForwardMetrics
-from orchidpath.router.proxy.proxy_runner import ForwardRunner
-from orchidpath.router.proxy.proxy_server import CallerConnection, ForwardServer
+from orchidpath.router.proxy.proxy_metrics import ProxyMetrics
+from orchidpath.router.proxy.proxy_runner import ProxyRunner
+from orchidpath.router.proxy.proxy_server import CallerConnection, ProxyServer
 from orchidpath.router.proxy.upstream import UpstreamPool
 from orchidpath.router.routing_state import RoutingState
 from orchidpath.wire.configuration import EdgeLimits
@@ -29,17 +29,17 @@
 from orchidpath.wire.records import FleetView
 
 LINGER_SECONDS = 2.6
-"""A stopping router accepts connections for this long: until probes have taken it out of use."""
+"""A stopping router accepts connections for this long: until probes have removed it."""
 
 POOL_SWEEP_SECONDS = 1.0
-"""Time between two looks for connections that have rested for too long."""
+"""Time between two sweeps of the pool for connections that were idle for too long."""
 
 TASKS_GRACE_SECONDS = 0.3
-"""After the last request, background work gets this long."""
+"""After the last request, background tasks get this long."""
 
 
-NOT_FRESH_RETURN_TIME = ReturnTime(shortest_seconds=1.0, longest_seconds=1.6)
-"""When to come back to a router that has lost its lease."""
+NOT_FRESH_RETRY_AFTER = RetryAfterRange(shortest_seconds=1.0, longest_seconds=1.6)
+"""Retry-After of a router that has lost its lease."""
 
 FIRST_LEASE_SECONDS = 2.0
 """A router that has just started has a lease by then, even when the whole fleet has.
@@ -48,24 +48,24 @@
 router's start to its first view. A caller that is told less is refused twice, and gives up.
 """
 
-FIRST_RETURN_TIME = ReturnTime(shortest_seconds=0.2, longest_seconds=0.6)
-"""When to come back to a router that has just started, at the earliest."""
+STARTUP_RETRY_AFTER = RetryAfterRange(shortest_seconds=0.2, longest_seconds=0.6)
+"""Retry-After of a router that has just started, at least."""
 
 
-def first_return_seconds(share: float, since_start_seconds: float) -> float:
-    """Return when to come back to a router that has not had a lease since its start.
+def startup_retry_after_seconds(share: float, since_start_seconds: float) -> float:
+    """Return the Retry-After of a router that has not had a lease since its start, in seconds.
 
     Parameters
     ----------
     share
-        Drawn evenly between 0 and 1.
+        Drawn uniformly between 0 and 1.
     since_start_seconds
-        Time since the router started.
+        Time since the router started, in seconds.
     """
-    return FIRST_RETURN_TIME.seconds(share, FIRST_LEASE_SECONDS - since_start_seconds)
+    return STARTUP_RETRY_AFTER.seconds(share, FIRST_LEASE_SECONDS - since_start_seconds)
 
 
-class ForwardEdge:
+class ProxyEdge:
     """Serves forward routes at one address, and health and metrics at another.
 
     Parameters
@@ -74,8 +74,8 @@
         Addresses and timeouts.
     fleet
         The rest of the fleet.
-    dialect
-        Reads requests and answers, writes orders.
+    protocol_mapping
+        Reads requests and responses, writes dispatches.
     random
         Source of randomness.
     clock
@@ -99,9 +99,9 @@
         self._state = RoutingState(fleet, random, settings.zone)
         self._drain = DrainState()
         self._tasks = BackgroundTasks()
-        self._metrics = ForwardMetrics()
+        self._metrics = ProxyMetrics()
         self._pool = UpstreamPool(clock)
-        self._environment = ForwardEnvironment(
+        self._environment = ProxyEnvironment(
             state=self._state,
             decisions=DecisionMaker(
                 fleet, self._state, settings.decision_timeout_seconds, clock, None
@@ -113,10 +113,10 @@
             random=random,
             clock=clock,
         )
-        self._callers = ForwardServer(
+        self._callers = ProxyServer(
             settings.forward_address, self._serve, self._limits, self._is_draining, clock
         )
-        self._probes = ForwardServer(
+        self._probes = ProxyServer(
             settings.http_address, self._probe, EdgeLimits, self._is_draining, clock
         )
         self._sweeping: asyncio.Task[None] | None = None
@@ -198,11 +198,11 @@
             return
         try:
             request_metadata = self._protocol_mapping.read_request(request.headers)
-        except UnreadableRequestError as error:
+        except MalformedRequestError as error:
             caller.send_answer(400, (), str(error).encode())
             return
         service = self._split.next_service(route)
-        runner = ForwardRunner(self._environment, request, request_metadata, route, service, caller)
+        runner = ProxyRunner(self._environment, request, request_metadata, route, service, caller)
         await runner.run()
 
     def _serves(self) -> bool:
@@ -215,9 +215,9 @@
     def _refuse(self, caller: CallerConnection) -> None:
         share = self._random.random()
         if self._has_served:
-            seconds = NOT_FRESH_RETURN_TIME.seconds(share)
+            seconds = NOT_FRESH_RETRY_AFTER.seconds(share)
         else:
-            seconds = first_return_seconds(share, self._clock() - self._started_at)
+            seconds = startup_retry_after_seconds(share, self._clock() - self._started_at)
         headers = [(b"retry-after", b"%.2f" % seconds)]
         caller.send_answer(503, headers, b"this router holds no lease to serve")
 
@@ -236,4 +236,4 @@
     async def _sweep_forever(self) -> None:
         while True:
             await asyncio.sleep(POOL_SWEEP_SECONDS)
-            self._pool.close_rested()
+            self._pool.close_idle()
--- a/src/orchidpath/router/proxy/proxy_messages.py
+++ b/src/orchidpath/router/proxy/proxy_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers on forward routes, as the router holds them."""
+"""Requests and responses on forward routes, as the router keeps them."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class ForwardedRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller's request, read whole.
+    """A caller's request, with its complete body.
 
     ``received_at`` is when its head was complete, in monotonic seconds.
     """
@@ -31,8 +31,8 @@
         return ""
 
 
-class AnswerHead(msgspec.Struct, frozen=True, kw_only=True):
-    """Status and headers of an answer."""
+class ResponseHead(msgspec.Struct, frozen=True, kw_only=True):
+    """Status and headers of a response."""
 
     status: int
     headers: tuple[Header, ...]
--- a/src/orchidpath/router/proxy/proxy_metrics.py
+++ b/src/orchidpath/router/proxy/proxy_metrics.py
@@ -3,7 +3,7 @@
 from orchidpath.common.metrics import Metrics
 
 
-class ForwardMetrics:
+class ProxyMetrics:
     """Counters of one router's forwarded requests."""
 
     def __init__(self) -> None:
@@ -16,7 +16,7 @@
         )
 
     def answered(self, route: str, outcome: str) -> None:
-        """Count a request that was answered: a status, or why it was given up."""
+        """Count a request by its outcome: a status, or why it was given up."""
         self.requests.labels(route, outcome).inc()
 
     def page(self) -> bytes:
--- a/src/orchidpath/router/proxy/proxy_runner.py
+++ b/src/orchidpath/router/proxy/proxy_runner.py
@@ -14,17 +14,17 @@
 from orchidpath.placement.prefill_placement import MAX_DECODE_SIDE_PREFILL_TOKENS
 from orchidpath.router.decision_maker import DecisionSubject
 from orchidpath.router.proxy.protocol_mapping import RequestMetadata
-from orchidpath.router.proxy.proxy_attempts import ForwardAttempts, ForwardEnvironment
+from orchidpath.router.proxy.proxy_attempts import ProxyAttempts, ProxyEnvironment
 from orchidpath.router.proxy.proxy_messages import ForwardedRequest
 from orchidpath.router.proxy.proxy_server import CallerConnection, CallerDisconnectedError
-from orchidpath.router.proxy.response_relay import AnswerRelay
+from orchidpath.router.proxy.response_relay import ResponseRelay
 from orchidpath.router.proxy.worker_exchange import WorkerExchange, release_handle
 from orchidpath.routing.ring import request_key
 from orchidpath.wire.configuration import ForwardRoute, Repetition, ServiceKind
 from orchidpath.wire.records import Stage
 
 
-class ForwardRunner:
+class ProxyRunner:
     """Serves one request.
 
     Parameters
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        environment: ForwardEnvironment,
+        environment: ProxyEnvironment,
         request: ForwardedRequest,
         request_metadata: RequestMetadata,
         route: ForwardRoute,
@@ -58,9 +58,9 @@
         subject = _subject(environment, request_metadata, route, service)
         self._plan = _plan(environment, request, request_metadata, route, subject)
         self._machine = ProxyMachine(self._plan, _shared(environment, subject))
-        self._attempts = ForwardAttempts(environment, request_metadata, subject)
+        self._attempts = ProxyAttempts(environment, request_metadata, subject)
         self._exchange = WorkerExchange(environment, request, request_metadata, service)
-        self._answer = AnswerRelay(
+        self._response = ResponseRelay(
             caller,
             may_be_resumed=route.streaming and route.repetition is Repetition.RESUMED,
         )
@@ -100,7 +100,7 @@
     async def _operate(self, operation: ProxyOperation) -> ProxyEvent:
         """Carry out what takes time; returns the event that it ends in."""
         match operation:
-            case effects.AskDecision():
+            case effects.ChooseWorkers():
                 return await self._attempts.decide(operation)
             case effects.Wait():
                 await asyncio.sleep(operation.seconds)
@@ -113,16 +113,16 @@
                 return await self._exchange.await_head(operation.timeout_seconds)
             case effects.DrainRefusal():
                 return await self._exchange.drain_refusal()
-            case effects.RelayAnswer():
-                return await self._exchange.relay(self._answer)
+            case effects.RelayResponse():
+                return await self._exchange.relay(self._response)
 
     def _act(self, action: effects.ProxyAction) -> None:
         """Carry out what is done at once."""
         match action:
-            case effects.SendFinalAnswer():
-                self._send_final_answer(action)
-            case effects.BreakOffAnswer():
-                self._answer.close()
+            case effects.SendErrorResponse():
+                self._send_error_response(action)
+            case effects.AbortResponse():
+                self._response.close()
             case effects.DropCaller():
                 raise CallerDisconnectedError("the answer was broken off")
             case effects.AbortConnection():
@@ -149,7 +149,7 @@
             case effects.ReleaseHandle():
                 environment.tasks.spawn(release_handle(environment, action.source))
 
-    def _send_final_answer(self, answer: effects.SendFinalAnswer) -> None:
+    def _send_error_response(self, answer: effects.SendErrorResponse) -> None:
         headers = [(b"content-type", b"text/plain")]
         if answer.retry_after_seconds is not None:
             headers.append((b"retry-after", b"%.2f" % answer.retry_after_seconds))
@@ -157,7 +157,7 @@
 
 
 def _subject(
-    environment: ForwardEnvironment, metadata: RequestMetadata, route: ForwardRoute, service: str
+    environment: ProxyEnvironment, metadata: RequestMetadata, route: ForwardRoute, service: str
 ) -> DecisionSubject:
     """Return what the request's decisions are about."""
     is_model = environment.state.service_kind(service) is ServiceKind.MODEL
@@ -173,7 +173,7 @@
 
 
 def _plan(
-    environment: ForwardEnvironment,
+    environment: ProxyEnvironment,
     request: ForwardedRequest,
     request_metadata: RequestMetadata,
     route: ForwardRoute,
@@ -196,7 +196,7 @@
     )
 
 
-def _shared(environment: ForwardEnvironment, subject: DecisionSubject) -> ProxyShared:
+def _shared(environment: ProxyEnvironment, subject: DecisionSubject) -> ProxyShared:
     """Return what the machine shares with those of other requests."""
     state = environment.state
 
--- a/src/orchidpath/router/proxy/proxy_server.py
+++ b/src/orchidpath/router/proxy/proxy_server.py
@@ -1,4 +1,4 @@
-"""Connections of callers of forward routes: reads requests whole and writes answers as they come.
+"""Connections of callers of forward routes: reads complete requests, writes responses as they come.
 
 HTTP is h11's, which refuses what is not HTTP; this module adds the limits on size and time, and
 cancels the work on a request at once when its caller leaves.
@@ -14,7 +14,7 @@
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.common.logs import get_logger
 from orchidpath.router.proxy.protocol_mapping import Header
-from orchidpath.router.proxy.proxy_messages import AnswerHead, ForwardedRequest
+from orchidpath.router.proxy.proxy_messages import ForwardedRequest, ResponseHead
 from orchidpath.wire.configuration import EdgeLimits
 
 LISTEN_BACKLOG = 512
@@ -30,7 +30,7 @@
 
 
 class _RefusedRequestError(OrchidpathError):
-    """The request is refused before it was read whole, and its connection closed."""
+    """The request is rejected before it was read completely, and its connection closed."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -46,7 +46,7 @@
         What all connections share.
     """
 
-    def __init__(self, server: "ForwardServer") -> None:
+    def __init__(self, server: "ProxyServer") -> None:
         self._server = server
         self._http = h11.Connection(
             h11.SERVER, max_incomplete_event_size=server.limits().max_header_bytes
@@ -89,7 +89,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def send_head(self, head: AnswerHead, *, closes: bool = False) -> None:
+    def send_head(self, head: ResponseHead, *, closes: bool = False) -> None:
         """Write the head of an answer.
 
         Parameters
@@ -117,7 +117,7 @@
     ) -> None:
         """Write a whole answer."""
         length = (b"content-length", b"%d" % len(body))
-        self.send_head(AnswerHead(status=status, headers=(*headers, length)), closes=closes)
+        self.send_head(ResponseHead(status=status, headers=(*headers, length)), closes=closes)
         if body:
             self.send_body(body)
         self.send_end()
@@ -165,7 +165,7 @@
         self.send_answer(refused.status, (), str(refused).encode(), closes=True)
 
     async def _read_request(self) -> ForwardedRequest | None:
-        """Read the next request whole; None when the caller closes or rests for too long."""
+        """Read the next complete request; None when the caller closes or is idle for too long."""
         head = await self._read_head()
         if head is None:
             return None
@@ -252,7 +252,7 @@
 """Answers one request on its connection."""
 
 
-class ForwardServer:
+class ProxyServer:
     """Accepts callers at one address.
 
     Parameters
@@ -299,8 +299,8 @@
     def stop_listening(self) -> None:
         """Accept no further connection, and no further request on those that are open.
 
-        A caller whose connection rests is told nothing before it sends its next request; if that
-        was taken, too little time might be left for it.
+        A caller with an idle connection can't be notified before it sends its next request; if that
+        were accepted, too little time might be left for it.
         """
         self.is_stopped = True
         if self._server is not None:
--- a/src/orchidpath/router/proxy/worker_exchange.py
+++ b/src/orchidpath/router/proxy/worker_exchange.py
@@ -1,7 +1,7 @@
 """Exchanges of one forwarded request with workers: one at a time, each operation ends in an event.
 
-A connection whose answer was read whole goes back to the pool; one that was left in the middle of
-an answer, for whatever reason, is closed.
+A connection whose response was read completely goes back to the pool; one that was left in the
+middle of a response, for whatever reason, is closed.
 """
 
 import asyncio
@@ -12,12 +12,16 @@
 from orchidpath.forwarding.proxy import proxy_events as events
 from orchidpath.forwarding.proxy.proxy_effects import KvSource
 from orchidpath.forwarding.proxy.proxy_events import ProxyEvent
-from orchidpath.router.proxy.protocol_mapping import Order, RequestMetadata, ResponseMetadata
-from orchidpath.router.proxy.proxy_attempts import ForwardEnvironment
-from orchidpath.router.proxy.proxy_messages import AnswerHead, ForwardedRequest
-from orchidpath.router.proxy.response_relay import AnswerRelay
+from orchidpath.router.proxy.protocol_mapping import (
+    DispatchMetadata,
+    RequestMetadata,
+    ResponseMetadata,
+)
+from orchidpath.router.proxy.proxy_attempts import ProxyEnvironment
+from orchidpath.router.proxy.proxy_messages import ForwardedRequest, ResponseHead
+from orchidpath.router.proxy.response_relay import ResponseRelay
 from orchidpath.router.proxy.upstream import (
-    BrokenAnswerError,
+    BrokenResponseError,
     NoConnectionError,
     UpstreamConnection,
     UpstreamError,
@@ -33,7 +37,7 @@
 class _OwnHead(msgspec.Struct, frozen=True):
     """The head of the answer to this request, and what it says."""
 
-    head: AnswerHead
+    head: ResponseHead
     metadata: ResponseMetadata
 
 
@@ -54,7 +58,7 @@
 
     def __init__(
         self,
-        environment: ForwardEnvironment,
+        environment: ProxyEnvironment,
         request: ForwardedRequest,
         request_metadata: RequestMetadata,
         service: str,
@@ -101,7 +105,7 @@
             async with asyncio.timeout_at(timeout_at):
                 own = await self._own_head(connection)
                 body = await _full_body(connection)
-        except BrokenAnswerError:
+        except BrokenResponseError:
             connection.close()
             return events.ExchangeBroken()
         except TimeoutError:
@@ -113,7 +117,7 @@
         self._environment.pool.release(self._address, connection)
         result = None
         if own.head.status == 200:
-            result = self._environment.protocol_mapping.read_prompt_read(body)
+            result = self._environment.protocol_mapping.read_prefill_result(body)
         if result is None:
             return events.PrefillRejected(own.head.status, own.metadata.guarantees_not_executed)
         return events.PrefillSucceeded(result.handle, result.version)
@@ -125,7 +129,7 @@
             async with asyncio.timeout(timeout_seconds):
                 self._own = await self._own_head(connection)
                 self._first = await connection.read_body()
-        except BrokenAnswerError:
+        except BrokenResponseError:
             connection.close()
             return events.ExchangeBroken()
         except TimeoutError:
@@ -160,13 +164,13 @@
         self._environment.pool.release(self._address, connection)
         return events.RefusalDrained()
 
-    async def relay(self, answer: AnswerRelay) -> ProxyEvent:
+    async def relay(self, answer: ResponseRelay) -> ProxyEvent:
         """Pass the answer on as it comes; from here on nothing else can be answered."""
         connection = self._current()
         assert self._own is not None
         head = self._own.head
         mapping = self._environment.protocol_mapping
-        headers = mapping.answer_headers(head.headers, keep_signature=True)
+        headers = mapping.response_headers(head.headers, keep_signature=True)
         try:
             answer.begin(head.status, tuple(headers))
             part = self._first
@@ -174,7 +178,7 @@
                 answer.pass_on(part)
                 part = await connection.read_body()
             answer.end()
-        except BrokenAnswerError:
+        except BrokenResponseError:
             connection.close()
             is_resumable = answer.broke_off()
             return events.StreamBroken(is_resumable, answer.last_event_id)
@@ -182,7 +186,7 @@
             connection.close()
             raise
         self._environment.pool.release(self._address, connection)
-        return events.AnswerCompleted()
+        return events.ResponseCompleted()
 
     def abort(self) -> None:
         """Close the connection of the last dispatch, if it had one."""
@@ -197,7 +201,7 @@
         request = self._request
         mapping = self._environment.protocol_mapping
         source = dispatch.kv_source
-        order = Order(
+        metadata = DispatchMetadata(
             worker_id=dispatch.target.worker.worker_id,
             deadline_seconds=dispatch.deadline_seconds,
             priority=dispatch.priority,
@@ -206,7 +210,7 @@
             expected_version=dispatch.expected_version,
             last_event_id=dispatch.last_event_id,
         )
-        headers = mapping.order_headers(request.headers, order)
+        headers = mapping.dispatch_headers(request.headers, metadata)
         headers = [one for one in headers if one[0] != b"content-length"]
         if request.body:
             headers.append((b"content-length", b"%d" % len(request.body)))
@@ -216,17 +220,17 @@
         """Return the head of the answer that belongs to this request, skipping foreign ones."""
         while True:
             head = await connection.read_head()
-            response_metadata = self._environment.protocol_mapping.read_answer(
+            response_metadata = self._environment.protocol_mapping.read_response(
                 head.status, head.headers
             )
             if response_metadata.request_id in {"", self._request_metadata.request_id}:
                 return _OwnHead(head, response_metadata)
             while await connection.read_body() is not None:
                 pass
-            connection.skip_foreign_answer()
+            connection.skip_foreign_response()
 
 
-async def release_handle(environment: ForwardEnvironment, source: KvSource) -> None:
+async def release_handle(environment: ProxyEnvironment, source: KvSource) -> None:
     """Free a KV cache at the worker that holds it; a failure is left to its expiry.
 
     Parameters
@@ -253,5 +257,5 @@
     while (part := await connection.read_body()) is not None:
         body += part
         if len(body) > MAX_PREFILL_REPLY_BYTES:
-            raise BrokenAnswerError("the answer is too large")
+            raise BrokenResponseError("the answer is too large")
     return bytes(body)
--- a/tests/adapter/test_platform_formats.py
+++ b/tests/adapter/test_platform_formats.py
@@ -19,7 +19,11 @@
 )
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.common.settings_file import load_settings
-from orchidpath.router.proxy.protocol_mapping import Order, UnreadableRequestError, WorkerLoad
+from orchidpath.router.proxy.protocol_mapping import (
+    DispatchMetadata,
+    MalformedRequestError,
+    WorkerLoad,
+)
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandKind
 from orchidpath.wire.configuration import Repetition, ServiceKind
 from orchidpath.wire.records import Stage
@@ -152,13 +156,15 @@
     assert request_metadata.prompt.own_tokens == 250
     other = [*REQUEST[:4], (b"x-prefix-hash", b"5c1e07a2:800,91bd3f06:410,0a0a0a0a:9")]
     assert PlatformProtocolMapping().read_request(other).prefix_key == request_metadata.prefix_key
-    with pytest.raises(UnreadableRequestError):
+    with pytest.raises(MalformedRequestError):
         PlatformProtocolMapping().read_request([(b"host", b"h")])
 
 
 def test_an_order_bears_what_the_router_sets_and_nothing_else_of_it() -> None:
-    order = Order(worker_id="i-1", deadline_seconds=2.5, priority=1, cache_source="10.0.0.1:80/h")
-    headers = PlatformProtocolMapping().order_headers(REQUEST, order)
+    order = DispatchMetadata(
+        worker_id="i-1", deadline_seconds=2.5, priority=1, cache_source="10.0.0.1:80/h"
+    )
+    headers = PlatformProtocolMapping().dispatch_headers(REQUEST, order)
     values = dict(headers)
     assert values[b"x-target-instance"] == b"i-1"
     assert values[b"x-deadline-ms"] == b"2500"
@@ -170,22 +176,22 @@
 
 def test_an_answer_is_read() -> None:
     protocol_mapping = PlatformProtocolMapping()
-    request_metadata = protocol_mapping.read_answer(
+    request_metadata = protocol_mapping.read_response(
         503, [(b"x-not-executed", b"1"), (b"x-server-load", b"6,2,6")]
     )
     assert request_metadata.guarantees_not_executed
     assert request_metadata.load == WorkerLoad(6, 2, 6)
     assert request_metadata.load.is_full
     assert not request_metadata.is_signed
-    assert protocol_mapping.read_answer(421, []).guarantees_not_executed
-    assert not protocol_mapping.read_answer(
+    assert protocol_mapping.read_response(421, []).guarantees_not_executed
+    assert not protocol_mapping.read_response(
         503, [(b"x-server-load", b"many")]
     ).guarantees_not_executed
-    assert protocol_mapping.read_answer(200, [(b"content-encoding", b"gzip")]).is_encoded
-    read = protocol_mapping.read_prompt_read(b'{"kv_handle":"h","tokens":1,"version":4}')
+    assert protocol_mapping.read_response(200, [(b"content-encoding", b"gzip")]).is_encoded
+    read = protocol_mapping.read_prefill_result(b'{"kv_handle":"h","tokens":1,"version":4}')
     assert read is not None
     assert (read.handle, read.version) == ("h", 4)
-    assert protocol_mapping.read_prompt_read(b"{}") is None
+    assert protocol_mapping.read_prefill_result(b"{}") is None
 
 
 def test_orders_to_workers_bear_one_holder_and_its_fence() -> None:
--- a/tests/compatibility/http_labels.py
+++ b/tests/compatibility/http_labels.py
@@ -195,7 +195,7 @@
     WorkerStatus,
 )
 from request_mapping import (
-    PromptReadBody,
+    PrefillResultBody,
 )
 
 MESSAGES: dict[str, type[msgspec.Struct]] = {
@@ -303,7 +303,7 @@
     "platform settings: node settings": NodeSettings,
     "platform: instance model": InstanceModel,
     "platform: instance": InstanceBody,
-    "platform: prompt read": PromptReadBody,
+    "platform: prompt read": PrefillResultBody,
     "platform: order": PlatformCommandBody,
 }
 """Every message and document in JSON, with what they are made of."""
--- a/tests/compatibility/metrics_list.py
+++ b/tests/compatibility/metrics_list.py
@@ -12,7 +12,7 @@
 from orchidpath.common.settings import ControlSettings
 from orchidpath.control.process import ControlProcess
 from orchidpath.router.observability.metrics_page import RouterMetrics
-from orchidpath.router.proxy.proxy_metrics import ForwardMetrics
+from orchidpath.router.proxy.proxy_metrics import ProxyMetrics
 
 MAX_LABELS = 5
 
@@ -22,7 +22,7 @@
     return {
         "content type": METRICS_CONTENT_TYPE,
         "router": made_by(RouterMetrics),
-        "router of forward routes": made_by(ForwardMetrics),
+        "router of forward routes": made_by(ProxyMetrics),
         "control": made_by(_control_process),
     }
 
--- a/tests/forwarding/proxy/test_proxy_machine_walks.py
+++ b/tests/forwarding/proxy/test_proxy_machine_walks.py
@@ -33,7 +33,7 @@
         self.handles = 0
         self.held: set[str] = set()
         self.reached: set[str] = set()
-        self.may_have_run = 0
+        self.may_have_executed = 0
         self.final_answers = 0
         self.has_begun = False
 
@@ -62,13 +62,13 @@
             case events.PrefillSucceeded():
                 self.held.add(event.handle)
             case events.RefusalDrained():
-                self.may_have_run -= 1
-            case events.AnswerCompleted():
+                self.may_have_executed -= 1
+            case events.ResponseCompleted():
                 self.final_answers += 1
             case events.Dispatched() if not _is_prefill(operation):
                 assert isinstance(operation, effects.Dispatch)
-                assert not self.may_have_run or self.repetition is not Repetition.NEVER
-                self.may_have_run += 1
+                assert not self.may_have_executed or self.repetition is not Repetition.NEVER
+                self.may_have_executed += 1
                 self.reached.add(operation.target.worker.worker_id)
 
     def check(self, effect: effects.ProxyEffect) -> None:
@@ -77,14 +77,14 @@
                 self.held.remove(effect.source.handle)
             case effects.Report(observed=Observed.SUCCESS):
                 self.held.clear()
-            case effects.RelayAnswer():
+            case effects.RelayResponse():
                 self.has_begun = True
-            case effects.BreakOffAnswer():
+            case effects.AbortResponse():
                 assert self.has_begun
                 self.final_answers += 1
-            case effects.SendFinalAnswer():
+            case effects.SendErrorResponse():
                 assert not self.has_begun
-                assert (effect.status == 503) == (self.may_have_run == 0)
+                assert (effect.status == 503) == (self.may_have_executed == 0)
                 assert (effect.retry_after_seconds is None) == (effect.status != 503)
                 self.final_answers += 1
 
@@ -93,7 +93,7 @@
         if self.random.random() < DEADLINE_SHARE:
             return events.DeadlinePassed()
         match operation:
-            case effects.AskDecision():
+            case effects.ChooseWorkers():
                 return self.decision(operation)
             case effects.Wait():
                 return events.WaitElapsed()
@@ -106,15 +106,15 @@
                 return self.answer()
             case effects.DrainRefusal():
                 return events.RefusalDrained()
-            case effects.RelayAnswer():
+            case effects.RelayResponse():
                 broken = events.StreamBroken(self.random.random() < 0.7, "3")
-                return self.random.choice((events.AnswerCompleted(), broken))
+                return self.random.choice((events.ResponseCompleted(), broken))
 
     def any_of(self, well: events.ProxyEvent, *others: events.ProxyEvent) -> events.ProxyEvent:
         """Return the first event more often than one of the others."""
         return well if self.random.random() < 0.7 else self.random.choice(others)
 
-    def decision(self, ask: effects.AskDecision) -> events.ProxyEvent:
+    def decision(self, ask: effects.ChooseWorkers) -> events.ProxyEvent:
         stages = [one.stage for one in ask.per_stage]
         if Stage.PREFILL in stages and self.random.random() < 0.1:
             stages.remove(Stage.PREFILL)
@@ -124,7 +124,7 @@
             events.WorkersChosen(workers),
             events.DecisionRejected("exhausted", 0.5),
             events.DecisionPostponed(0.3),
-            events.ChosenWorkerGone(),
+            events.ChosenWorkerRemoved(),
         )
 
     def prefill(self) -> events.ProxyEvent:
--- a/tests/router/proxy_recording.py
+++ b/tests/router/proxy_recording.py
@@ -23,12 +23,12 @@
 from orchidpath.router.chat.chat_api import TraceEntry
 from orchidpath.router.decision_maker import DecisionSubject
 from orchidpath.router.proxy.protocol_mapping import Header, ProtocolMapping
-from orchidpath.router.proxy.proxy_attempts import ForwardEnvironment
-from orchidpath.router.proxy.proxy_messages import AnswerHead, ForwardedRequest
-from orchidpath.router.proxy.proxy_metrics import ForwardMetrics
-from orchidpath.router.proxy.proxy_runner import ForwardRunner
+from orchidpath.router.proxy.proxy_attempts import ProxyEnvironment
+from orchidpath.router.proxy.proxy_messages import ForwardedRequest, ResponseHead
+from orchidpath.router.proxy.proxy_metrics import ProxyMetrics
+from orchidpath.router.proxy.proxy_runner import ProxyRunner
 from orchidpath.router.proxy.proxy_server import CallerDisconnectedError
-from orchidpath.router.proxy.upstream import BrokenAnswerError, NoConnectionError
+from orchidpath.router.proxy.upstream import BrokenResponseError, NoConnectionError
 from orchidpath.routing.request.events import (
     DecisionMade,
     NoCandidates,
@@ -193,7 +193,7 @@
         self._log.add_budget("first")
 
 
-class LoggedMetrics(ForwardMetrics):
+class LoggedMetrics(ProxyMetrics):
     """Metrics that say which outcome was counted."""
 
     def __init__(self, log: Log) -> None:
@@ -362,9 +362,9 @@
         else:
             self._steps = self._answer_steps(values.get(b"last-event-id", b""))
 
-    async def read_head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         step = await self._next_step()
-        assert isinstance(step, AnswerHead)
+        assert isinstance(step, ResponseHead)
         return step
 
     async def read_body(self) -> bytes | None:
@@ -372,10 +372,10 @@
         assert step is None or isinstance(step, bytes)
         return step
 
-    def skip_foreign_answer(self) -> None:
+    def skip_foreign_response(self) -> None:
         self._note("skip", self._label)
         if self._steps and self._steps[0] == "unskippable":
-            raise BrokenAnswerError("the answer of another request ended the connection")
+            raise BrokenResponseError("the answer of another request ended the connection")
 
     def close(self) -> None:
         # Closing what is closed already changes nothing.
@@ -393,9 +393,9 @@
             else:
                 return step
 
-    def _head(self, status: int, *extra: Header, request_id: str = REQUEST_ID) -> AnswerHead:
+    def _head(self, status: int, *extra: Header, request_id: str = REQUEST_ID) -> ResponseHead:
         own = (b"x-request-id", request_id.encode())
-        return AnswerHead(status=status, headers=(own, (b"keep-alive", b"timeout=5"), *extra))
+        return ResponseHead(status=status, headers=(own, (b"keep-alive", b"timeout=5"), *extra))
 
     def _pause(self) -> list[Any]:
         return [self._source.choice((0.0, 0.001, 0.05, 0.4))] if self._source.random() < 0.7 else []
@@ -405,7 +405,7 @@
             case "hang":
                 return [HANG_SECONDS]
             case "broken":
-                return [BrokenAnswerError("broken")]
+                return [BrokenResponseError("broken")]
         return [0.01, self._head(200), b"ok", None]
 
     def _prefill_steps(self) -> list[Any]:
@@ -433,8 +433,8 @@
             "not_promised": [*pause, self._head(503), None],
             "failed": [*pause, self._head(500), b"failed", None],
             "malformed": [*pause, self._head(200), b"nothing", None],
-            "broken": [*pause, BrokenAnswerError("broken")],
-            "broken_body": [*pause, self._head(200), b"{", BrokenAnswerError("broken")],
+            "broken": [*pause, BrokenResponseError("broken")],
+            "broken_body": [*pause, self._head(200), b"{", BrokenResponseError("broken")],
             "oversized": [*pause, self._head(200), bytes(70_000), None],
             "hang": [HANG_SECONDS],
             "slow": [1.3, *well],
@@ -492,7 +492,7 @@
             "refused_body_broken": [
                 self._head(503, not_run),
                 b"no",
-                BrokenAnswerError("broken"),
+                BrokenResponseError("broken"),
             ],
             "refused_body_hang": [self._head(503, not_run), b"no", HANG_SECONDS],
             "refused_421": [self._head(421), None],
@@ -503,9 +503,9 @@
             "unsigned": [self._head(200), b"spoilt", None],
             "foreign": [foreign, b"stolen", None, 0.01, *well],
             "unskippable": [foreign, None, "unskippable"],
-            "broken": [BrokenAnswerError("broken")],
-            "broken_after_head": [well[0], BrokenAnswerError("broken")],
-            "broken_midway": [*well[:cut], b"id: 7", BrokenAnswerError("broken")],
+            "broken": [BrokenResponseError("broken")],
+            "broken_after_head": [well[0], BrokenResponseError("broken")],
+            "broken_midway": [*well[:cut], b"id: 7", BrokenResponseError("broken")],
             "stream_hangs": [*well[:2], HANG_SECONDS],
             "begins_anew": self._stream(signed, b""),
             "hang": [HANG_SECONDS],
@@ -573,7 +573,7 @@
         self._log = log
         self._writes_left = script.leaves_at_write
 
-    def send_head(self, head: AnswerHead) -> None:
+    def send_head(self, head: ResponseHead) -> None:
         shown = [f"{name.decode()}={value.decode()}" for name, value in head.headers]
         self._write("head", head.status, *shown)
 
@@ -603,7 +603,7 @@
     log = Log()
     decisions = FakeDecisions(script, log)
     tasks = BackgroundTasks()
-    environment = ForwardEnvironment(
+    environment = ProxyEnvironment(
         state=cast("Any", FakeState(script, log, decisions)),
         decisions=cast("Any", decisions),
         pool=cast("Any", FakePool(script, log)),
@@ -629,7 +629,7 @@
         body=b"question" if script.has_body else b"",
         received_at=loop.time() - 0.01,
     )
-    runner = ForwardRunner(
+    runner = ProxyRunner(
         environment,
         request,
         environment.protocol_mapping.read_request(headers),
--- a/tests/router/test_proxy_edge.py
+++ b/tests/router/test_proxy_edge.py
@@ -4,8 +4,8 @@
 
 from orchidpath.router.proxy.proxy_edge import (
     FIRST_LEASE_SECONDS,
-    FIRST_RETURN_TIME,
-    first_return_seconds,
+    STARTUP_RETRY_AFTER,
+    startup_retry_after_seconds,
 )
 
 
@@ -14,12 +14,12 @@
 def test_nobody_returns_before_a_router_that_has_just_started_can_have_a_lease(
     share: float, since_start: float
 ) -> None:
-    returns_at = since_start + first_return_seconds(share, since_start)
+    returns_at = since_start + startup_retry_after_seconds(share, since_start)
     assert FIRST_LEASE_SECONDS <= returns_at <= 1.5 * FIRST_LEASE_SECONDS
 
 
 def test_a_router_that_waits_for_longer_spreads_its_callers() -> None:
-    times = {first_return_seconds(share / 10, 60.0) for share in range(11)}
+    times = {startup_retry_after_seconds(share / 10, 60.0) for share in range(11)}
     assert len(times) == 11
-    assert min(times) >= FIRST_RETURN_TIME.shortest_seconds
-    assert max(times) <= FIRST_RETURN_TIME.longest_seconds
+    assert min(times) >= STARTUP_RETRY_AFTER.shortest_seconds
+    assert max(times) <= STARTUP_RETRY_AFTER.longest_seconds
--- a/tests/router/test_proxy_server.py
+++ b/tests/router/test_proxy_server.py
@@ -6,7 +6,7 @@
 
 from orchidpath.common.clock import monotonic_seconds
 from orchidpath.router.proxy.proxy_messages import ForwardedRequest
-from orchidpath.router.proxy.proxy_server import CallerConnection, ForwardServer
+from orchidpath.router.proxy.proxy_server import CallerConnection, ProxyServer
 from orchidpath.wire.configuration import EdgeLimits
 
 REQUEST = b"GET /x HTTP/1.1\r\nHost: shop\r\n\r\n"
@@ -31,8 +31,8 @@
 
 
 @asynccontextmanager
-async def serving(handler: Handler) -> AsyncIterator[ForwardServer]:
-    server = ForwardServer(
+async def serving(handler: Handler) -> AsyncIterator[ProxyServer]:
+    server = ProxyServer(
         "127.0.0.1:0", handler.handle, EdgeLimits, lambda: False, monotonic_seconds
     )
     await server.start()
@@ -43,7 +43,7 @@
         server.close()
 
 
-async def connect(server: ForwardServer) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def connect(server: ProxyServer) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     host, port = server.address.split(":")
     return await asyncio.open_connection(host, int(port))
 
--- a/tests/router/test_upstream.py
+++ b/tests/router/test_upstream.py
@@ -10,10 +10,10 @@
 
 from orchidpath.common.clock import monotonic_seconds
 from orchidpath.router.proxy.upstream import (
-    LONGEST_REST_SECONDS,
+    IDLE_MARGIN_SECONDS,
+    MAX_IDLE_SECONDS,
     MAX_KEEP_ALIVE_SECONDS,
-    REST_MARGIN_SECONDS,
-    BrokenAnswerError,
+    BrokenResponseError,
     NoConnectionError,
     UpstreamConnection,
     UpstreamPool,
@@ -93,7 +93,7 @@
         first = await connection.read_head()
         assert (b"x-request-id", b"other") in first.headers
         await body(connection)
-        connection.skip_foreign_answer()
+        connection.skip_foreign_response()
         second = await connection.read_head()
         assert (b"x-request-id", b"mine") in second.headers
         assert await body(connection) == b"ok"
@@ -143,7 +143,7 @@
     async with worker(script) as address:
         connection = await order(pool, address)
         await connection.read_head()
-        with pytest.raises(BrokenAnswerError):
+        with pytest.raises(BrokenResponseError):
             await body(connection)
         connection.close()
 
@@ -176,7 +176,7 @@
     async with worker(script) as address:
         connection = await order(pool, address)
         await connection.read_head()
-        with pytest.raises(BrokenAnswerError):
+        with pytest.raises(BrokenResponseError):
             await body(connection)
 
 
@@ -184,7 +184,7 @@
     pool = UpstreamPool(monotonic_seconds)
     async with worker(says(b"\x00\x01garbage\r\n\r\n")) as address:
         connection = await order(pool, address)
-        with pytest.raises(BrokenAnswerError):
+        with pytest.raises(BrokenResponseError):
             await connection.read_head()
         connection.close()
 
@@ -221,16 +221,16 @@
         assert connection.is_usable
         now[0] = 2.1
         assert not connection.is_usable
-        pool.close_rested()
+        pool.close_idle()
 
 
 @pytest.mark.parametrize(
     ("header", "rests_seconds"),
     [
-        (b"", LONGEST_REST_SECONDS),
-        (b"\r\nKeep-Alive: timeout=10", 10.0 - REST_MARGIN_SECONDS),
+        (b"", MAX_IDLE_SECONDS),
+        (b"\r\nKeep-Alive: timeout=10", 10.0 - IDLE_MARGIN_SECONDS),
         (b"\r\nKeep-Alive: timeout=600", MAX_KEEP_ALIVE_SECONDS),
-        (b"\r\nKeep-Alive: timeout=soon", LONGEST_REST_SECONDS),
+        (b"\r\nKeep-Alive: timeout=soon", MAX_IDLE_SECONDS),
     ],
 )
 async def test_a_connection_rests_for_as_long_as_its_worker_says(
@@ -248,7 +248,7 @@
         assert connection.is_usable
         now[0] = rests_seconds + 0.1
         assert not connection.is_usable
-        pool.close_rested()
+        pool.close_idle()
 
 
 LONG_BODY = bytes(range(256)) * 40_000
