--- a/src/orchidpath/control/connections.py
+++ b/src/orchidpath/control/connections.py
@@ -3,8 +3,10 @@
 from random import Random
 
 from orchidpath.control.replica.control_effects import SendToMember
-from orchidpath.wire.connection import Connection, Listener, MessageHandler
+from orchidpath.wire.connection import Connection
+from orchidpath.wire.connection_callbacks import MessageHandler
 from orchidpath.wire.link_faults import LinkFaults
+from orchidpath.wire.listener import Listener
 from orchidpath.wire.messages import Hello, Message, ProcessRole
 from orchidpath.wire.peer_links import PeerLinks
 
--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -41,7 +41,6 @@
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 from orchidpath.wire.connection import Connection
 from orchidpath.wire.link_faults import LinkFaults, watch_fault_file
-from orchidpath.wire.listener import Listener
 from orchidpath.wire.messages import (
     Hello,
     Message,
