--- a/src/orchidpath/circuit/decision_outcomes.py
+++ b/src/orchidpath/circuit/decision_outcomes.py
@@ -1,4 +1,4 @@
-"""What the circuit table answers: decisions, and the operators' view of a worker."""
+"""Results of the circuit table: decisions, and the operators' view of a worker."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
 
 
 class NeedsTransition(msgspec.Struct, frozen=True):
-    """Commit this through the log, call ``apply_circuit`` and ask for the decision again."""
+    """Commit this through the log, call ``apply_circuit`` and request the decision again."""
 
     transition: CircuitTransition
 
--- a/src/orchidpath/circuit/fallback.py
+++ b/src/orchidpath/circuit/fallback.py
@@ -1,8 +1,8 @@
 """Decisions of a router while the control tier is slow or lost.
 
-A router asks the leader for every decision and waits a bounded time. Without an answer it decides
-here, from the circuits that it was last told and from its own observations: attempts that it
-began itself, failures that it counted itself, throttles that it derived itself. Its own circuits
+A router requests every decision from the leader and waits a bounded time. Without a reply it
+decides here, from the circuits of the last view and from its own observations: attempts that it
+started itself, failures that it counted itself, throttles that it derived itself. Its own circuits
 open by the same table of transitions as the agreed ones, and a newer agreed circuit replaces what
 the router had made of it.
 
--- a/src/orchidpath/circuit/registry.py
+++ b/src/orchidpath/circuit/registry.py
@@ -1,4 +1,4 @@
-"""The workers that circuits are kept for."""
+"""The workers that have circuits."""
 
 from collections.abc import Iterable, Iterator
 
--- a/src/orchidpath/consensus/effects.py
+++ b/src/orchidpath/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What a replica asks its shell to do.
+"""Effects: what a replica has its shell do.
 
 The shell executes effects strictly in list order, and lists in the order in which the calls
 returned them. Every `Persist*` effect is synced to disk before any later effect runs; a failed
--- a/src/orchidpath/consensus/election.py
+++ b/src/orchidpath/consensus/election.py
@@ -27,7 +27,7 @@
 
 
 def _start_pre_vote(replica: Replica, now: float) -> None:
-    """Ask whether an election could be won, without raising the term.
+    """Find out whether an election could be won, without raising the term.
 
     A partitioned replica would otherwise return with a higher term and depose a leader that
     serves a healthy majority (thesis, section 9.6).
--- a/src/orchidpath/consensus/files.py
+++ b/src/orchidpath/consensus/files.py
@@ -80,7 +80,7 @@
 
     def sync(self) -> None:
         os.fdatasync(self._descriptor)
-        # A removed file still takes writes and syncs. Its records would be gone at the next
+        # A removed file still accepts writes and syncs. Its records would be lost at the next
         # start, so the name must still lead to this very file.
         open_file = os.fstat(self._descriptor)
         named = os.stat(self._path)
--- a/src/orchidpath/consensus/raft_core.py
+++ b/src/orchidpath/consensus/raft_core.py
@@ -74,7 +74,7 @@
     Parameters
     ----------
     node_id
-        Identity of the replica, kept in its data folder. A replica whose folder was lost must
+        Identity of the replica, stored in its data folder. A replica whose folder was lost must
         come back under another id: it may have voted and acknowledged under this one.
     settings
         Times and limits, the same on all replicas.
@@ -119,7 +119,7 @@
 
     @property
     def role(self) -> Role:
-        """Role as of the last call; a leader that may have been frozen asks `has_lease`."""
+        """Role as of the last call; a leader that may have been frozen needs `has_lease`."""
         return self._replica.role
 
     @property
--- a/src/orchidpath/consensus/raft_messages.py
+++ b/src/orchidpath/consensus/raft_messages.py
@@ -10,10 +10,10 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, tag="raft_request_vote"):
-    """A candidate asks for a vote; a pre-vote asks whether a vote would be given.
+    """A candidate requests a vote; a pre-vote requests whether a vote would be granted.
 
     `term` is the term the candidate would lead. A pre-vote binds nobody. `start_id` is the random
-    id of the candidate's run. `nobody_leads` says that every voter has told the candidate so.
+    id of the candidate's run. `nobody_leads` says that every voter has replied not to lead.
     """
 
     sender: str
--- a/src/orchidpath/consensus/snapshot_transfer.py
+++ b/src/orchidpath/consensus/snapshot_transfer.py
@@ -38,7 +38,7 @@
     replica: Replica, node: str, progress: Progress, next_offset: int, now: float
 ) -> None:
     """Send the chunk that the follower expects next."""
-    # A repeated answer asks for a chunk that is already under way: send none twice for it.
+    # A repeated reply requests a chunk that is already in transfer: don't send it twice.
     if progress.snapshot is None or (next_offset == progress.snapshot_offset and next_offset > 0):
         return
     progress.snapshot_offset = min(next_offset, len(progress.snapshot.data))
--- a/src/orchidpath/consensus/types.py
+++ b/src/orchidpath/consensus/types.py
@@ -131,7 +131,7 @@
         A follower starts an election after a random time without a leader's message, between the
         two. The shorter one is also how long it refuses votes after a leader's message.
     restart_election_seconds
-        A voter that has just started asks for pre-votes after a random time between this and its
+        A voter that has just started requests pre-votes after a random time between this and its
         double, and again until it has been up for the shortest election timeout.
     leader_lease_seconds
         How long after the send time of an acknowledged append a leader may serve reads alone.
--- a/src/orchidpath/simulation/raft/group.py
+++ b/src/orchidpath/simulation/raft/group.py
@@ -117,7 +117,7 @@
         if core is None or core.commit_index < required_index:
             raise InvariantViolationError("the leader does not commit after the faults ended")
         if core.commit_index < self._group.history.acknowledged_index:
-            raise InvariantViolationError("acknowledged entries are gone")
+            raise InvariantViolationError("acknowledged entries are lost")
         for machine in self._group.machines:
             if machine.core is None or machine.core.commit_index < required_index:
                 raise InvariantViolationError(f"{machine.name} has not caught up")
--- a/src/orchidpath/simulation/raft/replica_machine.py
+++ b/src/orchidpath/simulation/raft/replica_machine.py
@@ -35,26 +35,17 @@
     RaftSettings,
     ReadTicket,
     Role,
-    Snapshot,
 )
-from orchidpath.simulation.raft.invariants import History, InvariantViolationError, next_digest
+from orchidpath.simulation.raft.digest_state import DigestState
+from orchidpath.simulation.raft.invariants import History, InvariantViolationError
 
 FOLDER = "/data"
 MAX_CLOCK_RATE_ERROR = 0.02
-SNAPSHOT_PADDING_BYTES = 200
 
 PersistEffect = PersistHardState | PersistEntries | PersistSnapshot
 Event = Callable[[RaftCore, float], list[Effect]]
 
 
-class MachineState(msgspec.Struct, frozen=True):
-    """The simulated state machine, as its snapshots hold it."""
-
-    index: int
-    digest: int
-    padding: bytes
-
-
 class PendingRead(msgspec.Struct, frozen=True):
     """A read under way, and the last index acknowledged before it began."""
 
@@ -75,7 +66,10 @@
 
 
 class Machine:
-    """A machine that can be killed, frozen, slowed, and lose its disk."""
+    """A machine that can be killed, frozen, slowed, and lose its disk.
+
+    It has many fields since it is a whole machine: clock, disk, process and callers.
+    """
 
     def __init__(
         self,
@@ -106,8 +100,7 @@
         self._syncing = False
         self._incarnation = 0
         self._identity_count = 0
-        self._applied_index = 0
-        self._digest = 0
+        self._state = DigestState("", history)
         self._proposed: dict[int, int] = {}
         self._frozen_at = 0.0
         self._tick_at = float("inf")
@@ -133,8 +126,7 @@
         self._proposed.clear()
         self._syncing = False
         self.frozen = False
-        self._applied_index = 0
-        self._digest = 0
+        self._state = DigestState(self.identity, self._history)
         if bootstrap is not None and self.identity not in bootstrap.voters:
             bootstrap = None
         seed = random_module.Random(self._random.random())
@@ -178,7 +170,7 @@
     def lose_disk(self) -> None:
         """Empty the data folder; the running replica finds out at its next sync."""
         self.files.vanish(FOLDER)
-        # Whatever starts here next, and when, the old replica is gone.
+        # Whatever starts here next is another replica: the old one's promises are lost.
         self.identity = ""
 
     def freeze(self, duration_seconds: float) -> None:
@@ -274,7 +266,7 @@
         self.pending_reads = waiting
 
     def _schedule_tick(self) -> None:
-        """Keep one timer; it looks at the deadline anew when it fires."""
+        """Keep one timer; it reads the deadline again when it fires."""
         if self.core is None:
             return
         wait_seconds = max(0.0, self.core.next_deadline(self.now) - self.now) / self._clock_rate
@@ -335,7 +327,7 @@
         elif isinstance(effect, Apply):
             self._apply(effect.entry)
         elif isinstance(effect, ApplySnapshot):
-            self._apply_snapshot(effect.snapshot)
+            self._state.apply_snapshot(effect.snapshot)
 
     def _persist(self, effect: Effect) -> None:
         if self._storage is None:
@@ -356,30 +348,16 @@
         self._network.transmit(self.identity, effect.to, message)
 
     def _apply(self, entry: LogEntry) -> None:
-        if entry.index != self._applied_index + 1:
-            raise InvariantViolationError(f"{self.identity} applied {entry.index} out of order")
-        self._applied_index = entry.index
-        self._digest = next_digest(self._digest, entry)
-        self._history.record_state(self.identity, entry.index, self._digest)
+        self._state.apply(entry)
         if self._proposed.pop(entry.index, None) == entry.term and entry.kind is EntryKind.COMMAND:
             self._history.record_acknowledged(entry.index)
         self._maybe_compact()
 
-    def _apply_snapshot(self, snapshot: Snapshot) -> None:
-        state = msgspec.msgpack.decode(snapshot.data, type=MachineState)
-        if state.index != snapshot.last_index or state.index < self._applied_index:
-            raise InvariantViolationError(f"{self.identity} took a wrong snapshot")
-        self._applied_index = state.index
-        self._digest = state.digest
-        self._history.record_state(self.identity, state.index, state.digest)
-
     def _maybe_compact(self) -> None:
         core = self.core
         if core is None or not core.compaction_due():
             return
-        if self._applied_index <= core.snapshot_index:
+        applied_index = self._state.applied_index
+        if applied_index <= core.snapshot_index:
             return
-        padding = bytes(SNAPSHOT_PADDING_BYTES)
-        state = MachineState(self._applied_index, self._digest, padding)
-        data = msgspec.msgpack.encode(state)
-        self._effects.extend(core.compact(data, self._applied_index, self.now))
+        self._effects.extend(core.compact(self._state.encode(), applied_index, self.now))
