--- a/src/orchidpath/control/api/operator_api.py
+++ b/src/orchidpath/control/api/operator_api.py
@@ -130,7 +130,7 @@
         )
         try:
             result = await self._access.submit(update)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # Whatever failed, the update may already be in the log: its outcome is unknown.
             _log.exception("submit_failed", order_id=body.order_id, error=str(error))
             result = SubmitResult(status=SubmitStatus.UNAVAILABLE, accepted=Accepted.UNKNOWN)
--- a/src/orchidpath/control/api/plan_api.py
+++ b/src/orchidpath/control/api/plan_api.py
@@ -80,7 +80,7 @@
         body = decode_plan_action(await read_body(request))
         try:
             result = await self._access.request_plan_action(body.order_id, action, body.plan_id)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # Whatever failed, the action may already be in the log: its outcome is unknown.
             _log.exception("plan_order_failed", order_id=body.order_id, error=str(error))
             reason = "the order failed inside the server"
--- a/src/orchidpath/control/api/responses.py
+++ b/src/orchidpath/control/api/responses.py
@@ -51,7 +51,7 @@
         if "Allow" in error.headers:
             response.headers["Allow"] = error.headers["Allow"]
         return response
-    except Exception as error:
+    except Exception as error:  # noqa: BLE001 - the outermost handler of a request
         _log.exception("request_failed", path=request.path, error=str(error))
         return error_response(
             500, OperatorErrorCode.INTERNAL, "the request failed inside the server"
--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -62,6 +62,9 @@
 RouteAdder = Callable[[web.Application, LocalControlAccess], None]
 """Adds calls to the application that a control process serves."""
 
+HTTP_SHUTDOWN_SECONDS = 0.5
+"""Bound on the wait for open HTTP requests when the process stops."""
+
 
 class ReplicaStoppedError(OrchidpathError):
     """The replica's disk failed or its log was contradicted; it must not go on."""
@@ -214,10 +217,12 @@
         add_plan_routes(app, self._access)
         if self._add_routes is not None:
             self._add_routes(app, self._access)
-        self._http_runner = web.AppRunner(app, access_log=None)
+        self._http_runner = web.AppRunner(
+            app, access_log=None, shutdown_timeout=HTTP_SHUTDOWN_SECONDS
+        )
         await self._http_runner.setup()
         host, port = self._settings.http_address.rsplit(":", 1)
-        await web.TCPSite(self._http_runner, host, int(port), shutdown_timeout=0.5).start()
+        await web.TCPSite(self._http_runner, host, int(port)).start()
 
     async def _run_replica(self) -> None:
         while True:
--- a/src/orchidpath/simulation/fleet_simulation.py
+++ b/src/orchidpath/simulation/fleet_simulation.py
@@ -162,7 +162,8 @@
             raise InvariantError(f"not serving again: {', '.join(unready)}")
         before = self.history.confirmed_updates
         leader = self.leader()
-        assert leader is not None and leader.core is not None
+        assert leader is not None
+        assert leader.core is not None
         order = self.operators.new_order(leader.core.state.configuration_version)
         self.operators.submit(order)
         self.world.run_until(self.world.time + RECOVERY_SECONDS)
--- a/tests/control/test_operator_api.py
+++ b/tests/control/test_operator_api.py
@@ -1,6 +1,7 @@
 """The operators' HTTP API over a control process that keeps its state in memory."""
 
 import asyncio
+import io
 import json
 from collections.abc import AsyncIterator
 from typing import Any
@@ -115,7 +116,7 @@
 
 
 async def put(client: Client, body: bytes) -> tuple[int, dict[str, Any]]:
-    response = await client.put("/v1/configuration", data=body)
+    response = await client.put("/v1/configuration", data=io.BytesIO(body))
     return response.status, await response.json()
 
 
--- a/tests/control/test_plan_processes.py
+++ b/tests/control/test_plan_processes.py
@@ -157,4 +157,5 @@
         # The order that the lost leader took still has its first outcome.
         await client.request_plan_action(PlanAction.CONFIRM, plan_id, "two")
         newest = (await client.plan()).newest
-        assert newest is not None and newest.plan.plan_id == plan_id
+        assert newest is not None
+        assert newest.plan.plan_id == plan_id
--- a/tests/placement/plan_world.py
+++ b/tests/placement/plan_world.py
@@ -116,7 +116,8 @@
             digest=configuration_digest(version, configuration),
         )
         outcome = self.apply(order)
-        assert isinstance(outcome, UpdateResult) and isinstance(outcome.outcome, UpdateAccepted)
+        assert isinstance(outcome, UpdateResult)
+        assert isinstance(outcome.outcome, UpdateAccepted)
 
     def start_worker(self, one: WorkerRecord) -> None:
         self.cores[one.worker_id] = BackendCore(one, max_in_flight=8)
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -242,7 +242,8 @@
     one.run()
     one.announce(worker_id)
     found = one.state.find_worker(worker_id)
-    assert found is not None and found.record.status is WorkerStatus.DRAINING
+    assert found is not None
+    assert found.record.status is WorkerStatus.DRAINING
     one.fail_over()
     for _ in range(10):
         one.turn()
@@ -345,7 +346,8 @@
     one.configure(service(3, 3))
     assert one.status() is PlanStatus.HALTED
     resumed = one.apply(ResumePlan(order_id="resume", plan_id=plan_id))
-    assert isinstance(resumed, PlanResult) and resumed.answer is PlanAnswer.REFUSED
+    assert isinstance(resumed, PlanResult)
+    assert resumed.answer is PlanAnswer.REFUSED
     for _ in range(50):
         one.turn()
     check_ended_well(one)
@@ -389,7 +391,8 @@
     other = HaltPlan(order_id="order", plan_id=plan.plan_id)
     assert one.apply(other) == PlanResult(answer=PlanAnswer.ORDER_ID_REUSED)
     second = one.apply(StartPlan(order_id="second", plan_id=plan.plan_id, plan=plan))
-    assert isinstance(second, PlanResult) and second.answer is PlanAnswer.REFUSED
+    assert isinstance(second, PlanResult)
+    assert second.answer is PlanAnswer.REFUSED
     one.run()
     assert one.apply(again) == PlanResult(answer=PlanAnswer.ACCEPTED, repeated=True)
     assert one.status() is PlanStatus.DONE
@@ -405,7 +408,8 @@
     one.fail_over()
     one.turn()
     new = one.sent[-1].command
-    assert new.term > old.term and new.worker_id == old.worker_id
+    assert new.term > old.term
+    assert new.worker_id == old.worker_id
     return old, new
 
 
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -33,7 +33,8 @@
 
 def reason(*workers: WorkerRecord, wanted: Service) -> RefusalReason:
     preview = make_preview(view(*workers, services=[wanted]))
-    assert not preview.steps and not preview.plan.steps
+    assert not preview.steps
+    assert not preview.plan.steps
     (refusal,) = preview.refusals
     return refusal.reason
 
@@ -149,7 +150,8 @@
 def test_services_without_desired_counts_and_plain_ones_are_left_alone() -> None:
     services = [service(0, 0), Service(name="stock", kind=ServiceKind.PLAIN)]
     preview = make_preview(view(*fleet(2, 2), services=services))
-    assert not preview.refusals and not preview.steps
+    assert not preview.refusals
+    assert not preview.steps
 
 
 def test_a_refused_service_does_not_hold_up_another() -> None:
@@ -175,7 +177,8 @@
         view(*workers, services=[service(2, 4, max_cordoned=2)]),
     ]
     ids = {make_preview(one).plan.plan_id for one in changed}
-    assert len(ids) == len(changed) and first.plan_id not in ids
+    assert len(ids) == len(changed)
+    assert first.plan_id not in ids
     elsewhere = record("x", Stage.DECODE, service="other")
     assert make_preview(view(*workers, elsewhere, services=wanted)).plan.plan_id == first.plan_id
 
--- a/tests/simulation/test_request_simulation.py
+++ b/tests/simulation/test_request_simulation.py
@@ -85,9 +85,14 @@
     crash = result_of(Scenario.WORKERS_CRASH, 0).requests
     links = result_of(Scenario.LINKS_SLOW, 0).requests
     crowd = result_of(Scenario.CROWD, 0).requests
-    assert crash is not None and crash.retries > 0 and crash.broken > 0 and crash.probes > 0
-    assert links is not None and links.kv_transfers_interrupted > 0
-    assert crowd is not None and crowd.refused > 100
+    assert crash is not None
+    assert crash.retries > 0
+    assert crash.broken > 0
+    assert crash.probes > 0
+    assert links is not None
+    assert links.kv_transfers_interrupted > 0
+    assert crowd is not None
+    assert crowd.refused > 100
 
 
 def test_every_request_guard_is_caught_here_or_named_as_provoked_elsewhere() -> None:
