--- a/src/orchidpath/cli/configuration_file.py
+++ b/src/orchidpath/cli/configuration_file.py
@@ -7,8 +7,8 @@
 
 from orchidpath.common.settings_errors import SettingProblem, SettingsError
 from orchidpath.common.settings_file import read_table
-from orchidpath.state.problems import InvalidConfigurationError
-from orchidpath.state.validation import parse_configuration
+from orchidpath.state.configuration_checks.validation import parse_configuration
+from orchidpath.state.configuration_checks.validation_problems import InvalidConfigurationError
 from orchidpath.wire.configuration import Configuration
 
 
--- a/src/orchidpath/common/typed_walk.py
+++ b/src/orchidpath/common/typed_walk.py
@@ -2,8 +2,8 @@
 
 msgspec itself stops at the first mismatch; operators want all of them at once. The walk is shared
 by settings files (:func:`find_mismatches`) and by configurations
-(:mod:`orchidpath.state.structure`). They differ in what a plain value may be and in their texts,
-which are the :class:`WalkRules` of each.
+(:mod:`orchidpath.state.configuration_checks.structure`). They differ in what a plain value may be
+and in their texts, which are the :class:`WalkRules` of each.
 """
 
 from collections.abc import Iterable
--- a/src/orchidpath/control/api/operator_api.py
+++ b/src/orchidpath/control/api/operator_api.py
@@ -50,7 +50,10 @@
     read_body,
 )
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
-from orchidpath.state.validation import InvalidConfigurationError, parse_configuration
+from orchidpath.state.configuration_checks.validation import (
+    InvalidConfigurationError,
+    parse_configuration,
+)
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 """Largest body of a request, a configuration included."""
--- a/src/orchidpath/control/api/operator_bodies.py
+++ b/src/orchidpath/control/api/operator_bodies.py
@@ -7,8 +7,8 @@
 from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.consensus.types import Role
+from orchidpath.state.configuration_checks.validation_problems import Problem
 from orchidpath.state.outcomes import UpdateAccepted, UpdateRecord
-from orchidpath.state.problems import Problem
 from orchidpath.state.snapshot import ConfigurationEntry
 from orchidpath.wire import announcements
 from orchidpath.wire.backend import Announcement
--- a/src/orchidpath/fleet/file.py
+++ b/src/orchidpath/fleet/file.py
@@ -12,7 +12,7 @@
 from orchidpath.common.settings_file import convert_settings, read_table
 from orchidpath.emulators.backend.injected_faults import Fault
 from orchidpath.emulators.client.traffic_mix import TrafficMix, TrafficMixError, check_traffic_mix
-from orchidpath.state.validation import validate
+from orchidpath.state.configuration_checks.validation import validate
 from orchidpath.wire.configuration import Configuration, ServiceKind
 from orchidpath.wire.records import Stage
 
--- a/src/orchidpath/routing/route_table.py
+++ b/src/orchidpath/routing/route_table.py
@@ -1,8 +1,8 @@
 """Finds the route of a request: by model for chat completions, by method and path otherwise.
 
-Built once for each configuration. Routes that clash are refused when a configuration is taken
-(:mod:`orchidpath.state.validation`); should two still match, the first one listed wins on every
-router alike.
+Built once for each configuration. Routes that clash are rejected before a configuration is accepted
+(:mod:`orchidpath.state.configuration_checks.validation`); should two still match, the first one
+listed wins on every router alike.
 """
 
 import msgspec
--- a/src/orchidpath/state/forward_validation.py
+++ b/src/orchidpath/state/configuration_checks/forward_validation.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Hashable, Iterator
 
-from orchidpath.state.names import name_problems
-from orchidpath.state.problems import Problem
-from orchidpath.state.ranges import range_problems
+from orchidpath.state.configuration_checks.names import name_problems
+from orchidpath.state.configuration_checks.ranges import range_problems
+from orchidpath.state.configuration_checks.validation_problems import Problem
 from orchidpath.wire.configuration import Configuration, ForwardRoute
 
 
--- a/src/orchidpath/state/names.py
+++ b/src/orchidpath/state/configuration_checks/names.py
@@ -1,6 +1,6 @@
 """Checks of names in a configuration."""
 
-from orchidpath.state.problems import Problem
+from orchidpath.state.configuration_checks.validation_problems import Problem
 
 MAX_NAME_CHARACTERS = 200
 """Length of a name of a service, route or model."""
--- a/src/orchidpath/state/ranges.py
+++ b/src/orchidpath/state/configuration_checks/ranges.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from orchidpath.state.problems import Problem, join_path
+from orchidpath.state.configuration_checks.validation_problems import Problem, join_path
 from orchidpath.wire.configuration import (
     AdmissionPolicy,
     CircuitPolicy,
--- a/src/orchidpath/state/validation.py
+++ b/src/orchidpath/state/configuration_checks/validation.py
@@ -9,12 +9,19 @@
 
 import msgspec
 
-from orchidpath.state.forward_validation import forward_problems
-from orchidpath.state.names import name_problems
-from orchidpath.state.path_patterns import PatternIndex, pattern_problem, pattern_segments
-from orchidpath.state.problems import InvalidConfigurationError, Problem
-from orchidpath.state.ranges import range_problems
-from orchidpath.state.structure import read_structure
+from orchidpath.state.configuration_checks.forward_validation import forward_problems
+from orchidpath.state.configuration_checks.names import name_problems
+from orchidpath.state.configuration_checks.path_patterns import (
+    PatternIndex,
+    pattern_problem,
+    pattern_segments,
+)
+from orchidpath.state.configuration_checks.ranges import range_problems
+from orchidpath.state.configuration_checks.structure import read_structure
+from orchidpath.state.configuration_checks.validation_problems import (
+    InvalidConfigurationError,
+    Problem,
+)
 from orchidpath.wire.configuration import Configuration, Route, Service, ServiceKind
 
 MAX_PATH_SEGMENTS = 64
--- a/src/orchidpath/state/fleet_state_reader.py
+++ b/src/orchidpath/state/fleet_state_reader.py
@@ -7,15 +7,15 @@
 from orchidpath.state.circuits import AgreedCircuits
 from orchidpath.state.configuration_state import ConfigurationState
 from orchidpath.state.control_members import ControlMemberTable
+from orchidpath.state.fleet_progress import FleetProgress
 from orchidpath.state.outcomes import UpdateRecord
 from orchidpath.state.plan_state import PlanState
 from orchidpath.state.plans import AbandonedWorker, PlanActionRecord, PlanRecord
-from orchidpath.state.progress import FleetProgress
 from orchidpath.state.routers import RouterTable
 from orchidpath.state.snapshot import ConfigurationEntry, SnapshotBody, encode_snapshot
 from orchidpath.state.workers import WorkerEntry, WorkerTable
 from orchidpath.wire.configuration import Configuration
-from orchidpath.wire.fleet_update_messages import FleetUpdate
+from orchidpath.wire.messages.fleet_update_messages import FleetUpdate
 from orchidpath.wire.records import (
     CapacityRecord,
     CircuitRecord,
--- a/src/orchidpath/wire/configuration.py
+++ b/src/orchidpath/wire/configuration.py
@@ -2,7 +2,7 @@
 
 A configuration is always sent in full. The structs reject unknown fields, so that a misspelt
 setting is an error and not silently ignored. Checks beyond the types are in
-:mod:`orchidpath.state.validation`.
+:mod:`orchidpath.state.configuration_checks.validation`.
 """
 
 from enum import StrEnum
--- a/src/orchidpath/wire/connection.py
+++ b/src/orchidpath/wire/connection.py
@@ -16,8 +16,8 @@
 from orchidpath.wire.handshake import Handshake
 from orchidpath.wire.keepalive import set_keepalive
 from orchidpath.wire.link_faults import Fate, LinkFaults
-from orchidpath.wire.membership_messages import Hello
 from orchidpath.wire.messages import Message
+from orchidpath.wire.messages.membership_messages import Hello
 from orchidpath.wire.send_buffer import MAX_OUTGOING_BYTES, SendBuffer
 
 
--- a/src/orchidpath/wire/connector.py
+++ b/src/orchidpath/wire/connector.py
@@ -13,7 +13,7 @@
 )
 from orchidpath.wire.errors import ConnectError, ConnectionClosedError
 from orchidpath.wire.link_faults import LinkFaults
-from orchidpath.wire.membership_messages import Hello
+from orchidpath.wire.messages.membership_messages import Hello
 
 
 async def connect(
--- a/src/orchidpath/wire/handshake.py
+++ b/src/orchidpath/wire/handshake.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from orchidpath.wire.errors import FleetMismatchError, HelloError
-from orchidpath.wire.membership_messages import Hello
 from orchidpath.wire.messages import Message
+from orchidpath.wire.messages.membership_messages import Hello
 
 HELLO_TIMEOUT_SECONDS = 2.0
 """A connection on which no Hello came within this time is closed."""
--- a/src/orchidpath/wire/listener.py
+++ b/src/orchidpath/wire/listener.py
@@ -14,7 +14,7 @@
     ignore_message,
 )
 from orchidpath.wire.link_faults import LinkFaults
-from orchidpath.wire.membership_messages import Hello
+from orchidpath.wire.messages.membership_messages import Hello
 
 
 class Listener:
--- a/src/orchidpath/wire/messages.py
+++ b/src/orchidpath/wire/messages/__init__.py
@@ -4,7 +4,7 @@
 messages are defined by subject in the modules that are imported here.
 """
 
-from orchidpath.wire.decision_messages import (
+from orchidpath.wire.messages.decision_messages import (
     PREFILL_DONE_SUFFIX,
     AttemptEffect,
     AttemptReport,
@@ -23,7 +23,7 @@
     StageCandidates,
     WorkerTally,
 )
-from orchidpath.wire.fleet_update_messages import (
+from orchidpath.wire.messages.fleet_update_messages import (
     LEASE_DRIFT_SECONDS,
     ROUTER_HEARTBEAT_SECONDS,
     ROUTER_LEASE_SECONDS,
@@ -34,7 +34,7 @@
     RouterHeartbeat,
     RouterHeartbeatReply,
 )
-from orchidpath.wire.membership_messages import (
+from orchidpath.wire.messages.membership_messages import (
     ConsensusMessage,
     ControlMembers,
     ForwardedAnnouncements,
@@ -43,7 +43,7 @@
     ProcessRole,
     WhoIsControl,
 )
-from orchidpath.wire.operator_messages import (
+from orchidpath.wire.messages.operator_messages import (
     ConfigurationUpdateReply,
     ConfigurationUpdateRequest,
     PlanAction,
@@ -52,7 +52,7 @@
     PlanActionStatus,
     UpdateStatus,
 )
-from orchidpath.wire.read_messages import (
+from orchidpath.wire.messages.read_messages import (
     ReadIndexReply,
     ReadIndexRequest,
     WorkerCircuitsReply,
--- a/src/orchidpath/wire/peer_links.py
+++ b/src/orchidpath/wire/peer_links.py
@@ -16,8 +16,8 @@
 from orchidpath.wire.connector import connect
 from orchidpath.wire.errors import ConnectionClosedError
 from orchidpath.wire.link_faults import LinkFaults
-from orchidpath.wire.membership_messages import Hello
 from orchidpath.wire.messages import Message
+from orchidpath.wire.messages.membership_messages import Hello
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 """Timeout of one attempt to connect to a peer."""
--- a/tests/compatibility/documents_read.py
+++ b/tests/compatibility/documents_read.py
@@ -16,7 +16,7 @@
 )
 from orchidpath.fleet.file import convert_fleet
 from orchidpath.state.commands import configuration_digest
-from orchidpath.state.validation import parse_configuration
+from orchidpath.state.configuration_checks.validation import parse_configuration
 from orchidpath.wire.configuration import Configuration
 
 ROOT = Path(__file__).parents[2]
--- a/tests/compatibility/http_labels.py
+++ b/tests/compatibility/http_labels.py
@@ -124,6 +124,9 @@
     Liveness,
     Readiness,
 )
+from orchidpath.state.configuration_checks.validation_problems import (
+    Problem,
+)
 from orchidpath.state.plans import (
     Plan,
     PlanProgress,
@@ -134,9 +137,6 @@
     StepPhase,
     StepProgress,
 )
-from orchidpath.state.problems import (
-    Problem,
-)
 from orchidpath.state.snapshot import (
     ConfigurationEntry,
 )
--- a/tests/state/test_structure.py
+++ b/tests/state/test_structure.py
@@ -3,8 +3,12 @@
 import msgspec
 import pytest
 
-from orchidpath.state.structure import read_structure
-from orchidpath.state.validation import InvalidConfigurationError, Problem, parse_configuration
+from orchidpath.state.configuration_checks.structure import read_structure
+from orchidpath.state.configuration_checks.validation import (
+    InvalidConfigurationError,
+    Problem,
+    parse_configuration,
+)
 
 FORWARD_ROUTE = {"name": "chat", "host": "h", "path_prefix": "/"}
 
--- a/tests/state/test_validation.py
+++ b/tests/state/test_validation.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidpath.state.path_patterns import PatternIndex
-from orchidpath.state.problems import InvalidConfigurationError
-from orchidpath.state.validation import parse_configuration, validate
+from orchidpath.state.configuration_checks.path_patterns import PatternIndex
+from orchidpath.state.configuration_checks.validation import parse_configuration, validate
+from orchidpath.state.configuration_checks.validation_problems import InvalidConfigurationError
 from orchidpath.wire.configuration import Configuration
 
 
