--- a/bench/decision_path.py
+++ b/bench/decision_path.py
@@ -115,9 +115,9 @@
         encode_frame(answer.reply)
         encoded_at = time.perf_counter()
         reports = _reports(request, answer.reply)
-        started_at = time.perf_counter()
+        report_started_at = time.perf_counter()
         table.report(reports.reports, number * 1e-3)
-        times.report += time.perf_counter() - started_at
+        times.report += time.perf_counter() - report_started_at
         times.decide += decided_at - decoded_at
         times.message += (decoded_at - started_at) + (encoded_at - decided_at)
         last = (reports, answer.reply)
