--- a/tests/state/state_builders.py
+++ b/tests/state/state_builders.py
@@ -1,4 +1,4 @@
-"""Commands and steps that the tests of the replicated state share."""
+"""Builders of commands and helpers that apply them, shared by the tests of the replicated state."""
 
 from orchidpath.state.commands import (
     Command,
@@ -9,18 +9,9 @@
     encode_command,
 )
 from orchidpath.state.fleet_state import FleetState
-from orchidpath.state.outcomes import (
-    Effect,
-    Outcome,
-    RecordResult,
-)
+from orchidpath.state.outcomes import Effect, Outcome, RecordResult
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
-from orchidpath.wire.records import (
-    RouterRecord,
-    Stage,
-    WorkerRecord,
-    WorkerStatus,
-)
+from orchidpath.wire.records import RouterRecord, Stage, WorkerRecord, WorkerStatus
 
 
 def apply(state: FleetState, command: Command) -> Outcome:
--- a/tests/state/test_agreed_circuits.py
+++ b/tests/state/test_circuits.py
@@ -1,26 +1,12 @@
-"""Agreed circuits change once for each generation."""
+"""Replicated circuits: compare-and-swap of transitions on the generation."""
 
-from state_builders import (
-    announced,
-    apply,
-    effect,
-    restored,
-)
+from state_builders import announced, apply, effect, restored
 
 from orchidpath.circuit.transitions import CapacityTransition, CircuitTransition
-from orchidpath.state.commands import (
-    CapacityChanged,
-    CircuitChanged,
-)
+from orchidpath.state.commands import CapacityChanged, CircuitChanged
 from orchidpath.state.fleet_state import FleetState
-from orchidpath.state.outcomes import (
-    CapacityResult,
-    CircuitResult,
-    Effect,
-)
-from orchidpath.wire.records import (
-    CircuitStatus,
-)
+from orchidpath.state.outcomes import CapacityResult, CircuitResult, Effect
+from orchidpath.wire.records import CircuitStatus
 
 
 def test_of_two_transitions_on_one_generation_exactly_one_takes_effect() -> None:
--- a/tests/state/test_configuration_state.py
+++ b/tests/state/test_configuration_state.py
@@ -1,18 +1,9 @@
-"""A configuration update: compare and swap, remembered outcomes, history."""
+"""Configuration updates: compare-and-swap on the version, remembered outcomes, history."""
 
-from state_builders import (
-    apply,
-    configuration_update,
-    restored,
-)
+from state_builders import apply, configuration_update, restored
 
 from orchidpath.state.fleet_state import FleetState
-from orchidpath.state.outcomes import (
-    UpdateAccepted,
-    UpdateConflict,
-    UpdateIdReused,
-    UpdateResult,
-)
+from orchidpath.state.outcomes import UpdateAccepted, UpdateConflict, UpdateIdReused, UpdateResult
 from orchidpath.state.update_outcomes import UpdateOutcomes
 
 
@@ -34,9 +25,9 @@
     state = restored(state)
     revision = state.revision
     accepted = apply(state, configuration_update("o1", 0))
-    refused = apply(state, configuration_update("o2", 0, "loser"))
+    conflicting = apply(state, configuration_update("o2", 0, "loser"))
     assert accepted == UpdateResult(outcome=UpdateAccepted(version=1), repeated=True)
-    assert refused == UpdateResult(outcome=UpdateConflict(current_version=1), repeated=True)
+    assert conflicting == UpdateResult(outcome=UpdateConflict(current_version=1), repeated=True)
     assert (state.configuration_version, state.revision) == (2, revision)
     assert state.configuration.services[0].name == "newer"
 
@@ -44,7 +35,7 @@
 def test_a_reused_id_is_rejected_and_the_first_outcome_stays() -> None:
     state = FleetState()
     apply(state, configuration_update("o1", 0))
-    # The same id, built on the current version, so that only the digest speaks against it.
+    # The same id, built on the current version, so that only the digest differs.
     reused = apply(state, configuration_update("o1", 1, "other"))
     assert reused == UpdateResult(outcome=UpdateIdReused(current_version=1))
     assert state.configuration.services[0].name == "cellar"
@@ -53,11 +44,11 @@
     assert record.outcome == UpdateAccepted(version=1)
 
 
-def test_the_memory_of_updates_forgets_the_oldest_only() -> None:
-    memory = UpdateOutcomes(limit=3)
+def test_only_the_oldest_remembered_updates_are_dropped_at_the_limit() -> None:
+    outcomes = UpdateOutcomes(limit=3)
     for number in range(5):
-        memory.remember(f"o{number}", "d", UpdateAccepted(version=number))
-    assert [record.order_id for record in memory.records()] == ["o2", "o3", "o4"]
+        outcomes.remember(f"o{number}", "d", UpdateAccepted(version=number))
+    assert [record.order_id for record in outcomes.records()] == ["o2", "o3", "o4"]
 
 
 def test_history_lists_the_accepted_versions() -> None:
--- a/tests/state/test_document_items.py
+++ b/tests/state/test_document_items.py
@@ -37,17 +37,17 @@
     }
 
 
-def test_what_is_not_named_stays_as_it_was_sent() -> None:
+def test_unnamed_items_keep_their_encoding() -> None:
     text = change_items(DOCUMENT, change(upsert={"routes": [{"name": "z"}]}), {})
     assert b'{"name": "b", "x": 1.5}' in text
     assert b'{"unread": [1]}' in text
 
 
-def test_a_list_that_the_document_lacks_may_be_begun() -> None:
+def test_a_list_absent_from_the_document_is_created() -> None:
     assert changed(upsert={"services": [{"name": "s"}]})["services"] == [{"name": "s"}]
 
 
-def test_an_empty_change_moves_the_version_only() -> None:
+def test_an_empty_change_replaces_the_version_only() -> None:
     assert changed() == {**json.loads(DOCUMENT), "version": 4}
 
 
@@ -64,14 +64,14 @@
         ({"upsert": {"limits": [{"name": "a"}]}}, ["not a list of named items"]),
     ],
 )
-def test_every_problem_is_named(lists: dict[str, Any], problems: list[str]) -> None:
+def test_every_problem_is_reported(lists: dict[str, Any], problems: list[str]) -> None:
     with pytest.raises(InvalidChangeError) as raised:
         changed(**lists)
     assert len(raised.value.problems) == len(problems)
     for problem in problems:
-        assert any(problem in told for told in raised.value.problems)
+        assert any(problem in reported for reported in raised.value.problems)
 
 
-def test_a_torn_document_is_not_changed() -> None:
+def test_a_truncated_document_is_rejected() -> None:
     with pytest.raises(InvalidChangeError, match="can't be read"):
         changed(document=DOCUMENT[:-3])
--- a/tests/state/test_fleet_state.py
+++ b/tests/state/test_fleet_state.py
@@ -1,4 +1,4 @@
-"""The composed state: revisions, deltas, the log's order, snapshots, members and progress."""
+"""The composed fleet state: revisions, deltas, order of log entries, snapshots, control members."""
 
 import msgspec
 import pytest
@@ -30,15 +30,9 @@
     encode_command,
 )
 from orchidpath.state.fleet_state import ApplyOrderError, FleetState
-from orchidpath.state.outcomes import (
-    Effect,
-)
+from orchidpath.state.outcomes import Effect
 from orchidpath.state.snapshot import SnapshotFormatError
-from orchidpath.wire.records import (
-    CircuitStatus,
-    ControlMember,
-    WorkerStatus,
-)
+from orchidpath.wire.records import CircuitStatus, ControlMember, WorkerStatus
 
 
 def test_the_revision_increases_by_one_with_what_routers_must_apply_and_nothing_else() -> None:
@@ -121,7 +115,7 @@
     assert (up_to_date.view, up_to_date.workers) == (None, ())
 
 
-def test_the_view_is_made_once_per_revision() -> None:
+def test_the_view_is_built_once_per_revision() -> None:
     state = FleetState()
     effect(state, announced(1))
     view = state.view()
@@ -131,7 +125,7 @@
     assert state.view() is not view
 
 
-def test_control_members_term_and_confirmed_revision() -> None:
+def test_control_members_term_and_confirmed_revision_report_their_effects() -> None:
     state = FleetState()
     member = ControlMember(node_id="c1", address="127.0.0.1:3")
     assert effect(state, RegisterControlMember(member=member)) is Effect.CHANGED
@@ -168,6 +162,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", msgspec.msgpack.encode({"format": 999})])
-def test_an_unreadable_snapshot_is_refused(data: bytes) -> None:
+def test_an_unreadable_snapshot_is_rejected(data: bytes) -> None:
     with pytest.raises(SnapshotFormatError):
         FleetState.restore(data)
--- a/tests/state/test_fleet_state_properties.py
+++ b/tests/state/test_fleet_state_properties.py
@@ -23,12 +23,7 @@
 )
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.state.outcomes import UpdateAccepted, UpdateIdReused, UpdateResult
-from orchidpath.wire.records import (
-    CircuitStatus,
-    ControlMember,
-    FleetView,
-    WorkerStatus,
-)
+from orchidpath.wire.records import CircuitStatus, ControlMember, FleetView, WorkerStatus
 
 worker_ids = st.sampled_from([f"w{number}" for number in range(4)])
 incarnations = st.sampled_from(["a", "b", "c"])
--- a/tests/state/test_plan_state.py
+++ b/tests/state/test_plan_state.py
@@ -1,14 +1,8 @@
-"""Plan actions are remembered under names that stay as snapshots hold them."""
+"""Plan actions: stored content compatible with earlier snapshots; repeats are idempotent."""
 
 import pytest
 
-from orchidpath.state.commands import (
-    CancelPlan,
-    HaltPlan,
-    PlanActionCommand,
-    ResumePlan,
-    StartPlan,
-)
+from orchidpath.state.commands import CancelPlan, HaltPlan, PlanActionCommand, ResumePlan, StartPlan
 from orchidpath.state.plan_state import PlanState
 from orchidpath.state.plans import PlanAnswer
 
--- a/tests/state/test_snapshot_determinism.py
+++ b/tests/state/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Replicas are separate processes: nothing in a snapshot may depend on one process's hashing."""
+"""Snapshots are deterministic: their bytes do not depend on the hash seed of a process."""
 
 import os
 import subprocess
--- a/tests/state/test_structure.py
+++ b/tests/state/test_structure.py
@@ -13,7 +13,7 @@
 FORWARD_ROUTE = {"name": "chat", "host": "h", "path_prefix": "/"}
 
 
-def test_a_readable_configuration_is_read_as_it_is() -> None:
+def test_a_readable_configuration_is_decoded_unchanged() -> None:
     structure = read_structure({"label": 3})
     assert structure.configuration.label == 3
     assert (structure.problems, structure.unreadable_paths) == ([], frozenset())
--- a/tests/state/test_validation.py
+++ b/tests/state/test_validation.py
@@ -1,4 +1,4 @@
-"""Checks of configurations: every error with its path, and nothing but the typed error."""
+"""Validation of configurations: each problem is reported with its path, as a typed error."""
 
 import json
 from collections.abc import Iterator
@@ -38,9 +38,9 @@
 
 
 def problem_paths(document: object) -> list[str]:
-    with pytest.raises(InvalidConfigurationError) as refused:
+    with pytest.raises(InvalidConfigurationError) as raised:
         parse_configuration(json.dumps(document).encode())
-    return [problem.path for problem in refused.value.problems]
+    return [problem.path for problem in raised.value.problems]
 
 
 def changed(path: str, value: object) -> dict[str, Any]:
@@ -54,7 +54,7 @@
     return document
 
 
-def test_a_valid_configuration_is_read_as_it_is() -> None:
+def test_a_valid_configuration_is_decoded_unchanged() -> None:
     configuration = parse_configuration(json.dumps(valid()).encode())
     assert configuration == msgspec.convert(valid(), Configuration)
     assert validate(configuration) == []
@@ -187,7 +187,7 @@
     "raw",
     [b"", b"{", b"\xff\xfe", b'{"services": NaN}', b'"\\ud800"', b"[" * 100_000, b"1e999", b"null"],
 )
-def test_what_is_no_configuration_at_all_is_refused_with_the_typed_error(raw: bytes) -> None:
+def test_undecodable_bytes_raise_the_typed_error(raw: bytes) -> None:
     with pytest.raises(InvalidConfigurationError):
         parse_configuration(raw)
 
@@ -240,7 +240,7 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.one_of(documents, shaped_documents))
-def test_any_document_is_either_valid_or_refused_with_problems(document: object) -> None:
+def test_any_document_is_either_valid_or_rejected_with_problems(document: object) -> None:
     raw = json.dumps(document).encode()
     try:
         configuration = parse_configuration(raw)
@@ -254,7 +254,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=60))
-def test_any_bytes_are_either_valid_or_refused(raw: bytes) -> None:
+def test_any_bytes_are_either_valid_or_rejected(raw: bytes) -> None:
     try:
         parse_configuration(raw)
     except InvalidConfigurationError as error:
--- a/tests/state/test_agreed_workers.py
+++ b/tests/state/test_workers.py
@@ -1,26 +1,13 @@
-"""Agreed workers: late announcements, incarnations, cordons."""
+"""Replicated worker records: late announcements, incarnations, cordons."""
 
 import msgspec
-from state_builders import (
-    announced,
-    effect,
-    restored,
-    worker,
-)
-
-from orchidpath.state.commands import (
-    CordonWorker,
-    WorkerChanged,
-    WorkerRemoved,
-)
+from state_builders import announced, effect, restored, worker
+
+from orchidpath.state.commands import CordonWorker, WorkerChanged, WorkerRemoved
 from orchidpath.state.fleet_state import FleetState
-from orchidpath.state.outcomes import (
-    Effect,
-)
+from orchidpath.state.outcomes import Effect
 from orchidpath.state.workers import WorkerTable
-from orchidpath.wire.records import (
-    WorkerStatus,
-)
+from orchidpath.wire.records import WorkerStatus
 
 
 def test_a_late_announcement_of_the_same_incarnation_changes_nothing() -> None:
@@ -52,7 +39,7 @@
     assert [record.incarnation for record in state.workers()] == ["new"]
 
 
-def test_a_removal_concerns_its_incarnation_only() -> None:
+def test_a_removal_applies_to_its_incarnation_only() -> None:
     state = FleetState()
     effect(state, announced(1, incarnation="new"))
     assert effect(state, WorkerRemoved(worker_id="w1", incarnation="old")) is Effect.STALE
@@ -72,7 +59,7 @@
     assert len(state.workers()) == 1
 
 
-def test_dead_incarnations_and_their_cordons_are_bounded() -> None:
+def test_removed_incarnations_and_their_cordons_are_bounded() -> None:
     table = WorkerTable(dead_limit=2)
     for number in range(4):
         table.announce(worker(f"w{number}"), 1)
