--- a/tests/common/test_settings_file.py
+++ b/tests/common/test_settings_file.py
@@ -137,7 +137,7 @@
 
 
 @given(noise=st.binary(max_size=300), suffix=st.sampled_from([".toml", ".json"]))
-def test_random_bytes_are_refused(noise: bytes, suffix: str) -> None:
+def test_random_bytes_are_rejected(noise: bytes, suffix: str) -> None:
     with pytest.raises(SettingsError):
         convert_settings(decode_table(Path(f"noise{suffix}"), noise), "noise", RouterSettings)
 
--- a/tests/control/leadership_builders.py
+++ b/tests/control/leadership_builders.py
@@ -1,4 +1,4 @@
-"""Shared set-up of the tests of a leader's duties: records, messages and a log that applies."""
+"""Builders of records and messages, shared by the tests of the leader's duties."""
 
 from orchidpath.control.replica.control_effects import SendToNode
 from orchidpath.control.replica.control_output import ControlOutput
--- a/tests/control/test_attempt_decisions.py
+++ b/tests/control/test_attempt_decisions.py
@@ -57,7 +57,7 @@
     return Leadership()
 
 
-def test_a_decision_bears_the_term_and_the_correlation_of_its_request(
+def test_a_decision_has_the_term_and_the_correlation_of_its_request(
     leadership: Leadership,
 ) -> None:
     reply = leadership.decide(7, "w1")
@@ -82,6 +82,6 @@
     assert leadership.output.take_proposals() == []
 
 
-def test_a_process_that_does_not_lead_says_so() -> None:
+def test_a_process_that_does_not_lead_answers_not_leader() -> None:
     reply = not_leader_reply(request(4), TERM)
     assert reply == DecisionReply(correlation=4, term=TERM, rejection=Rejection.NOT_LEADER)
--- a/tests/control/test_circuits_publisher.py
+++ b/tests/control/test_circuits_publisher.py
@@ -1,4 +1,4 @@
-"""A leader pushes the circuits to the routers it hears: when they changed, and now and then."""
+"""A leader pushes the circuits to connected routers: after changes, and periodically."""
 
 from random import Random
 
--- a/tests/control/test_conditional_updates.py
+++ b/tests/control/test_conditional_updates.py
@@ -1,4 +1,4 @@
-"""Orders built on the operator's own numbers: races, repetitions and lost answers."""
+"""Conditional updates (`If-Match` on an operator's label): races, retries and lost replies."""
 
 import pytest
 
@@ -6,10 +6,10 @@
 from orchidpath.control.api.conditional_updates import (
     ConditionalChange,
     ConditionalReplacement,
-    ConditionalUpdateOutcome,
     ResolvedConfiguration,
     submit_labelled,
 )
+from orchidpath.control.api.conditional_updates import ConditionalUpdateOutcome as Outcome
 from orchidpath.control.api.control_access import UnavailableError
 from orchidpath.control.api.operator_bodies import Accepted, SubmitResult, SubmitStatus
 from orchidpath.state.commands import SubmitConfiguration, encode_command
@@ -18,13 +18,13 @@
 from orchidpath.wire.configuration import Configuration
 
 
-class OneReplica:
-    """A control process whose state machine is all there is."""
+class SingleReplica:
+    """A control process with the replicated state in memory and no other replica."""
 
     def __init__(self) -> None:
         self.state = FleetState()
         self.is_readable = True
-        self.loses_answers = False
+        self.loses_replies = False
         self.before_submit: list[ConditionalReplacement | ConditionalChange] = []
 
     async def read_state(self) -> FleetState:
@@ -32,19 +32,20 @@
             raise UnavailableError("no leader")
         return self.state
 
-    async def submit(self, order: SubmitConfiguration) -> SubmitResult:
+    async def submit(self, update: SubmitConfiguration) -> SubmitResult:
         while self.before_submit:
             await submit_labelled(self, self.before_submit.pop())
-        result = self.state.apply(self.state.applied_index + 1, encode_command(order)).outcome
+        result = self.state.apply(self.state.applied_index + 1, encode_command(update)).outcome
         assert isinstance(result, UpdateResult)
-        if self.loses_answers:
+        if self.loses_replies:
             return SubmitResult(status=SubmitStatus.UNAVAILABLE, accepted=Accepted.UNKNOWN)
         if isinstance(result.outcome, UpdateAccepted):
             return SubmitResult(status=SubmitStatus.CONFIRMED, version=result.outcome.version)
         return SubmitResult(status=SubmitStatus.CONFLICT, accepted=Accepted.NO)
 
 
-def order(name: str, base: int, label: int) -> ConditionalReplacement:
+def replacement(name: str, base: int, label: int) -> ConditionalReplacement:
+    """Return an update that replaces the configuration, with its name as document."""
     return ConditionalReplacement(
         order_id=name,
         base_label=base,
@@ -54,7 +55,7 @@
 
 
 def change(name: str, base: int, label: int) -> ConditionalChange:
-    """Return a change that adds its name to the document."""
+    """Return a change that appends its name to the document."""
 
     def resolve(document: bytes) -> ResolvedConfiguration:
         return ResolvedConfiguration(
@@ -64,141 +65,149 @@
     return ConditionalChange(order_id=name, base_label=base, resolve=resolve)
 
 
-async def test_labels_may_rise_in_uneven_steps() -> None:
-    one = OneReplica()
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.ACCEPTED
-    assert await submit_labelled(one, order("b", 2, 9)) is ConditionalUpdateOutcome.ACCEPTED
-    assert one.state.configuration.label == 9
-    assert one.state.document == b"b"
+@pytest.fixture
+def replica() -> SingleReplica:
+    return SingleReplica()
 
 
-async def test_one_of_two_on_the_same_base_wins() -> None:
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
-    assert await submit_labelled(one, order("b", 2, 5)) is ConditionalUpdateOutcome.ACCEPTED
-    assert await submit_labelled(one, order("c", 2, 5)) is ConditionalUpdateOutcome.CONFLICT
-    assert one.state.document == b"b"
+@pytest.fixture
+async def labelled_replica(replica: SingleReplica) -> SingleReplica:
+    """Return a replica whose configuration has the label 2 and the document ``a``."""
+    await submit_labelled(replica, replacement("a", 0, 2))
+    return replica
 
 
-async def test_one_that_loses_between_its_read_and_its_order_is_told_so() -> None:
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
-    one.before_submit = [order("b", 2, 5)]
-    assert await submit_labelled(one, order("c", 2, 6)) is ConditionalUpdateOutcome.CONFLICT
-    assert one.state.document == b"b"
+async def test_labels_may_increase_in_uneven_steps(replica: SingleReplica) -> None:
+    assert await submit_labelled(replica, replacement("a", 0, 2)) is Outcome.ACCEPTED
+    assert await submit_labelled(replica, replacement("b", 2, 9)) is Outcome.ACCEPTED
+    assert replica.state.configuration.label == 9
+    assert replica.state.document == b"b"
 
 
-async def test_an_order_that_was_taken_is_acknowledged_again() -> None:
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.ACCEPTED
-    await submit_labelled(one, order("b", 2, 3))
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.ACCEPTED
-    assert one.state.configuration_version == 2
+async def test_of_two_updates_on_one_base_label_the_first_wins(
+    labelled_replica: SingleReplica,
+) -> None:
+    assert await submit_labelled(labelled_replica, replacement("b", 2, 5)) is Outcome.ACCEPTED
+    assert await submit_labelled(labelled_replica, replacement("c", 2, 5)) is Outcome.CONFLICT
+    assert labelled_replica.state.document == b"b"
+
+
+async def test_an_update_that_loses_between_its_read_and_its_submission_is_a_conflict(
+    labelled_replica: SingleReplica,
+) -> None:
+    labelled_replica.before_submit = [replacement("b", 2, 5)]
+    assert await submit_labelled(labelled_replica, replacement("c", 2, 6)) is Outcome.CONFLICT
+    assert labelled_replica.state.document == b"b"
 
 
-async def test_a_copy_that_overtakes_its_first_one_is_never_refused() -> None:
-    one = OneReplica()
-    one.before_submit = [order("a", 0, 2)]
-    outcome = await submit_labelled(one, order("a", 0, 2))
-    assert outcome in {ConditionalUpdateOutcome.ACCEPTED, ConditionalUpdateOutcome.UNKNOWN}
-    assert one.state.configuration_version == 1
+async def test_a_repeated_accepted_update_is_accepted_again(
+    labelled_replica: SingleReplica,
+) -> None:
+    assert await submit_labelled(labelled_replica, replacement("a", 0, 2)) is Outcome.ACCEPTED
+    await submit_labelled(labelled_replica, replacement("b", 2, 3))
+    assert await submit_labelled(labelled_replica, replacement("a", 0, 2)) is Outcome.ACCEPTED
+    assert labelled_replica.state.configuration_version == 2
 
 
-async def test_a_lost_answer_is_unknown_and_then_acknowledged() -> None:
-    one = OneReplica()
-    one.loses_answers = True
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.UNKNOWN
-    one.loses_answers = False
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.ACCEPTED
-    assert one.state.configuration_version == 1
+async def test_a_duplicate_that_overtakes_the_original_is_never_rejected(
+    replica: SingleReplica,
+) -> None:
+    replica.before_submit = [replacement("a", 0, 2)]
+    outcome = await submit_labelled(replica, replacement("a", 0, 2))
+    assert outcome in {Outcome.ACCEPTED, Outcome.UNKNOWN}
+    assert replica.state.configuration_version == 1
+
+
+async def test_a_lost_reply_is_unknown_and_the_retry_is_accepted(replica: SingleReplica) -> None:
+    replica.loses_replies = True
+    assert await submit_labelled(replica, replacement("a", 0, 2)) is Outcome.UNKNOWN
+    replica.loses_replies = False
+    assert await submit_labelled(replica, replacement("a", 0, 2)) is Outcome.ACCEPTED
+    assert replica.state.configuration_version == 1
 
 
 @pytest.mark.parametrize(
     ("base", "label", "outcome"),
     [
-        (2, 2, ConditionalUpdateOutcome.INVALID),
-        (2, 1, ConditionalUpdateOutcome.INVALID),
-        (1, 3, ConditionalUpdateOutcome.CONFLICT),
-        (3, 4, ConditionalUpdateOutcome.CONFLICT),
+        (2, 2, Outcome.INVALID),
+        (2, 1, Outcome.INVALID),
+        (1, 3, Outcome.CONFLICT),
+        (3, 4, Outcome.CONFLICT),
     ],
 )
-async def test_a_label_must_rise_from_the_current_one(
-    base: int, label: int, outcome: ConditionalUpdateOutcome
+async def test_a_label_must_be_greater_than_the_current_one(
+    labelled_replica: SingleReplica, base: int, label: int, outcome: Outcome
+) -> None:
+    assert await submit_labelled(labelled_replica, replacement("b", base, label)) is outcome
+    assert labelled_replica.state.document == b"a"
+
+
+async def test_without_a_leader_the_outcome_is_unknown(replica: SingleReplica) -> None:
+    replica.is_readable = False
+    assert await submit_labelled(replica, replacement("a", 0, 2)) is Outcome.UNKNOWN
+
+
+async def test_a_change_applies_to_the_configuration_of_its_base_label(
+    labelled_replica: SingleReplica,
+) -> None:
+    assert await submit_labelled(labelled_replica, change("b", 2, 5)) is Outcome.ACCEPTED
+    assert await submit_labelled(labelled_replica, change("c", 5, 6)) is Outcome.ACCEPTED
+    assert labelled_replica.state.document == b"abc"
+    assert labelled_replica.state.configuration.label == 6
+
+
+async def test_of_a_change_and_a_replacement_on_one_base_label_one_wins(
+    labelled_replica: SingleReplica,
 ) -> None:
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
-    assert await submit_labelled(one, order("b", base, label)) is outcome
-    assert one.state.document == b"a"
-
-
-async def test_without_a_leader_nothing_is_promised() -> None:
-    one = OneReplica()
-    one.is_readable = False
-    assert await submit_labelled(one, order("a", 0, 2)) is ConditionalUpdateOutcome.UNKNOWN
-
-
-async def test_a_change_is_made_to_the_configuration_that_it_names() -> None:
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
-    assert await submit_labelled(one, change("b", 2, 5)) is ConditionalUpdateOutcome.ACCEPTED
-    assert await submit_labelled(one, change("c", 5, 6)) is ConditionalUpdateOutcome.ACCEPTED
-    assert one.state.document == b"abc"
-    assert one.state.configuration.label == 6
-
-
-async def test_of_a_change_and_a_whole_configuration_on_one_base_one_wins() -> None:
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
-    one.before_submit = [order("w", 2, 5)]
-    assert await submit_labelled(one, change("b", 2, 5)) is ConditionalUpdateOutcome.CONFLICT
-    one.before_submit = [change("d", 5, 7)]
-    assert await submit_labelled(one, order("e", 5, 6)) is ConditionalUpdateOutcome.CONFLICT
-    assert one.state.document == b"wd"
-
-
-async def test_a_change_that_was_taken_is_acknowledged_again_and_made_once() -> None:
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
-    one.loses_answers = True
-    assert await submit_labelled(one, change("b", 2, 3)) is ConditionalUpdateOutcome.UNKNOWN
-    one.loses_answers = False
-    assert await submit_labelled(one, change("b", 2, 3)) is ConditionalUpdateOutcome.ACCEPTED
-    assert one.state.document == b"ab"
-    await submit_labelled(one, change("c", 3, 4))
-    assert await submit_labelled(one, change("b", 2, 3)) is ConditionalUpdateOutcome.ACCEPTED
-    assert one.state.document == b"abc"
-    assert one.state.configuration.label == 4
-
-
-async def test_a_copy_of_a_change_that_overtakes_its_first_one_is_never_refused() -> None:
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
-    one.before_submit = [change("b", 2, 3)]
-    outcome = await submit_labelled(one, change("b", 2, 3))
-    assert outcome in {ConditionalUpdateOutcome.ACCEPTED, ConditionalUpdateOutcome.UNKNOWN}
-    assert one.state.document == b"ab"
+    labelled_replica.before_submit = [replacement("w", 2, 5)]
+    assert await submit_labelled(labelled_replica, change("b", 2, 5)) is Outcome.CONFLICT
+    labelled_replica.before_submit = [change("d", 5, 7)]
+    assert await submit_labelled(labelled_replica, replacement("e", 5, 6)) is Outcome.CONFLICT
+    assert labelled_replica.state.document == b"wd"
+
+
+async def test_a_repeated_accepted_change_is_accepted_again_and_applied_once(
+    labelled_replica: SingleReplica,
+) -> None:
+    labelled_replica.loses_replies = True
+    assert await submit_labelled(labelled_replica, change("b", 2, 3)) is Outcome.UNKNOWN
+    labelled_replica.loses_replies = False
+    assert await submit_labelled(labelled_replica, change("b", 2, 3)) is Outcome.ACCEPTED
+    assert labelled_replica.state.document == b"ab"
+    await submit_labelled(labelled_replica, change("c", 3, 4))
+    assert await submit_labelled(labelled_replica, change("b", 2, 3)) is Outcome.ACCEPTED
+    assert labelled_replica.state.document == b"abc"
+    assert labelled_replica.state.configuration.label == 4
+
+
+async def test_a_duplicate_of_a_change_that_overtakes_the_original_is_never_rejected(
+    labelled_replica: SingleReplica,
+) -> None:
+    labelled_replica.before_submit = [change("b", 2, 3)]
+    outcome = await submit_labelled(labelled_replica, change("b", 2, 3))
+    assert outcome in {Outcome.ACCEPTED, Outcome.UNKNOWN}
+    assert labelled_replica.state.document == b"ab"
 
 
 @pytest.mark.parametrize(
     ("base", "label", "outcome"),
-    [(2, 2, ConditionalUpdateOutcome.INVALID), (1, 3, ConditionalUpdateOutcome.CONFLICT)],
+    [(2, 2, Outcome.INVALID), (1, 3, Outcome.CONFLICT)],
 )
 async def test_a_change_on_another_base_or_with_an_older_label_has_no_effect(
-    base: int, label: int, outcome: ConditionalUpdateOutcome
+    labelled_replica: SingleReplica, base: int, label: int, outcome: Outcome
 ) -> None:
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
-    assert await submit_labelled(one, change("b", base, label)) is outcome
-    assert one.state.document == b"a"
+    assert await submit_labelled(labelled_replica, change("b", base, label)) is outcome
+    assert labelled_replica.state.document == b"a"
 
 
-async def test_a_change_that_cannot_be_made_submits_nothing() -> None:
+async def test_a_change_that_cannot_be_resolved_submits_nothing(
+    labelled_replica: SingleReplica,
+) -> None:
     def resolve(document: bytes) -> ResolvedConfiguration:
         raise OrchidpathError("no such item")
 
-    one = OneReplica()
-    await submit_labelled(one, order("a", 0, 2))
     with pytest.raises(OrchidpathError, match="no such item"):
-        await submit_labelled(one, ConditionalChange(order_id="b", base_label=2, resolve=resolve))
-    assert one.state.configuration_version == 1
+        await submit_labelled(
+            labelled_replica, ConditionalChange(order_id="b", base_label=2, resolve=resolve)
+        )
+    assert labelled_replica.state.configuration_version == 1
--- a/tests/control/test_confirmation.py
+++ b/tests/control/test_confirmation.py
@@ -1,4 +1,4 @@
-"""When a revision counts as in force everywhere (docs/design/freshness.md)."""
+"""When a revision is confirmed: adopted by every router that serves (docs/design/freshness.md)."""
 
 from collections.abc import Set
 
@@ -32,7 +32,7 @@
     )
 
 
-def test_all_routers_adopted_confirms_at_once() -> None:
+def test_a_revision_is_confirmed_at_once_when_all_routers_adopted_it() -> None:
     one = tracker()
     commit(one, 2)
     for router in ROUTERS:
@@ -40,7 +40,7 @@
     assert one.advance(LATER) == 2
 
 
-def test_a_new_leader_first_waits_for_leases_that_its_predecessor_gave() -> None:
+def test_a_new_leader_first_waits_for_leases_granted_by_its_predecessor() -> None:
     one = tracker()
     commit(one, 2)
     for router in ROUTERS:
@@ -49,7 +49,7 @@
     assert one.advance(LATER) == 2
 
 
-def test_a_router_that_lags_is_waited_for_until_its_lease_has_lapsed() -> None:
+def test_a_lagging_router_delays_confirmation_until_its_lease_expires() -> None:
     one = tracker()
     commit(one, 2)
     one.router_adopted("a", 2)
@@ -59,7 +59,7 @@
     assert one.advance(LATER + LEASE_EXPIRY_SECONDS) == 2
 
 
-def test_without_a_witness_majority_no_wait_confirms() -> None:
+def test_without_a_witness_majority_a_revision_is_never_confirmed() -> None:
     one = tracker()
     commit(one, 2)
     one.router_adopted("a", 2)
@@ -82,7 +82,7 @@
     assert one.advance(LATER + 1000 + LEASE_EXPIRY_SECONDS) == 2
 
 
-def test_a_removed_router_is_waited_for_once() -> None:
+def test_a_removed_router_delays_confirmation_once() -> None:
     one = tracker()
     commit(one, 2, routers={"a", "b"}, witnesses={"a", "b"})
     one.router_adopted("a", 2)
@@ -95,7 +95,7 @@
     assert one.advance(LATER + LEASE_EXPIRY_SECONDS) == 3
 
 
-def test_guards_left_out_confirm_too_early() -> None:
+def test_without_its_guards_the_tracker_confirms_too_early() -> None:
     for guard in ConfirmationGuard:
         one = tracker(guards=frozenset({guard}))
         commit(one, 2)
--- a/tests/control/test_control_output.py
+++ b/tests/control/test_control_output.py
@@ -1,4 +1,4 @@
-"""Effects and proposals leave an output once, in the order in which they were asked for."""
+"""Effects and proposals are taken from an output once, in the order of their insertion."""
 
 from orchidpath.control.replica.control_effects import ReadFailed, ReadReady, SendToNode
 from orchidpath.control.replica.control_output import ControlOutput
@@ -9,7 +9,7 @@
 SECOND = RemoveRouter(router_id="r2")
 
 
-def test_effects_leave_once_in_their_order() -> None:
+def test_effects_are_taken_once_in_their_order() -> None:
     output = ControlOutput()
     output.emit(ReadReady(1))
     output.send("n", WhoIsControl())
@@ -19,7 +19,7 @@
     assert output.take_effects() == []
 
 
-def test_an_equal_command_that_still_waits_is_not_proposed_again() -> None:
+def test_an_equal_pending_command_is_not_proposed_again() -> None:
     output = ControlOutput()
     output.propose(FIRST)
     output.propose_once(FIRST)
@@ -29,7 +29,7 @@
     assert output.take_proposals() == [FIRST]
 
 
-def test_what_another_output_collected_comes_behind_the_own() -> None:
+def test_effects_of_another_output_are_appended() -> None:
     own, other = ControlOutput(), ControlOutput()
     other.emit(ReadReady(1))
     other.propose(FIRST)
--- a/tests/control/test_control_process.py
+++ b/tests/control/test_control_process.py
@@ -1,4 +1,4 @@
-"""A control process whose disk fills up goes on once there is room, without ending."""
+"""A control process without a usable disk, and one whose disk fills up, keep running."""
 
 import asyncio
 import errno
@@ -7,16 +7,17 @@
 
 import msgspec
 import pytest
+from update_builders import configuration_update
 
 from orchidpath.common.settings import ControlSettings
 from orchidpath.consensus.files import SimulatedFiles
 from orchidpath.control.api.operator_bodies import SubmitResult, SubmitStatus
 from orchidpath.control.process import ControlProcess
-from orchidpath.state.commands import SubmitConfiguration, configuration_digest
+from orchidpath.state.commands import SubmitConfiguration
 from orchidpath.wire.configuration import Configuration
 
 WAIT_SECONDS = 30.0
-"""Bound on every wait; none of them is a verdict by itself."""
+"""Upper bound of every wait, in seconds; no assertion depends on it."""
 
 
 def unused_address() -> str:
@@ -38,27 +39,23 @@
     )
 
 
-def order(number: int, base_version: int) -> SubmitConfiguration:
-    configuration = Configuration(label=number)
-    return SubmitConfiguration(
-        order_id=f"order-{number}",
-        base_version=base_version,
-        configuration=configuration,
-        digest=configuration_digest(base_version, configuration),
-    )
+def labelled_update(label: int, base_version: int) -> SubmitConfiguration:
+    return configuration_update(f"order-{label}", base_version, Configuration(label=label))
 
 
-async def submit_until_confirmed(process: ControlProcess, one: SubmitConfiguration) -> SubmitResult:
+async def submit_until_confirmed(
+    process: ControlProcess, update: SubmitConfiguration
+) -> SubmitResult:
     async with asyncio.timeout(WAIT_SECONDS):
         while True:
-            result = await process._access.submit(one)
+            result = await process._access.submit(update)
             if result.status is not SubmitStatus.UNAVAILABLE:
                 return result
             await asyncio.sleep(0.1)
 
 
-async def test_a_process_without_a_disk_follows_and_needs_no_files() -> None:
-    """Seen on the bench: machines that were added had no folder in which a file can be locked."""
+async def test_a_process_that_may_not_vote_needs_no_lockable_files() -> None:
+    """A bench run added machines without a folder in which a file can be locked."""
 
     class NoFiles(SimulatedFiles):
         def lock(self, path: str) -> None:
@@ -73,7 +70,7 @@
     await voter.start()
     await follower.start()
     try:
-        result = await submit_until_confirmed(follower, order(1, 0))
+        result = await submit_until_confirmed(follower, labelled_update(1, 0))
         assert result.status is SubmitStatus.CONFIRMED
         status = voter._access.status()
         assert len(status.voters) == 1
@@ -90,17 +87,17 @@
     process = ControlProcess(settings("c", address, address), files=files)
     await process.start()
     try:
-        first = await submit_until_confirmed(process, order(1, 0))
+        first = await submit_until_confirmed(process, labelled_update(1, 0))
         assert first.status is SubmitStatus.CONFIRMED
         files.capacity_bytes = 0
-        pending = asyncio.create_task(process._access.submit(order(2, 1)))
+        pending = asyncio.create_task(process._access.submit(labelled_update(2, 1)))
         await asyncio.wait({pending}, timeout=0.5)
         failure = asyncio.create_task(process.failure())
         await asyncio.wait({failure}, timeout=0.2)
         assert not failure.done(), "the process would have ended"
         failure.cancel()
         files.capacity_bytes = None
-        second = await submit_until_confirmed(process, order(2, 1))
+        second = await submit_until_confirmed(process, labelled_update(2, 1))
         assert second.status is SubmitStatus.CONFIRMED
         state = await process._access.read_state()
         assert state.configuration.label == 2
--- a/tests/control/test_leader_duties.py
+++ b/tests/control/test_leader_duties.py
@@ -1,4 +1,4 @@
-"""The duties of a leadership are asked in one order, and each message reaches its duty."""
+"""Leader duties: a fixed order within a tick, and dispatch of messages to their duty."""
 
 from random import Random
 
@@ -40,7 +40,7 @@
     return LeaderDuties(1, state, Random(1), 0.0)
 
 
-def test_a_tick_removes_workers_before_routers(duties: LeaderDuties) -> None:
+def test_a_tick_proposes_removals_of_workers_before_routers(duties: LeaderDuties) -> None:
     duties.tick(0.0)
     assert duties.output.take_proposals() == []
     duties.tick(ROUTER_REMOVAL_SECONDS + 1.0)
@@ -73,7 +73,7 @@
     assert isinstance(pushed, CircuitsView)
 
 
-def test_messages_reach_their_duties(duties: LeaderDuties) -> None:
+def test_messages_are_dispatched_to_their_duties(duties: LeaderDuties) -> None:
     duties.receive("r1", FleetUpdateRequest(adopted_revision=0), 0.0)
     ((_, update),) = sent_messages(duties.output)
     assert isinstance(update, FleetUpdate)
--- a/tests/control/test_liveness.py
+++ b/tests/control/test_liveness.py
@@ -1,10 +1,10 @@
-"""The leader's view of who was heard."""
+"""Liveness of workers and routers, as the leader sees it by their heartbeats."""
 
 from orchidpath.control.leadership.liveness import ROUTER_REMOVAL_SECONDS, LivenessTracker
 from orchidpath.wire.backend import WORKER_LEASE_SECONDS
 
 
-def test_a_new_leader_grants_a_full_lease_before_it_calls_anyone_gone() -> None:
+def test_a_new_leader_grants_a_full_lease_before_it_removes_a_worker() -> None:
     one = LivenessTracker()
     workers = {"w": "first"}
     assert one.silent_workers(workers, 10.0) == []
@@ -12,7 +12,7 @@
     assert one.silent_workers(workers, 10.1 + WORKER_LEASE_SECONDS) == [("w", "first", 0)]
 
 
-def test_a_late_announcement_does_not_count_as_a_word() -> None:
+def test_a_late_announcement_does_not_renew_a_lease() -> None:
     one = LivenessTracker()
     assert one.worker_heard("w", "first", 5, 10.0)
     assert not one.worker_heard("w", "first", 4, 20.0)
--- a/tests/control/test_local_access.py
+++ b/tests/control/test_local_access.py
@@ -1,8 +1,9 @@
-"""A control process without a leader answers its operators at once and keeps no waiting call."""
+"""A control process without a leader answers its operators at once; no call is left waiting."""
 
 import random
 
 import pytest
+from update_builders import configuration_update
 
 from orchidpath.common.clock import monotonic_seconds
 from orchidpath.consensus.raft_core import RaftCore
@@ -14,8 +15,6 @@
 from orchidpath.control.leadership.member_manager import MemberPolicy
 from orchidpath.control.replica.control_replica import ControlReplica
 from orchidpath.control.replica.replica_loop import ReplicaLoop
-from orchidpath.state.commands import SubmitConfiguration, configuration_digest
-from orchidpath.wire.configuration import Configuration
 from orchidpath.wire.messages import PlanAction, PlanActionStatus
 from orchidpath.wire.records import ControlMember
 
@@ -37,14 +36,7 @@
 async def test_an_update_that_could_not_be_forwarded_was_not_accepted(
     access: LocalControlAccess,
 ) -> None:
-    configuration = Configuration()
-    update = SubmitConfiguration(
-        order_id="a",
-        base_version=0,
-        configuration=configuration,
-        digest=configuration_digest(0, configuration),
-    )
-    result = await access.submit(update)
+    result = await access.submit(configuration_update())
     assert (result.status, result.accepted) == (SubmitStatus.UNAVAILABLE, Accepted.NO)
     assert not access._waiting
 
--- a/tests/control/test_member_manager.py
+++ b/tests/control/test_member_manager.py
@@ -11,54 +11,59 @@
 
 POLICY = MemberPolicy(target_voters=3, replace_after_seconds=8.0)
 ADDRESSES = {name: f"{name}:1" for name in "abcd"}
-WHOLE = Membership(("a", "b", "c"), ("d",), ADDRESSES)
+COMPLETE = Membership(("a", "b", "c"), ("d",), ADDRESSES)
 
 
 def change_or_none(
     manager: MemberManager,
     membership: Membership,
-    silent: Set[str] = frozenset(),
+    unreachable: Set[str] = frozenset(),
     now: float = 100.0,
 ) -> Membership | None:
-    return manager.next_change("a", membership, lambda node: 0.0 if node in silent else now, now)
+    return manager.next_change(
+        "a", membership, lambda node: 0.0 if node in unreachable else now, now
+    )
 
 
 def change(
     manager: MemberManager,
     membership: Membership,
-    silent: Set[str] = frozenset(),
+    unreachable: Set[str] = frozenset(),
     now: float = 100.0,
 ) -> Membership:
-    wanted = change_or_none(manager, membership, silent, now)
+    wanted = change_or_none(manager, membership, unreachable, now)
     assert wanted is not None
     return wanted
 
 
-def test_a_whole_membership_stays() -> None:
-    assert change_or_none(MemberManager(POLICY, 0.0), WHOLE) is None
+def test_a_complete_membership_is_unchanged() -> None:
+    assert change_or_none(MemberManager(POLICY, 0.0), COMPLETE) is None
 
 
 def test_a_lost_voter_is_replaced_in_two_steps() -> None:
     manager = MemberManager(POLICY, 0.0)
-    first = change(manager, WHOLE, silent={"c"})
+    first = change(manager, COMPLETE, unreachable={"c"})
     assert first.voters == ("a", "b", "c", "d")
-    second = change(manager, first, silent={"c"})
+    second = change(manager, first, unreachable={"c"})
     assert second.voters == ("a", "b", "d")
     assert "c" not in second.addresses
 
 
 def test_without_a_standby_a_lost_voter_stays() -> None:
     alone = Membership(("a", "b", "c"), (), ADDRESSES)
-    assert change_or_none(MemberManager(POLICY, 0.0), alone, silent={"c"}) is None
+    assert change_or_none(MemberManager(POLICY, 0.0), alone, unreachable={"c"}) is None
 
 
-def test_a_silent_standby_is_never_promoted() -> None:
-    assert change_or_none(MemberManager(POLICY, 0.0), WHOLE, silent={"c", "d"}, now=50.0) is None
+def test_an_unreachable_standby_is_never_promoted() -> None:
+    assert (
+        change_or_none(MemberManager(POLICY, 0.0), COMPLETE, unreachable={"c", "d"}, now=50.0)
+        is None
+    )
 
 
-def test_a_new_leader_counts_silence_from_its_own_start() -> None:
+def test_a_new_leader_counts_unreachable_time_from_its_own_start() -> None:
     manager = MemberManager(POLICY, 95.0)
-    assert change_or_none(manager, WHOLE, silent={"c"}) is None
+    assert change_or_none(manager, COMPLETE, unreachable={"c"}) is None
 
 
 def test_a_replica_that_asks_becomes_a_learner_and_then_a_voter() -> None:
@@ -70,33 +75,33 @@
     assert change(manager, joined).voters == ("a", "e")
 
 
-def test_a_learner_that_is_gone_for_long_is_forgotten() -> None:
+def test_a_learner_unreachable_for_long_is_removed() -> None:
     manager = MemberManager(POLICY, 0.0)
-    forgotten = change(manager, WHOLE, silent={"d"}, now=LEARNER_REMOVAL_SECONDS + 1)
-    assert forgotten.learners == ()
+    changed = change(manager, COMPLETE, unreachable={"d"}, now=LEARNER_REMOVAL_SECONDS + 1)
+    assert changed.learners == ()
 
 
 def test_a_voter_that_came_back_makes_its_replacement_a_standby_again() -> None:
     manager = MemberManager(POLICY, 0.0)
-    grown = change(manager, WHOLE, silent={"c"})
+    grown = change(manager, COMPLETE, unreachable={"c"})
     back = change(manager, grown)
     assert back.voters == ("a", "b", "c")
     assert back.learners == ("d",)
 
 
-def test_a_voter_whose_address_another_replica_took_is_replaced_at_once() -> None:
-    """Its machine came back with an empty disk; a second loss may follow within seconds."""
+def test_a_voter_whose_address_belongs_to_another_replica_is_replaced_at_once() -> None:
+    """Its machine restarted with an empty disk; a second loss may follow within seconds."""
     wiped = Membership(("a", "b", "c"), ("c2",), {**ADDRESSES, "c2": "c:1"})
     manager = MemberManager(POLICY, 0.0)
-    promoted = change(manager, wiped, silent={"c"}, now=1.0)
+    promoted = change(manager, wiped, unreachable={"c"}, now=1.0)
     assert promoted.voters == ("a", "b", "c", "c2")
-    removed = change(manager, promoted, silent={"c"}, now=1.0)
+    removed = change(manager, promoted, unreachable={"c"}, now=1.0)
     assert removed.voters == ("a", "b", "c2")
 
 
-def test_without_that_rule_the_lost_voter_would_stay_for_its_patience() -> None:
+def test_a_voter_whose_address_is_its_own_is_replaced_only_after_the_timeout() -> None:
     elsewhere = Membership(("a", "b", "c"), ("d",), ADDRESSES)
-    assert change_or_none(MemberManager(POLICY, 0.0), elsewhere, silent={"c"}, now=1.0) is None
+    assert change_or_none(MemberManager(POLICY, 0.0), elsewhere, unreachable={"c"}, now=1.0) is None
 
 
 def test_a_replica_without_a_disk_never_votes() -> None:
@@ -109,7 +114,7 @@
     assert wanted is None
 
 
-def test_a_silent_learner_whose_address_was_taken_leaves_soon() -> None:
+def test_an_unreachable_learner_whose_address_belongs_to_another_replica_is_removed_early() -> None:
     restarted = Membership(("a", "b", "c"), ("d", "d2"), {**ADDRESSES, "d2": "d:1"})
-    left = change(MemberManager(POLICY, 0.0), restarted, silent={"d"}, now=10.0)
+    left = change(MemberManager(POLICY, 0.0), restarted, unreachable={"d"}, now=10.0)
     assert left.learners == ("d2",)
--- a/tests/control/test_operator_api.py
+++ b/tests/control/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API over a control process that keeps its state in memory."""
+"""The operators' HTTP API over a control process with its replicated state in memory."""
 
 import asyncio
 import io
@@ -38,7 +38,7 @@
 CONFIGURATION = {"services": [{"name": "stock", "kind": "plain"}]}
 OTHER = {"services": [{"name": "board", "kind": "plain"}]}
 HANG_SECONDS = 20.0
-"""Only ends a test that hangs; no verdict depends on it otherwise."""
+"""Upper bound of a wait, in seconds; no assertion depends on it."""
 INVALID = {"services": [{"name": "", "kind": "plain"}], "unknown": 1}
 
 
@@ -59,14 +59,14 @@
         outcome = self.state.apply(self.state.applied_index + 1, encode_command(command)).outcome
         return outcome if isinstance(outcome, UpdateResult) else None
 
-    async def submit(self, order: SubmitConfiguration) -> SubmitResult:
-        self.proposed.append(order)
+    async def submit(self, update: SubmitConfiguration) -> SubmitResult:
+        self.proposed.append(update)
         if self.failure is not None:
             raise self.failure
         if self.result is not None:
             return self.result
         await asyncio.sleep(0)
-        applied = self.apply(order)
+        applied = self.apply(update)
         assert applied is not None
         match applied.outcome:
             case UpdateAccepted(version=version):
@@ -110,7 +110,7 @@
         yield running
 
 
-def order(order_id: str, base_version: int, configuration: object = CONFIGURATION) -> bytes:
+def update_body(order_id: str, base_version: int, configuration: object = CONFIGURATION) -> bytes:
     body = {"order_id": order_id, "base_version": base_version, "configuration": configuration}
     return json.dumps(body).encode()
 
@@ -125,8 +125,8 @@
     return response.status, await response.json()
 
 
-async def test_an_order_is_confirmed_and_read_back(client: Client) -> None:
-    assert await put(client, order("o1", 0)) == (
+async def test_an_update_is_confirmed_and_read_back(client: Client) -> None:
+    assert await put(client, update_body("o1", 0)) == (
         200,
         {"order_id": "o1", "version": 1, "confirmed": True},
     )
@@ -137,35 +137,35 @@
     assert [(entry["version"], entry["order_id"]) for entry in body["history"]] == [(1, "o1")]
 
 
-async def test_what_was_read_can_be_sent_back(client: Client) -> None:
-    await put(client, order("o1", 0))
+async def test_a_configuration_that_was_read_can_be_submitted(client: Client) -> None:
+    await put(client, update_body("o1", 0))
     _, body = await get(client, "/v1/configuration")
-    status, reply = await put(client, order("o2", body["version"], body["configuration"]))
+    status, reply = await put(client, update_body("o2", body["version"], body["configuration"]))
     assert (status, reply["version"]) == (200, 2)
 
 
-async def test_of_racing_operators_one_wins_and_the_others_learn_the_version(
+async def test_of_racing_updates_one_wins_and_the_others_get_the_current_version(
     client: Client,
 ) -> None:
-    answers = await asyncio.gather(*(put(client, order(f"o{n}", 0)) for n in range(8)))
-    assert sorted(status for status, _ in answers) == [200] + [409] * 7
-    refused = [body for status, body in answers if status == 409]
-    assert {body["error"]["code"] for body in refused} == {"version_conflict"}
-    assert {body["current_version"] for body in refused} == {1}
-
-
-async def test_a_repeated_order_gets_its_first_answer(client: Client, access: FakeAccess) -> None:
-    first = await put(client, order("o1", 0))
-    await put(client, order("o2", 1, OTHER))
-    # Written differently, but the same content.
-    spaced = json.dumps(json.loads(order("o1", 0)), indent=3).encode()
+    replies = await asyncio.gather(*(put(client, update_body(f"o{n}", 0)) for n in range(8)))
+    assert sorted(status for status, _ in replies) == [200] + [409] * 7
+    conflicts = [body for status, body in replies if status == 409]
+    assert {body["error"]["code"] for body in conflicts} == {"version_conflict"}
+    assert {body["current_version"] for body in conflicts} == {1}
+
+
+async def test_a_repeated_update_gets_its_first_reply(client: Client, access: FakeAccess) -> None:
+    first = await put(client, update_body("o1", 0))
+    await put(client, update_body("o2", 1, OTHER))
+    # The same content with other white space.
+    spaced = json.dumps(json.loads(update_body("o1", 0)), indent=3).encode()
     assert await put(client, spaced) == first
     assert access.state.configuration_version == 2
 
 
-async def test_a_reused_order_id_is_refused(client: Client, access: FakeAccess) -> None:
-    await put(client, order("o1", 0))
-    status, body = await put(client, order("o1", 1, OTHER))
+async def test_a_reused_update_id_is_rejected(client: Client, access: FakeAccess) -> None:
+    await put(client, update_body("o1", 0))
+    status, body = await put(client, update_body("o1", 1, OTHER))
     assert (status, body["error"]["code"], body["current_version"]) == (409, "order_id_reused", 1)
     assert access.state.configuration.services[0].name == "stock"
 
@@ -173,13 +173,13 @@
 async def test_an_invalid_configuration_is_never_proposed(
     client: Client, access: FakeAccess
 ) -> None:
-    status, body = await put(client, order("o1", 0, INVALID))
+    status, body = await put(client, update_body("o1", 0, INVALID))
     assert (status, body["error"]["code"]) == (422, "invalid_configuration")
     assert [problem["path"] for problem in body["problems"]] == ["services[0].name", "unknown"]
     assert access.proposed == []
     assert access.state.configuration_version == 0
-    # The id was not taken, so the corrected order may carry it.
-    assert (await put(client, order("o1", 0)))[0] == 200
+    # The rejected update does not occupy its id, so a corrected one may use it.
+    assert (await put(client, update_body("o1", 0)))[0] == 200
 
 
 @pytest.mark.parametrize(
@@ -193,54 +193,56 @@
         b'{"order_id": "o", "base_version": 0}',
         b'{"order_id": "o", "base_version": "0", "configuration": {}}',
         b'{"order_id": "o", "base_version": 0, "configuration": {}, "force": true}',
-        order("", 0),
-        order("a\nb", 0),
-        order("o" * 201, 0),
-        order("o", -1),
-        order("o", 2**60),
+        update_body("", 0),
+        update_body("a\nb", 0),
+        update_body("o" * 201, 0),
+        update_body("o", -1),
+        update_body("o", 2**60),
     ],
 )
-async def test_a_malformed_order_is_refused(
+async def test_a_malformed_update_is_rejected(
     client: Client, access: FakeAccess, body: bytes
 ) -> None:
-    status, answer = await put(client, body)
-    assert (status, answer["error"]["code"]) == (400, "malformed")
+    status, reply = await put(client, body)
+    assert (status, reply["error"]["code"]) == (400, "malformed")
     assert access.proposed == []
 
 
-async def test_taken_but_not_confirmed_is_said_so(client: Client, access: FakeAccess) -> None:
+async def test_an_accepted_update_that_is_not_confirmed_gets_202(
+    client: Client, access: FakeAccess
+) -> None:
     access.result = SubmitResult(status=SubmitStatus.ACCEPTED_NOT_CONFIRMED, version=3)
-    assert await put(client, order("o1", 2)) == (
+    assert await put(client, update_body("o1", 2)) == (
         202,
         {"order_id": "o1", "version": 3, "confirmed": False},
     )
 
 
-@pytest.mark.parametrize("taken", list(Accepted))
-async def test_without_a_leader_the_answer_says_what_is_known(
-    client: Client, access: FakeAccess, taken: Accepted
+@pytest.mark.parametrize("accepted", list(Accepted))
+async def test_without_a_leader_the_reply_says_whether_the_update_was_accepted(
+    client: Client, access: FakeAccess, accepted: Accepted
 ) -> None:
     access.result = SubmitResult(
-        status=SubmitStatus.UNAVAILABLE, accepted=taken, retry_after_seconds=1.5
+        status=SubmitStatus.UNAVAILABLE, accepted=accepted, retry_after_seconds=1.5
     )
-    response = await client.put("/v1/configuration", data=order("o1", 0))
+    response = await client.put("/v1/configuration", data=update_body("o1", 0))
     body = await response.json()
     assert (response.status, response.headers["Retry-After"]) == (503, "2")
-    assert (body["error"]["code"], body["error"]["taken"]) == ("no_leader", taken.value)
+    assert (body["error"]["code"], body["error"]["taken"]) == ("no_leader", accepted.value)
 
 
 @pytest.mark.parametrize("failure", [UnavailableError("lost"), RuntimeError("fault")])
-async def test_a_failed_submission_never_promises_that_it_was_not_taken(
+async def test_a_failed_submission_is_reported_as_unknown(
     client: Client, access: FakeAccess, failure: Exception
 ) -> None:
     access.failure = failure
-    status, body = await put(client, order("o1", 0))
+    status, body = await put(client, update_body("o1", 0))
     assert (status, body["error"]["taken"]) == (503, "unknown")
 
 
-async def test_orders_are_found_by_id(client: Client) -> None:
-    await put(client, order("o1", 0))
-    await put(client, order("o2", 0))
+async def test_updates_are_found_by_id(client: Client) -> None:
+    await put(client, update_body("o1", 0))
+    await put(client, update_body("o2", 0))
     assert await get(client, "/v1/orders/o1") == (
         200,
         {"order_id": "o1", "outcome": "accepted", "version": 1},
@@ -275,7 +277,7 @@
 
 
 @pytest.mark.parametrize("circuit", list(CircuitStatus))
-async def test_workers_are_shown_with_their_circuits(
+async def test_workers_are_listed_with_their_circuits(
     client: Client, access: FakeAccess, circuit: CircuitStatus
 ) -> None:
     for worker_id in ("w1", "w2"):
@@ -291,14 +293,14 @@
     )
     access.views = (view,)
     _, body = await get(client, "/v1/workers")
-    shown = [
+    listed = [
         (item["record"]["worker_id"], item["circuit"], item["retry_after_ms"], item["health"])
         for item in body["workers"]
     ]
-    assert shown == [("w1", circuit.value, 1500, 0.25), ("w2", "available", 0, 0.5)]
+    assert listed == [("w1", circuit.value, 1500, 0.25), ("w2", "available", 0, 0.5)]
 
 
-async def test_routers_and_members_are_shown(client: Client, access: FakeAccess) -> None:
+async def test_routers_and_members_are_listed(client: Client, access: FakeAccess) -> None:
     router = RouterRecord(router_id="r1", address="127.0.0.1:1", http_address="127.0.0.1:2")
     member = ControlMember(node_id="c1", address="127.0.0.1:3")
     access.apply(RegisterRouter(record=router))
@@ -323,7 +325,7 @@
     return json.dumps({"record": fields | changes, "sequence": 7}).encode()
 
 
-async def test_announcements_are_passed_on(client: Client, access: FakeAccess) -> None:
+async def test_announcements_are_forwarded(client: Client, access: FakeAccess) -> None:
     response = await client.post("/v1/workers/announce", data=announcement())
     assert (response.status, await response.json()) == (
         200,
@@ -347,7 +349,7 @@
         b'{"record": 1, "sequence": 1}',
     ],
 )
-async def test_malformed_announcements_are_refused(
+async def test_malformed_announcements_are_rejected(
     client: Client, access: FakeAccess, body: bytes
 ) -> None:
     response = await client.post("/v1/workers/announce", data=body)
@@ -367,7 +369,7 @@
     assert "sample_total 1.0" in await response.text()
 
 
-async def test_every_error_has_the_one_shape(
+async def test_every_error_has_the_common_form(
     client: Client, access: FakeAccess, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     status, body = await get(client, "/nowhere")
@@ -383,7 +385,7 @@
     assert (status, body["error"]["code"]) == (500, "internal")
 
 
-async def test_a_body_that_does_not_arrive_is_not_waited_for(
+async def test_a_body_that_does_not_arrive_times_out(
     client: Client, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(responses, "BODY_TIMEOUT_SECONDS", 0.0)
--- a/tests/control/test_operator_bodies_fuzz.py
+++ b/tests/control/test_operator_bodies_fuzz.py
@@ -1,4 +1,4 @@
-"""Bodies of operators' orders and workers' announcements, of any content."""
+"""Fuzzed bodies of configuration updates and worker announcements."""
 
 import json
 
@@ -32,7 +32,7 @@
 
 @FUZZ
 @given(st.binary(max_size=200))
-def test_random_bytes_are_refused(content: bytes) -> None:
+def test_random_bytes_are_rejected(content: bytes) -> None:
     for decode in (decode_submit, decode_announcement):
         with pytest.raises(MalformedRequestError):
             decode(content)
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(
     "content", [b"[" * 100_000, b'{"x":' * 100_000, b'"\xff"', b"", b"9" * 9999]
 )
-def test_nasty_bytes_are_refused(decode: object, content: bytes) -> None:
+def test_pathological_bytes_are_rejected(decode: object, content: bytes) -> None:
     assert callable(decode)
     with pytest.raises(MalformedRequestError):
         decode(content)
@@ -50,7 +50,9 @@
 
 @FUZZ
 @given(field=st.sampled_from(sorted(SUBMIT)), value=JSON_VALUES)
-def test_a_submit_with_any_field_is_refused_or_taken_as_it_is(field: str, value: object) -> None:
+def test_an_update_with_any_field_is_rejected_or_decoded_unchanged(
+    field: str, value: object
+) -> None:
     content = json.dumps({**SUBMIT, field: value}).encode()
     try:
         body = decode_submit(content)
@@ -64,7 +66,7 @@
 
 @FUZZ
 @given(field=st.sampled_from([*RECORD, "status", "models", "held"]), value=JSON_VALUES)
-def test_an_announcement_with_any_field_is_refused_or_taken_as_it_is(
+def test_an_announcement_with_any_field_is_rejected_or_decoded_unchanged(
     field: str, value: object
 ) -> None:
     content = json.dumps({**ANNOUNCEMENT, "record": {**RECORD, field: value}}).encode()
--- a/tests/control/test_plan_actions.py
+++ b/tests/control/test_plan_actions.py
@@ -2,6 +2,8 @@
 
 import random
 
+from update_builders import configuration_update
+
 from orchidpath.consensus.effects import PersistEntries
 from orchidpath.consensus.raft_core import RaftCore
 from orchidpath.consensus.types import Membership, RaftSettings, RestoredState, Role
@@ -15,7 +17,6 @@
 from orchidpath.control.replica.control_replica import ControlReplica
 from orchidpath.control.replica.pending_plan_actions import PendingPlanActions
 from orchidpath.placement.planner import make_preview
-from orchidpath.state.commands import SubmitConfiguration, configuration_digest
 from orchidpath.state.plans import PlanStatus
 from orchidpath.wire.backend import (
     Announcement,
@@ -36,8 +37,8 @@
 STEP_SECONDS = 0.05
 
 
-class OneControl:
-    """A fleet with a single control replica, and workers that obey every order at once."""
+class SingleControlFleet:
+    """A fleet with a single control replica, and workers that execute each command at once."""
 
     def __init__(self) -> None:
         self.now = 10.0
@@ -51,20 +52,20 @@
             generator,
         )
         member = ControlMember(node_id="c", address="c")
-        self.core = ControlReplica(member, raft, MemberPolicy(target_voters=1), 1, generator)
+        self.replica = ControlReplica(member, raft, MemberPolicy(target_voters=1), 1, generator)
         self.workers: dict[str, WorkerRecord] = {}
         self.sequence = 0
-        self.orders: list[WorkerCommand] = []
+        self.commands: list[WorkerCommand] = []
 
     def pass_time(self, seconds: float) -> list[ControlEffect]:
         effects: list[ControlEffect] = []
         for _ in range(round(seconds / STEP_SECONDS)):
             self.now += STEP_SECONDS
             self.announce()
-            found = self.core.tick(self.now)
+            found = self.replica.tick(self.now)
             for effect in found:
                 if isinstance(effect, SendWorkerCommand):
-                    self.obey(effect.command)
+                    self.execute(effect.command)
             effects += found
         return effects
 
@@ -73,30 +74,32 @@
         announcements = tuple(
             Announcement(record=worker, sequence=self.sequence) for worker in self.workers.values()
         )
-        self.core.receive("c", ForwardedAnnouncements(announcements=announcements), self.now)
+        self.replica.receive("c", ForwardedAnnouncements(announcements=announcements), self.now)
 
-    def obey(self, order: WorkerCommand) -> None:
-        worker = self.workers[order.worker_id]
-        self.orders.append(order)
+    def execute(self, command: WorkerCommand) -> None:
+        worker = self.workers[command.worker_id]
+        self.commands.append(command)
         status = (
-            WorkerStatus.READY if order.kind is WorkerCommandKind.RESUME else WorkerStatus.DRAINING
+            WorkerStatus.READY
+            if command.kind is WorkerCommandKind.RESUME
+            else WorkerStatus.DRAINING
         )
-        self.workers[order.worker_id] = WorkerRecord(
+        self.workers[command.worker_id] = WorkerRecord(
             worker_id=worker.worker_id,
             incarnation=worker.incarnation,
             service=worker.service,
-            stage=order.stage or worker.stage,
+            stage=command.stage or worker.stage,
             url=worker.url,
             status=status,
         )
         reply = WorkerCommandReply(
-            accepted=True, highest_term=order.term, highest_sequence=order.sequence
+            accepted=True, highest_term=command.term, highest_sequence=command.sequence
         )
-        self.core.worker_command_answered(order, reply, self.now)
+        self.replica.worker_command_answered(command, reply, self.now)
 
     def form(self) -> None:
         self.pass_time(3.0)
-        assert self.core.is_leader
+        assert self.replica.is_leader
         for number in range(4):
             stage = Stage.PREFILL if number < 3 else Stage.DECODE
             self.workers[f"w{number}"] = WorkerRecord(
@@ -106,16 +109,12 @@
         service = Service(
             name="chat", kind=ServiceKind.MODEL, models=["m"], prefill_workers=1, decode_workers=3
         )
-        configuration = Configuration(services=[service])
-        digest = configuration_digest(0, configuration)
-        order = SubmitConfiguration(
-            order_id="c", base_version=0, configuration=configuration, digest=digest
-        )
-        self.core.submit(1, order, self.now)
+        update = configuration_update("c", 0, Configuration(services=[service]))
+        self.replica.submit(1, update, self.now)
         self.pass_time(0.2)
 
     def plan_id(self) -> str:
-        return make_preview(self.core.state.view()).plan.plan_id
+        return make_preview(self.replica.state.view()).plan.plan_id
 
 
 def request(plan_id: str, order_id: str = "one", correlation: int = 5) -> PlanActionRequest:
@@ -137,55 +136,55 @@
 
 
 def test_a_confirmed_plan_runs_from_the_leaders_ticks() -> None:
-    one = OneControl()
-    one.form()
-    plan_id = one.plan_id()
-    effects = one.core.request_plan_action(7, request(plan_id), one.now)
+    fleet = SingleControlFleet()
+    fleet.form()
+    plan_id = fleet.plan_id()
+    effects = fleet.replica.request_plan_action(7, request(plan_id), fleet.now)
     assert answers(effects) == [PlanActionAnswered(7, PlanActionStatus.ACCEPTED)]
     persisted = next(
         number for number, effect in enumerate(effects) if isinstance(effect, PersistEntries)
     )
-    assert persisted < effects.index(answers(effects)[0]), "answered before it was synced"
-    one.pass_time(20.0)
-    assert one.core.state.plan is not None
-    assert one.core.state.plan.progress.status is PlanStatus.DONE
-    stages = sorted(worker.stage for worker in one.core.state.workers())
+    assert persisted < effects.index(answers(effects)[0]), "answered before the entry was persisted"
+    fleet.pass_time(20.0)
+    assert fleet.replica.state.plan is not None
+    assert fleet.replica.state.plan.progress.status is PlanStatus.DONE
+    stages = sorted(worker.stage for worker in fleet.replica.state.workers())
     assert stages == [Stage.DECODE, Stage.DECODE, Stage.DECODE, Stage.PREFILL]
-    assert [order.kind for order in one.orders] == [
+    assert [command.kind for command in fleet.commands] == [
         WorkerCommandKind.DRAIN,
         WorkerCommandKind.SET_STAGE,
         WorkerCommandKind.RESUME,
     ] * 2
-    assert {order.term for order in one.orders} == {one.core.raft.term}
+    assert {command.term for command in fleet.commands} == {fleet.replica.raft.term}
 
 
-def test_a_forwarded_order_is_answered_to_the_process_that_forwarded_it() -> None:
-    one = OneControl()
-    one.form()
-    plan_id = one.plan_id()
-    stale = one.core.receive("d", request("other", "early", 3), one.now)
+def test_a_forwarded_action_is_answered_to_the_process_that_forwarded_it() -> None:
+    fleet = SingleControlFleet()
+    fleet.form()
+    plan_id = fleet.plan_id()
+    stale = fleet.replica.receive("d", request("other", "early", 3), fleet.now)
     assert replies(stale) == [("d", PlanActionReply(correlation=3, answer=PlanActionStatus.STALE))]
     for _ in range(2):
-        taken = one.core.receive("d", request(plan_id), one.now)
-        assert replies(taken) == [
+        accepted = fleet.replica.receive("d", request(plan_id), fleet.now)
+        assert replies(accepted) == [
             ("d", PlanActionReply(correlation=5, answer=PlanActionStatus.ACCEPTED))
         ]
-    refused = one.core.receive("d", request(plan_id, "two", 6), one.now)
-    assert replies(refused)[0][1].answer is PlanActionStatus.REFUSED
-    again = one.core.receive("d", request("other", "early", 4), one.now)
+    rejected = fleet.replica.receive("d", request(plan_id, "two", 6), fleet.now)
+    assert replies(rejected)[0][1].answer is PlanActionStatus.REFUSED
+    again = fleet.replica.receive("d", request("other", "early", 4), fleet.now)
     assert replies(again)[0][1].answer is PlanActionStatus.STALE
 
 
-def test_a_process_that_does_not_lead_takes_no_order() -> None:
-    one = OneControl()
-    assert one.core.raft.role is not Role.LEADER
-    (answer,) = answers(one.core.request_plan_action(7, request("any"), one.now))
+def test_a_process_that_does_not_lead_rejects_actions() -> None:
+    fleet = SingleControlFleet()
+    assert fleet.replica.raft.role is not Role.LEADER
+    (answer,) = answers(fleet.replica.request_plan_action(7, request("any"), fleet.now))
     assert answer.answer is PlanActionStatus.REJECTED
 
 
-def test_an_order_is_unknown_when_leadership_is_lost_before_it_was_applied() -> None:
-    book = PendingPlanActions()
-    book.proposed(7, index=3, term=1)
-    (answer,) = book.leadership_lost()
+def test_an_action_is_unknown_when_leadership_is_lost_before_it_was_applied() -> None:
+    pending = PendingPlanActions()
+    pending.proposed(7, index=3, term=1)
+    (answer,) = pending.leadership_lost()
     assert (answer.key, answer.answer) == (7, PlanActionStatus.UNKNOWN)
-    assert not book.leadership_lost()
+    assert not pending.leadership_lost()
--- a/tests/control/test_plan_api.py
+++ b/tests/control/test_plan_api.py
@@ -1,10 +1,11 @@
-"""The operators' API for plans: statuses, bodies and the client, over a state in memory."""
+"""The operators' HTTP API for plans and its client, over a replicated state in memory."""
 
 from collections.abc import AsyncIterator
 
 import prometheus_client
 import pytest
 from aiohttp.test_utils import TestServer
+from update_builders import configuration_update
 
 from orchidpath.circuit.circuit_table import WorkerCircuitView
 from orchidpath.consensus.types import Role
@@ -24,7 +25,6 @@
     Command,
     SubmitConfiguration,
     WorkerChanged,
-    configuration_digest,
     encode_command,
 )
 from orchidpath.state.fleet_state import FleetState
@@ -37,7 +37,7 @@
 
 
 class FakeAccess(ControlAccess, PlanAccess):
-    """A control process that is its own leader; it can lose its answer or be without a leader."""
+    """A leading control process; its reply can be lost, and its leader can be unavailable."""
 
     def __init__(self) -> None:
         self.state = FleetState()
@@ -68,7 +68,7 @@
             raise UnavailableError("no leader")
         return self.state
 
-    async def submit(self, order: SubmitConfiguration) -> SubmitResult:
+    async def submit(self, update: SubmitConfiguration) -> SubmitResult:
         raise NotImplementedError
 
     async def circuits(self) -> tuple[WorkerCircuitView, ...]:
@@ -96,13 +96,7 @@
     service = Service(
         name="chat", kind=ServiceKind.MODEL, models=["m"], prefill_workers=2, decode_workers=2
     )
-    configuration = Configuration(services=[service])
-    digest = configuration_digest(0, configuration)
-    made.apply(
-        SubmitConfiguration(
-            order_id="c", base_version=0, configuration=configuration, digest=digest
-        )
-    )
+    made.apply(configuration_update("c", 0, Configuration(services=[service])))
     return made
 
 
@@ -114,13 +108,13 @@
         yield made
 
 
-async def test_a_shown_plan_can_be_confirmed_and_steered(
+async def test_a_previewed_plan_can_be_confirmed_halted_and_resumed(
     access: FakeAccess, client: OperatorClient
 ) -> None:
-    shown = await client.plan()
-    assert shown.newest is None
-    plan_id = shown.preview.plan.plan_id
-    assert len(shown.preview.steps) == 1
+    before = await client.plan()
+    assert before.newest is None
+    plan_id = before.preview.plan.plan_id
+    assert len(before.preview.steps) == 1
     for _ in range(2):
         reply = await client.request_plan_action(PlanAction.CONFIRM, plan_id, "one")
         assert (reply.plan_id, reply.order_id) == (plan_id, "one")
@@ -133,30 +127,30 @@
     assert statuses == [PlanStatus.HALTED, PlanStatus.RUNNING, PlanStatus.CANCELLED]
 
 
-async def test_a_stale_plan_is_refused_with_the_one_that_holds_now(
+async def test_a_stale_plan_is_rejected_with_the_current_preview(
     access: FakeAccess, client: OperatorClient
 ) -> None:
-    shown = await client.plan()
+    before = await client.plan()
     announce(access, "w9", Stage.PREFILL)
-    with pytest.raises(PlanRefusedError) as refusal:
-        await client.request_plan_action(PlanAction.CONFIRM, shown.preview.plan.plan_id, "one")
-    body = refusal.value.body
+    with pytest.raises(PlanRefusedError) as rejection:
+        await client.request_plan_action(PlanAction.CONFIRM, before.preview.plan.plan_id, "one")
+    body = rejection.value.body
     assert body.error.code is OperatorErrorCode.PLAN_STALE
     assert body.preview == (await client.plan()).preview
-    assert body.preview != shown.preview
+    assert body.preview != before.preview
     assert access.state.plan is None
 
 
-async def test_a_refusal_names_its_reason(client: OperatorClient) -> None:
-    with pytest.raises(PlanRefusedError, match="not running") as refusal:
+async def test_a_rejection_states_its_reason(client: OperatorClient) -> None:
+    with pytest.raises(PlanRefusedError, match="not running") as rejection:
         await client.request_plan_action(PlanAction.HALT, "none", "one")
-    assert refusal.value.body.error.code is OperatorErrorCode.PLAN_REFUSED
-    with pytest.raises(PlanRefusedError) as refusal:
+    assert rejection.value.body.error.code is OperatorErrorCode.PLAN_REFUSED
+    with pytest.raises(PlanRefusedError) as rejection:
         await client.request_plan_action(PlanAction.CANCEL, "none", "one")
-    assert refusal.value.body.error.code is OperatorErrorCode.ORDER_ID_REUSED
+    assert rejection.value.body.error.code is OperatorErrorCode.ORDER_ID_REUSED
 
 
-async def test_an_order_of_unknown_outcome_is_never_called_not_taken(
+async def test_an_action_of_unknown_outcome_is_never_reported_as_rejected(
     access: FakeAccess, client: OperatorClient
 ) -> None:
     access.result = PlanActionResult(answer=PlanActionStatus.REJECTED)
@@ -170,7 +164,7 @@
         await client.request_plan_action(PlanAction.CONFIRM, "any", "one")
 
 
-async def test_malformed_orders_are_refused(client: OperatorClient) -> None:
-    with pytest.raises(PlanRefusedError) as refusal:
+async def test_malformed_plan_actions_are_rejected(client: OperatorClient) -> None:
+    with pytest.raises(PlanRefusedError) as rejection:
         await client.request_plan_action(PlanAction.CONFIRM, "", "one")
-    assert refusal.value.body.error.code is OperatorErrorCode.MALFORMED
+    assert rejection.value.body.error.code is OperatorErrorCode.MALFORMED
--- a/tests/control/test_plan_processes.py
+++ b/tests/control/test_plan_processes.py
@@ -1,4 +1,4 @@
-"""A plan on loopback: control processes and stand-in workers, with a leader lost on the way."""
+"""A plan on loopback: control processes and emulated workers; the leader stops midway."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 from orchidpath.wire.records import Stage, WorkerRecord
 
 WAIT_SECONDS = 30.0
-"""Bound on every wait; none of them is a verdict by itself."""
+"""Upper bound of every wait, in seconds; no assertion depends on it."""
 
 CONFIGURATION = {
     "services": [
@@ -115,12 +115,12 @@
         await made.stop()
 
 
-async def eventually(what: Callable[[], Awaitable[bool]]) -> None:
-    """Wait until something holds; a control tier that can't answer counts as not yet."""
+async def eventually(condition: Callable[[], Awaitable[bool]]) -> None:
+    """Wait until a condition is true; an error of the control tier counts as false."""
     async with asyncio.timeout(WAIT_SECONDS):
         while True:
             with contextlib.suppress(OrchidpathError):
-                if await what():
+                if await condition():
                     return
             await asyncio.sleep(0.05)
 
@@ -154,7 +154,7 @@
         stages = sorted(worker.core.record.stage for worker in fleet.workers)
         assert stages == [Stage.DECODE, Stage.DECODE, Stage.DECODE, Stage.PREFILL]
         assert not any(worker.core.draining for worker in fleet.workers)
-        # The order that the lost leader took still has its first outcome.
+        # The action that the lost leader accepted still has its first outcome.
         await client.request_plan_action(PlanAction.CONFIRM, plan_id, "two")
         newest = (await client.plan()).newest
         assert newest is not None
--- a/tests/control/test_router_leases.py
+++ b/tests/control/test_router_leases.py
@@ -1,4 +1,4 @@
-"""A leader renews the leases of routers, registers new ones and removes silent ones."""
+"""A leader renews the leases of routers, registers new ones and removes unreachable ones."""
 
 import pytest
 from leadership_builders import (
@@ -57,7 +57,7 @@
     assert leadership.output.take_proposals() == [registration]
 
 
-def test_a_router_that_is_silent_for_too_long_is_removed(leadership: Leadership) -> None:
+def test_a_router_without_heartbeats_for_too_long_is_removed(leadership: Leadership) -> None:
     apply_command(leadership.state, RegisterRouter(record=router_record()))
     leadership.leases.renew(router_heartbeat(), 0.0)
     leadership.leases.propose_removals(ROUTER_REMOVAL_SECONDS)
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -1,7 +1,7 @@
-"""The leader's moves of workers between stages: cordon, command, uncordon; one leader at a time."""
+"""Stage changes by the leader: cordon, command, uncordon; at most one leader at a time."""
 
 import msgspec
-from stage_builders import split_configuration
+from stage_builders import model_worker, split_configuration
 
 from orchidpath.control.leadership.stage_balancer import (
     COMMAND_REPEAT_SECONDS,
@@ -21,19 +21,19 @@
 )
 from orchidpath.state.fleet_state import FleetState
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
-from orchidpath.wire.records import Stage, WorkerRecord
+from orchidpath.wire.records import Stage
 
 STEP_SECONDS = 0.25
 
 
 class World:
-    """A replicated state, one leader's balancer, and workers that obey when told to."""
+    """A replicated state, the balancer of one leader, and workers that execute on request."""
 
     def __init__(self, prefill: int, decode: int) -> None:
         self.state = FleetState()
         self.now = 0.0
         self.confirms = True
-        self.orders: list[WorkerCommand] = []
+        self.commands: list[WorkerCommand] = []
         self.apply(split_configuration())
         stages = [Stage.PREFILL] * prefill + [Stage.DECODE] * decode
         for number, stage in enumerate(stages):
@@ -48,14 +48,7 @@
         self.state.apply(self.state.applied_index + 1, encode_command(command))
 
     def announce(self, worker_id: str, stage: Stage, sequence: int) -> None:
-        record = WorkerRecord(
-            worker_id=worker_id,
-            incarnation="1",
-            service="s",
-            stage=stage,
-            url=f"http://{worker_id}",
-            models=("m",),
-        )
+        record = model_worker(worker_id, "1", stage)
         self.apply(WorkerChanged(record=record, sequence=sequence))
 
     def run(self, seconds: float) -> None:
@@ -66,79 +59,79 @@
             self.balancer.tick(confirmed, self.now)
             for effect in self.output.take_effects():
                 assert isinstance(effect, SendWorkerCommand)
-                self.orders.append(effect.command)
+                self.commands.append(effect.command)
             for command in self.output.take_proposals():
                 assert isinstance(command, CordonWorker)
                 self.apply(command)
 
-    def obey(self, order: WorkerCommand) -> None:
+    def execute(self, command: WorkerCommand) -> None:
         reply = WorkerCommandReply(
-            accepted=True, highest_term=order.term, highest_sequence=order.sequence
+            accepted=True, highest_term=command.term, highest_sequence=command.sequence
         )
-        self.balancer.command_answered(order, reply)
-        assert order.stage is not None
-        self.announce(order.worker_id, order.stage, 2)
+        self.balancer.command_answered(command, reply)
+        assert command.stage is not None
+        self.announce(command.worker_id, command.stage, 2)
 
     def cordoned(self) -> list[str]:
         return [worker.worker_id for worker in self.state.workers() if worker.cordoned]
 
 
-def test_a_surplus_is_held_ordered_and_released() -> None:
+def test_surplus_workers_are_cordoned_commanded_and_uncordoned() -> None:
     world = World(prefill=4, decode=5)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     assert len(world.cordoned()) == 3
-    assert sorted({order.worker_id for order in world.orders}) == sorted(world.cordoned())
-    for order in list(world.orders):
-        world.obey(order)
+    assert sorted({command.worker_id for command in world.commands}) == sorted(world.cordoned())
+    for command in list(world.commands):
+        world.execute(command)
     world.run(1.0)
     assert world.cordoned() == []
     stages = [worker.stage for worker in world.state.workers()]
     assert stages.count(Stage.DECODE) == 2
 
 
-def test_a_new_leader_orders_nothing_while_an_order_may_be_on_its_way() -> None:
+def test_a_new_leader_sends_no_command_while_an_earlier_one_may_be_in_transit() -> None:
     world = World(prefill=4, decode=5)
     world.run(TAKEOVER_SECONDS - STEP_SECONDS)
     assert world.cordoned() == []
-    assert world.orders == []
+    assert world.commands == []
 
 
-def test_no_order_goes_out_before_every_router_knows_of_the_hold() -> None:
+def test_no_command_is_sent_before_the_cordon_is_confirmed() -> None:
     world = World(prefill=4, decode=5)
     world.confirms = False
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     assert world.cordoned()
-    assert world.orders == []
+    assert world.commands == []
 
 
-def test_an_order_without_an_answer_is_sent_again_under_the_same_fence() -> None:
+def test_a_command_without_a_reply_is_repeated_in_the_same_term() -> None:
     world = World(prefill=4, decode=3)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0 + 2 * COMMAND_REPEAT_SECONDS)
-    assert len(world.orders) >= 2
-    assert {order.term for order in world.orders} == {1}
-    assert len({order.sequence for order in world.orders}) == len(world.orders)
+    assert len(world.commands) >= 2
+    assert {command.term for command in world.commands} == {1}
+    assert len({command.sequence for command in world.commands}) == len(world.commands)
 
 
-def test_a_worker_that_never_moves_is_released() -> None:
+def test_a_worker_that_never_changes_its_stage_is_uncordoned() -> None:
     world = World(prefill=4, decode=3)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     assert world.cordoned() == ["w4"]
     world.run(MOVE_SECONDS)
-    assert "w4" not in world.cordoned() or world.orders[-1].worker_id == "w4"
+    assert "w4" not in world.cordoned() or world.commands[-1].worker_id == "w4"
 
 
-def test_a_successor_releases_whom_its_predecessor_held() -> None:
+def test_a_new_leader_uncordons_workers_cordoned_by_its_predecessor() -> None:
     world = World(prefill=4, decode=3)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     assert world.cordoned() == ["w4"]
     world.lead(2)
-    world.orders.clear()
+    world.commands.clear()
     world.run(TAKEOVER_SECONDS + STEP_SECONDS)
     assert world.cordoned() == []
-    assert world.orders == []
+    assert world.commands == []
 
 
-def test_a_set_of_workers_that_still_changes_moves_nobody() -> None:
+def test_no_worker_is_moved_while_the_set_of_workers_changes() -> None:
     world = World(prefill=4, decode=5)
     for number in range(20, 30):
         world.run(1.0)
@@ -146,16 +139,16 @@
     assert world.cordoned() == []
 
 
-def test_without_a_decode_worker_little_time_is_lost() -> None:
+def test_without_a_decode_worker_the_quiet_period_is_short() -> None:
     world = World(prefill=3, decode=0)
     world.run(TAKEOVER_SECONDS)
     world.announce("w9", Stage.PREFILL, 1)
     world.run(URGENT_QUIET_PERIOD_SECONDS + 4 * STEP_SECONDS)
-    assert world.orders
-    assert world.orders[0].stage is Stage.DECODE
+    assert world.commands
+    assert world.commands[0].stage is Stage.DECODE
 
 
-def test_a_leaving_worker_ends_its_move() -> None:
+def test_a_restarted_worker_ends_its_stage_change() -> None:
     world = World(prefill=4, decode=3)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     entry = world.state.find_worker("w4")
@@ -163,4 +156,4 @@
     changed = msgspec.structs.replace(entry.record, incarnation="2", cordoned=False)
     world.apply(WorkerChanged(record=changed, sequence=1))
     world.run(1.0)
-    assert len(world.orders) >= 1
+    assert len(world.commands) >= 1
--- a/tests/control/test_update_publisher.py
+++ b/tests/control/test_update_publisher.py
@@ -1,4 +1,4 @@
-"""What a leader sends to routers that lack something of the view."""
+"""Fleet updates that a leader sends to routers behind its revision."""
 
 from leadership_builders import apply_command, router_record, sent_messages
 
@@ -36,8 +36,8 @@
         return updates
 
 
-def test_routers_that_lack_the_same_get_one_and_the_same_update() -> None:
-    """After a restart of the whole fleet all ask at once: the view is made and encoded once."""
+def test_routers_at_one_revision_get_the_same_update_object() -> None:
+    """After a restart of the fleet all routers ask at once; the view is encoded once."""
     fixture = PublisherFixture()
     fixture.register(1)
     first = fixture.request("r1", 0)
--- a/tests/control/test_worker_liveness.py
+++ b/tests/control/test_worker_liveness.py
@@ -51,7 +51,7 @@
     assert leadership.announce(Announcement(record=restarted, sequence=4)) == []
 
 
-def test_a_leaving_worker_is_removed_once_whatever_is_still_on_its_way(
+def test_a_leaving_worker_is_removed_once_despite_announcements_in_transit(
     leadership: Leadership,
 ) -> None:
     leaving = Announcement(record=worker_record(), sequence=2, leaving=True)
--- a/tests/guards/left_out_guards.py
+++ b/tests/guards/left_out_guards.py
@@ -13,11 +13,11 @@
 
 
 class GuardTextError(Exception):
-    """The text of an edit does not stand exactly once in its file."""
+    """The text of an edit does not occur exactly once in its file."""
 
 
 class Edit(NamedTuple):
-    """Lines that keep a rule, and what stands in their place without it."""
+    """Lines that enforce a rule, and their replacement without it."""
 
     file: str
     text: str
@@ -25,7 +25,7 @@
 
 
 class LeftOutGuard(NamedTuple):
-    """One guard: the rule that it keeps, the tests that must notice, and how it is left out."""
+    """One guard: the rule that it enforces, the tests that must fail, and its edits."""
 
     name: str
     rule: str
@@ -53,7 +53,7 @@
     Raises
     ------
     GuardTextError
-        The text does not stand there exactly once.
+        The text does not occur there exactly once.
     """
     source = (root / edit.file).read_text()
     found = source.count(edit.text)
--- a/tests/guards/test_left_out.py
+++ b/tests/guards/test_left_out.py
@@ -1,4 +1,4 @@
-"""The table of guards fits the sources, so that leaving one out tries what it says."""
+"""The table of guards matches the sources: each edit applies once, each named test exists."""
 
 import ast
 from pathlib import Path
@@ -16,7 +16,9 @@
 
 
 @pytest.mark.parametrize("guard", GUARDS, ids=[guard.name for guard in GUARDS])
-def test_a_guard_stands_once_in_its_file_and_its_tests_exist(guard: LeftOutGuard) -> None:
+def test_the_text_of_a_guard_occurs_once_in_its_file_and_its_tests_exist(
+    guard: LeftOutGuard,
+) -> None:
     assert guard.edits
     assert guard.tests
     for edit in guard.edits:
@@ -29,7 +31,7 @@
         assert not name or name.partition("[")[0] in names
 
 
-def test_a_text_that_is_gone_is_named() -> None:
+def test_a_text_absent_from_its_file_is_reported() -> None:
     edit = Edit("src/orchidpath/__init__.py", "never stood here", "")
     with pytest.raises(GuardTextError, match=r"orchidpath/__init__\.py: 0 times"):
         without(edit)
--- a/tests/wire/test_link_fault_file_fuzz.py
+++ b/tests/wire/test_link_fault_file_fuzz.py
@@ -57,7 +57,7 @@
 
 @FUZZ
 @given(content=st.binary(min_size=1, max_size=200))
-def test_random_bytes_are_refused(tmp_path: Path, content: bytes) -> None:
+def test_random_bytes_are_rejected(tmp_path: Path, content: bytes) -> None:
     taken, _ = read(tmp_path, content)
     assert not taken
 
