--- a/tests/processes/test_real_processes.py
+++ b/tests/processes/test_real_processes.py
@@ -1,8 +1,8 @@
-"""Real processes are killed, frozen, emptied and cut off, and callers keep every promise.
+"""Responses to callers while real processes are killed, frozen, partitioned, or lose their disk.
 
-Each run is the local fleet with a fault script. What is asserted does not depend on how fast the
-machine is: nothing ran twice, nothing was answered wrongly, no cut stream looked complete, and
-what was refused was refused honestly.
+Each run is the local fleet with a fault script. The assertions do not depend on the speed of the
+machine: no request ran twice, no response had wrong content, no aborted stream looked complete,
+and no request that was rejected as not executed was executed.
 """
 
 import json
@@ -133,8 +133,10 @@
     "disk_lost_twice": fault(2, "replace_disk", "leader") + fault(14, "replace_disk", "leader"),
     "worker_killed": fault(2, "kill", "write-1", 3) + fault(4, "kill", "read-1", 3),
     "router_killed": fault(2, "kill", "router-b", 2),
-    "control_tier_stopped": "".join(fault(2, "stop", f"control-{one}", 5) for one in "abcd"),
-    "one_machine_cut_off": fault(2, "cut", "a", 6),
+    "control_tier_stopped": "".join(
+        fault(2, "stop", f"control-{machine}", 5) for machine in "abcd"
+    ),
+    "one_machine_partitioned": fault(2, "cut", "a", 6),
 }
 
 SECONDS = {"leader_frozen_for_over_20_seconds": 26, "disk_lost_twice": 24}
@@ -142,7 +144,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(SCRIPTS))
-def test_every_promise_is_kept(name: str, tmp_path: Path) -> None:
+def test_callers_get_correct_responses_under_faults(name: str, tmp_path: Path) -> None:
     file = tmp_path / "fleet.toml"
     file.write_text(FLEET + SCRIPTS[name])
     summary = run_fleet(file, SECONDS.get(name, DEFAULT_SECONDS))
--- a/tests/simulation/test_exchanges.py
+++ b/tests/simulation/test_exchanges.py
@@ -1,4 +1,6 @@
-"""Simulated exchanges keep order, lose nothing while they stand, and end as connections do."""
+"""Simulated exchanges: messages in order and once; failures as on real connections."""
+
+import pytest
 
 from orchidpath.simulation.requests.exchanges import PARTITIONED_LINK_SECONDS, Exchange, Exchanges
 from orchidpath.simulation.world import NetworkFaults, SimulatedProcess, World
@@ -9,7 +11,7 @@
     def __init__(self, world: World, address: str, exchanges: Exchanges) -> None:
         super().__init__(world, address)
         self.exchanges = exchanges
-        self.got: list[object] = []
+        self.received: list[object] = []
         self.broken = 0
         self.start()
 
@@ -45,7 +47,7 @@
     def connected(self, exchange: Exchange) -> None:
         self.opened.append(exchange)
         for end, peer in ((exchange.client, self.client), (exchange.server, self.server)):
-            end.on_message = peer.got.append
+            end.on_message = peer.received.append
             end.on_broken = peer.note_broken
 
     def note_failed(self) -> None:
@@ -59,76 +61,74 @@
         self.world.run_until(self.world.time + seconds)
 
 
-def test_messages_arrive_in_order_and_once_on_a_bad_network() -> None:
-    pair = Pair()
+@pytest.fixture
+def pair() -> Pair:
+    return Pair()
+
+
+def test_messages_arrive_in_order_and_once_on_a_bad_network(pair: Pair) -> None:
     exchange = pair.open()
     pair.world.network = NetworkFaults(loss=0.3, duplication=0.5, late=0.3)
     for number in range(50):
         exchange.send(number)
     pair.wait(60.0)
-    assert pair.server.got == list(range(50))
+    assert pair.server.received == list(range(50))
 
 
-def test_what_was_sent_arrives_after_its_sender_died() -> None:
-    pair = Pair()
+def test_a_sent_message_arrives_after_its_sender_died(pair: Pair) -> None:
     exchange = pair.open()
-    exchange.send("order")
+    exchange.send("request")
     pair.client.kill()
     pair.wait(1.0)
-    assert pair.server.got == ["order"]
+    assert pair.server.received == ["request"]
     assert pair.server.broken == 1
 
 
-def test_a_frozen_server_takes_the_order_late() -> None:
-    pair = Pair()
+def test_a_frozen_server_receives_the_message_late(pair: Pair) -> None:
     exchange = pair.open()
     pair.server.freeze(5.0)
-    exchange.send("order")
+    exchange.send("request")
     pair.wait(4.0)
-    assert pair.server.got == []
+    assert pair.server.received == []
     pair.wait(2.0)
-    assert pair.server.got == ["order"]
+    assert pair.server.received == ["request"]
 
 
-def test_a_restarted_server_gets_nothing_of_an_older_connection() -> None:
-    pair = Pair()
+def test_a_restarted_server_receives_nothing_of_an_older_connection(pair: Pair) -> None:
     exchange = pair.open()
     pair.server.kill()
     pair.server.start()
-    exchange.send("order")
+    exchange.send("request")
     pair.wait(1.0)
-    assert pair.server.got == []
+    assert pair.server.received == []
     assert pair.client.broken == 1
 
 
-def test_a_cut_link_ends_the_exchange_after_a_while_and_a_short_cut_does_not() -> None:
-    pair = Pair()
+def test_a_long_partition_ends_the_exchange_and_a_short_one_does_not(pair: Pair) -> None:
     exchange = pair.open()
     pair.world.cut("client", "server")
     exchange.send("first")
     pair.wait(PARTITIONED_LINK_SECONDS / 2)
     pair.world.partitioned_links.clear()
     pair.wait(1.0)
-    assert pair.server.got == ["first"]
+    assert pair.server.received == ["first"]
     pair.world.cut("client", "server")
     exchange.send("second")
     pair.wait(PARTITIONED_LINK_SECONDS * 2)
-    assert pair.server.got == ["first"]
+    assert pair.server.received == ["first"]
     assert (pair.client.broken, pair.server.broken) == (1, 1)
 
 
-def test_breaking_off_is_seen_by_the_other_side_only() -> None:
-    pair = Pair()
+def test_an_abort_is_reported_to_the_other_side_only(pair: Pair) -> None:
     exchange = pair.open()
     exchange.close_client()
     exchange.answer("late frame")
     pair.wait(1.0)
-    assert pair.client.got == []
+    assert pair.client.received == []
     assert (pair.client.broken, pair.server.broken) == (0, 1)
 
 
-def test_nothing_listens_where_a_process_is_dead() -> None:
-    pair = Pair()
+def test_a_connection_to_a_dead_process_fails(pair: Pair) -> None:
     pair.server.kill()
     pair.wait(2.0)
     assert pair.opened == []
--- a/tests/simulation/test_fleet_simulation.py
+++ b/tests/simulation/test_fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Every scenario holds on fixed seeds, and every guard left out is caught by the checks."""
+"""Scenarios violate no invariant on fixed seeds; the checks detect every disabled guard."""
 
 import pytest
 
@@ -9,9 +9,9 @@
 SEEDS = (0, 1, 2)
 
 SCENARIOS = [scenario for scenario in Scenario if scenario not in REQUESTS_PER_SECOND]
-"""Those with requests have seeds and guards of their own (test_request_simulation.py)."""
+"""Scenarios without requests; test_request_simulation.py has the others."""
 
-CAUGHT_BY = {
+DETECTED_BY = {
     "freshness.lease_from_send_time": Scenario.LATE_ANSWERS,
     "freshness.adopt_before_lease": Scenario.LATE_ANSWERS,
     "freshness.never_back": Scenario.FAULT_FREE,
@@ -22,42 +22,44 @@
     "confirmation.confirm_wait_for_lapse": Scenario.PARTITIONS,
     "consensus.log_up_to_date": Scenario.FREEZES,
 }
-"""The scenario that provokes the failure which each guard prevents."""
+"""Scenario that provokes the failure prevented by a guard."""
 
-ALSO_CAUGHT_BY = [
+ALSO_DETECTED_BY = [
     ("consensus.log_up_to_date", Scenario.DISK_LOST_IN_POWER_FAILURE),
     ("consensus.log_up_to_date", Scenario.TWO_DISKS_LOST_IN_POWER_FAILURE),
     ("consensus.lease_vote_refusal", Scenario.CONTROL_HALVED),
 ]
-"""Scenarios that must not be milder than the failure which they stand for."""
+"""Further scenarios that must provoke the failure of a guard."""
 
 GUARD_SEEDS = range(40)
-"""Seeds searched for a run that shows it; any change of timing moves which one does."""
+"""Seeds searched for a run that violates an invariant; a change of timing changes the seed."""
 
 PROVOKED_ELSEWHERE = {
     name for name in GUARD_NAMES if name.startswith(("consensus.", "request.", "path."))
 }
-"""The consensus core has a denser simulation (tests/consensus), requests have scenarios."""
+"""Guards with other tests: tests/consensus, and scenarios with requests."""
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_scenario_breaks_no_invariant(scenario: Scenario, seed: int) -> None:
+def test_scenario_violates_no_invariant(scenario: Scenario, seed: int) -> None:
     result = run_scenario(scenario, seed)
     assert result.violation is None
     assert result.confirmed_updates > 0
     assert result.fresh_checks > 1000
 
 
-def test_every_guard_has_a_run_that_catches_its_absence() -> None:
-    assert set(GUARD_NAMES) - PROVOKED_ELSEWHERE <= set(CAUGHT_BY)
+def test_every_guard_has_a_scenario_that_detects_its_absence() -> None:
+    assert set(GUARD_NAMES) - PROVOKED_ELSEWHERE <= set(DETECTED_BY)
 
 
-@pytest.mark.parametrize(("name", "scenario"), [*sorted(CAUGHT_BY.items()), *ALSO_CAUGHT_BY])
-def test_guard_left_out_is_caught(name: str, scenario: Scenario) -> None:
+@pytest.mark.parametrize(("name", "scenario"), [*sorted(DETECTED_BY.items()), *ALSO_DETECTED_BY])
+def test_a_disabled_guard_is_detected(name: str, scenario: Scenario) -> None:
     disabled = disabled_guards((name,))
-    caught = (seed for seed in GUARD_SEEDS if run_scenario(scenario, seed, disabled).violation)
-    seed = next(caught, None)
+    detecting_seeds = (
+        seed for seed in GUARD_SEEDS if run_scenario(scenario, seed, disabled).violation
+    )
+    seed = next(detecting_seeds, None)
     assert seed is not None, f"no seed of {scenario.value} shows what {name} prevents"
     assert run_scenario(scenario, seed).violation is None
 
--- a/tests/simulation/test_request_checks.py
+++ b/tests/simulation/test_path_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the request path that no scenario's left-out rule reaches, on made-up histories."""
+"""Checks of the request path on constructed histories, where no scenario reaches them."""
 
 import msgspec
 import pytest
@@ -17,13 +17,13 @@
 WORKER = WorkerRecord(
     worker_id="w0", incarnation="w0-1", service="chat", stage=Stage.PLAIN, url="http://w0"
 )
-ORDER = AttemptDispatch(
+DISPATCH = AttemptDispatch(
     request_id="request-1", attempt_id="a", phase=Phase.EXECUTION, stage=Stage.PLAIN
 )
-REFUSAL = ErrorBody(code=ErrorCode.OVERLOADED, message="", ran=Ran.NO)
+REJECTION = ErrorBody(code=ErrorCode.OVERLOADED, message="", ran=Ran.NO)
 
 
-class Observed:
+class ObservedSubmission:
     """A history with one submission."""
 
     def __init__(self) -> None:
@@ -41,39 +41,43 @@
         )
         self.submission = self.history.submitted(request)
 
-    def order(self, attempt_id: str = "a") -> None:
+    def dispatch(self, attempt_id: str = "a") -> None:
         self.history.ordered(self.submission, "r0", 1, WORKER, attempt_id)
 
 
-def test_a_rejection_may_not_wait() -> None:
-    observed = Observed()
+@pytest.fixture
+def observed() -> ObservedSubmission:
+    return ObservedSubmission()
+
+
+def test_a_late_rejection_is_detected(observed: ObservedSubmission) -> None:
     observed.world.run_until(1.0)
     with pytest.raises(InvariantError, match="waited"):
         observed.history.refused_at_once(observed.submission)
 
 
-def test_a_wait_past_the_deadline_is_seen() -> None:
-    observed = Observed()
+def test_a_backoff_past_the_deadline_is_detected(observed: ObservedSubmission) -> None:
     observed.history.backed_off(observed.submission, 1.0)
     with pytest.raises(InvariantError, match=r"with 6\.000 s left"):
         observed.history.backed_off(observed.submission, 30.0)
 
 
-def test_an_execution_after_ran_no_is_seen() -> None:
-    observed = Observed()
-    observed.order()
-    observed.history.record_error_reply(observed.submission, REFUSAL)
+def test_an_execution_after_a_not_executed_guarantee_is_detected(
+    observed: ObservedSubmission,
+) -> None:
+    observed.dispatch()
+    observed.history.record_error_reply(observed.submission, REJECTION)
     with pytest.raises(InvariantError, match="was told ran=no"):
-        observed.history.executed("w0-1", ORDER)
+        observed.history.executed("w0-1", DISPATCH)
 
 
-def test_a_run_that_nobody_ordered_is_seen() -> None:
+def test_an_execution_without_a_dispatch_is_detected() -> None:
     with pytest.raises(InvariantError, match="no router ordered"):
-        Observed().history.executed("w0-1", ORDER)
+        ObservedSubmission().history.executed("w0-1", DISPATCH)
 
 
-def test_a_handle_granted_to_another_attempt_or_twice_is_seen() -> None:
-    history = Observed().history
+def test_a_handle_granted_to_another_attempt_or_twice_is_detected() -> None:
+    history = ObservedSubmission().history
     handle = CacheHandle(
         handle_id="h",
         request_id="request-1",
@@ -95,37 +99,36 @@
 
 
 @pytest.mark.parametrize("status", [WorkerStatus.DRAINING, WorkerStatus.GONE])
-def test_an_order_too_long_after_the_draining_or_end_was_applied_is_seen(
-    status: WorkerStatus,
+def test_a_dispatch_too_long_after_the_draining_or_removal_was_applied_is_detected(
+    observed: ObservedSubmission, status: WorkerStatus
 ) -> None:
-    observed = Observed()
     observed.history.agreed(1, (WORKER,))
     changed = msgspec.structs.replace(WORKER, status=status)
     observed.history.agreed(2, () if status is WorkerStatus.GONE else (changed,))
     observed.world.run_until(1.9)
-    observed.order()
+    observed.dispatch()
     observed.world.run_until(2.1)
     with pytest.raises(InvariantError, match=r"2\.100 s after"):
-        observed.order()
+        observed.dispatch()
 
 
-def test_a_worker_that_is_ready_again_may_get_orders() -> None:
-    observed = Observed()
+def test_a_worker_that_is_ready_again_may_get_dispatches(observed: ObservedSubmission) -> None:
     observed.history.agreed(1, (WORKER,))
     observed.history.agreed(2, ())
     observed.world.run_until(5.0)
     observed.history.agreed(3, (WORKER,))
-    observed.order()
+    observed.dispatch()
 
 
-def test_a_cut_off_leaders_word_counts_once_the_witnesses_have_it() -> None:
-    observed = Observed()
+def test_a_revision_of_a_partitioned_leader_counts_once_the_witnesses_have_it(
+    observed: ObservedSubmission,
+) -> None:
     observed.history.witnesses_reachable = False
     observed.history.agreed(1, (WORKER,))
     observed.history.agreed(2, ())
     observed.world.run_until(5.0)
-    observed.order()
+    observed.dispatch()
     observed.history.in_force(2)
     observed.world.run_until(7.5)
     with pytest.raises(InvariantError, match=r"2\.500 s after"):
-        observed.order()
+        observed.dispatch()
--- a/tests/simulation/test_plan_simulation.py
+++ b/tests/simulation/test_plan_simulation.py
@@ -1,4 +1,4 @@
-"""Plans under faults hold on fixed seeds, and every guard left out is caught by the checks."""
+"""Plans under faults violate no invariant on fixed seeds; the checks detect disabled guards."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
 @pytest.mark.parametrize("seed", [0, 1])
-def test_plans_break_no_invariant(scenario: Scenario, seed: int) -> None:
+def test_plans_violate_no_invariant(scenario: Scenario, seed: int) -> None:
     result = run_plan_scenario(scenario, seed)
     assert result.violation is None
     assert result.switches > 0
@@ -37,16 +37,16 @@
 
 
 GUARD_SEEDS = range(60)
-"""Seeds searched for a run that shows it; any change of timing moves which one does."""
+"""Seeds searched for a run that violates an invariant; a change of timing changes the seed."""
 
 
-def is_caught(scenario: Scenario, violation: str) -> bool:
-    """Return whether a seed of the scenario breaks the invariant of this name."""
+def is_detected(scenario: Scenario, violation: str) -> bool:
+    """Return whether a seed of the scenario violates the invariant of this message."""
     results = (run_plan_scenario(scenario, seed).violation for seed in GUARD_SEEDS)
     return any(found is not None and violation in found for found in results)
 
 
-def test_orders_before_every_router_knows_of_the_hold_are_caught(
+def test_commands_sent_before_the_cordon_is_confirmed_are_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     guarded = execution._following_phase
@@ -59,16 +59,16 @@
         return guarded(record, position, worker, situation)
 
     monkeypatch.setattr(execution, "_following_phase", unguarded)
-    assert is_caught(Scenario.PARTITIONS, "switched while")
+    assert is_detected(Scenario.PARTITIONS, "switched while")
 
 
-def test_workers_without_a_fence_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_workers_without_fencing_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(CommandFence, "pass_order", lambda *_: True)
-    assert is_caught(Scenario.PARTITIONS, "switched while")
+    assert is_detected(Scenario.PARTITIONS, "switched while")
 
 
-def test_abandoned_workers_that_nobody_resumes_are_caught(
+def test_abandoned_workers_that_are_never_resumed_are_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(plan_driver, "workers_to_resume", lambda *_: [])
-    assert is_caught(Scenario.PARTITIONS, "left behind")
+    assert is_detected(Scenario.PARTITIONS, "left behind")
--- a/tests/simulation/test_request_simulation.py
+++ b/tests/simulation/test_request_simulation.py
@@ -1,4 +1,4 @@
-"""Scenarios with requests hold on fixed seeds, and every rule left out is caught by the checks."""
+"""Scenarios with requests violate no invariant on fixed seeds; disabled guards are detected."""
 
 import os
 import subprocess
@@ -25,7 +25,7 @@
     Scenario.MIXED_WITH_REQUESTS: (0, 1),
 }
 
-CAUGHT_BY = {
+DETECTED_BY = {
     "request.promise_before_resend": (Scenario.WORKERS_CRASH, "run a second time"),
     "request.echo_checked_promise": (Scenario.WORKERS_CRASH, "was told ran=no"),
     "request.promise_of_the_same_incarnation": (Scenario.WORKERS_CRASH, "run a second time"),
@@ -44,17 +44,17 @@
     "path.one_probe": (Scenario.WORKERS_CRASH, "both probe"),
     "path.strict_caller": (Scenario.WORKERS_CRASH, "run a second time"),
 }
-"""A scenario that provokes what each rule prevents, and what the check then says."""
+"""Scenario that provokes the failure prevented by a guard, and the message of the check."""
 
 MAX_SEEDS = 20
-"""Seeds tried for each rule; which one provokes it shifts with every change of the timing."""
+"""Seeds tried for each guard; a change of timing changes the seed that detects it."""
 
 PROVOKED_ELSEWHERE = {
-    # Honest workers never promise for another one's order: tests/routing drives dishonest ones.
+    # Emulated workers guarantee only for their own attempts; tests/routing has others.
     "request.promise_of_the_ordered_worker",
-    # A second line behind the reader, which posts nothing of an exchange that it has left.
+    # Redundant with the reader, which posts no event of an exchange that it has left.
     "request.events_of_this_attempt",
-    # Needs pauses that workers ask for and that outlast a deadline: tests/routing has them.
+    # Needs a retry-after of a worker beyond the deadline; tests/routing has it.
     "request.wait_fits_deadline",
 }
 
@@ -69,9 +69,9 @@
 
 
 @pytest.mark.parametrize(
-    ("scenario", "seed"), [(one, seed) for one, seeds in SEEDS.items() for seed in seeds]
+    ("scenario", "seed"), [(scenario, seed) for scenario, seeds in SEEDS.items() for seed in seeds]
 )
-def test_scenario_with_requests_breaks_no_invariant(scenario: Scenario, seed: int) -> None:
+def test_scenario_with_requests_violates_no_invariant(scenario: Scenario, seed: int) -> None:
     result = result_of(scenario, seed)
     assert result.violation is None
     assert result.confirmed_updates > 0
@@ -81,7 +81,7 @@
     assert result.requests.orders > result.requests.completed
 
 
-def test_scenarios_show_what_they_are_for() -> None:
+def test_scenarios_provoke_their_faults() -> None:
     crash = result_of(Scenario.WORKERS_CRASH, 0).requests
     links = result_of(Scenario.LINKS_SLOW, 0).requests
     crowd = result_of(Scenario.CROWD, 0).requests
@@ -95,20 +95,20 @@
     assert crowd.refused > 100
 
 
-def test_every_request_guard_is_caught_here_or_named_as_provoked_elsewhere() -> None:
+def test_every_request_guard_is_detected_here_or_listed_as_provoked_elsewhere() -> None:
     names = {name for name in GUARD_NAMES if name.startswith(("request.", "path."))}
-    assert names == set(CAUGHT_BY) | PROVOKED_ELSEWHERE
+    assert names == set(DETECTED_BY) | PROVOKED_ELSEWHERE
 
 
-@pytest.mark.parametrize("name", sorted(CAUGHT_BY))
-def test_request_guard_left_out_is_caught(name: str) -> None:
-    scenario, message = CAUGHT_BY[name]
+@pytest.mark.parametrize("name", sorted(DETECTED_BY))
+def test_a_disabled_request_guard_is_detected(name: str) -> None:
+    scenario, message = DETECTED_BY[name]
     for seed in range(MAX_SEEDS):
         violation = run_scenario(scenario, seed, disabled_guards((name,))).violation
         if violation is not None and message in violation:
             assert result_of(scenario, seed).violation is None
             return
-    pytest.fail(f"{name} left out was not caught by {MAX_SEEDS} seeds of {scenario.value}")
+    pytest.fail(f"disabled {name} was not detected by {MAX_SEEDS} seeds of {scenario.value}")
 
 
 def test_a_seed_gives_the_same_run_whatever_the_hash_seed() -> None:
@@ -125,18 +125,18 @@
     assert there.stdout.strip() == here
 
 
-def test_a_worker_is_back_once_a_router_has_adopted_that() -> None:
-    """Seed 918317 of an earlier state: the leader lost its lease right after it had pushed that."""
+def test_a_worker_is_usable_again_once_a_router_has_adopted_its_return() -> None:
+    """Seed 918317 of an earlier revision: the leader lost its lease right after its push."""
     fleet = RequestFleet(1, AGENCY, DisabledGuards())
     fleet.start()
     router = fleet.serving[0]
     view = router.view
     assert view is not None
-    back = view.workers[0]
-    key = (back.worker_id, back.incarnation)
-    gone_revision = view.revision + 1
-    fleet.requests.agreed(gone_revision, view.workers[1:])
-    fleet.requests.in_force(gone_revision)
+    worker = view.workers[0]
+    key = (worker.worker_id, worker.incarnation)
+    removal_revision = view.revision + 1
+    fleet.requests.agreed(removal_revision, view.workers[1:])
+    fleet.requests.in_force(removal_revision)
     assert key in fleet.requests._unusable
-    router.on_view_adopted(msgspec.structs.replace(view, revision=gone_revision + 1))
+    router.on_view_adopted(msgspec.structs.replace(view, revision=removal_revision + 1))
     assert key not in fleet.requests._unusable
