--- a/tests/forwarding/proxy/proxy_machine_driver.py
+++ b/tests/forwarding/proxy/proxy_machine_driver.py
@@ -1,4 +1,4 @@
-"""Drives the machine of a forwarded request by hand, and builds its events."""
+"""Driver of a proxy machine and builders of its events, shared by the tests of the machine."""
 
 from random import Random
 from typing import TypeVar
@@ -25,17 +25,17 @@
 
 
 def head(status: int = 200, **changes: bool) -> events.HeadReceived:
-    says = {
+    flags = {
         "guarantees_not_executed": False,
         "is_signed": True,
         "is_encoded": False,
         "is_full": False,
     }
-    return events.HeadReceived(status=status, weights_version=7, **{**says, **changes})
+    return events.HeadReceived(status=status, weights_version=7, **{**flags, **changes})
 
 
 class Driven:
-    """A machine and what it asked for last."""
+    """A machine and the effects of its last event."""
 
     def __init__(
         self,
@@ -77,25 +77,25 @@
         self.now = NOW
         self.effects: list[effects.ProxyEffect] = []
 
-    def take(self, *taken: events.ProxyEvent) -> "Driven":
-        for event in taken:
+    def take(self, *events_taken: events.ProxyEvent) -> "Driven":
+        for event in events_taken:
             self.effects = self.machine.handle(event, self.now)
         return self
 
     def one(self, kind: type[EffectT]) -> EffectT:
-        (effect,) = (one for one in self.effects if isinstance(one, kind))
+        (effect,) = (effect for effect in self.effects if isinstance(effect, kind))
         return effect
 
     def has(self, kind: type) -> bool:
-        return any(isinstance(one, kind) for one in self.effects)
+        return any(isinstance(effect, kind) for effect in self.effects)
 
 
 def pair(prefill: str = "p1", decode: str = "d1") -> events.WorkersChosen:
     workers = (chosen(Stage.PREFILL, prefill), chosen(Stage.DECODE, decode))
-    return events.WorkersChosen({one.stage: one for one in workers})
+    return events.WorkersChosen({worker.stage: worker for worker in workers})
 
 
-def alone(worker_id: str = "d1", stage: Stage = Stage.DECODE) -> events.WorkersChosen:
+def single_worker(worker_id: str = "d1", stage: Stage = Stage.DECODE) -> events.WorkersChosen:
     return events.WorkersChosen({stage: chosen(stage, worker_id)})
 
 
@@ -111,8 +111,10 @@
 def awaiting_head(**settings: object) -> Driven:
     """Return a machine that has dispatched a plain request."""
     driven = Driven(is_model=False, **settings)  # type: ignore[arg-type]
-    return driven.take(events.RequestStarted(), alone("w1", Stage.PLAIN), events.Dispatched())
+    return driven.take(
+        events.RequestStarted(), single_worker("w1", Stage.PLAIN), events.Dispatched()
+    )
 
 
-REFUSED = (head(503, guarantees_not_executed=True), events.RefusalDrained())
-REFUSED_FULL = (head(503, guarantees_not_executed=True, is_full=True), events.RefusalDrained())
+REJECTED = (head(503, guarantees_not_executed=True), events.RefusalDrained())
+REJECTED_FULL = (head(503, guarantees_not_executed=True, is_full=True), events.RefusalDrained())
--- a/tests/forwarding/proxy/test_proxy_machine_walks.py
+++ b/tests/forwarding/proxy/test_proxy_machine_walks.py
@@ -1,4 +1,4 @@
-"""Seeded walks through the machine of a forwarded request: what it never does."""
+"""Seeded random walks through the proxy machine, with its invariants checked at each step."""
 
 from random import Random
 
@@ -31,36 +31,36 @@
             seed=seed,
         )
         self.handles = 0
-        self.held: set[str] = set()
+        self.retained_handles: set[str] = set()
         self.reached: set[str] = set()
         self.may_have_executed = 0
         self.final_answers = 0
         self.has_begun = False
 
-    def to_its_end(self) -> None:
-        """Take events until the machine asks for nothing more, then close it."""
+    def run_to_its_end(self) -> None:
+        """Take events until the machine has no operation, then close it."""
         operation = self.take(events.RequestStarted())
         while operation is not None:
-            event = self.ending_of(operation)
+            event = self.random_result_of(operation)
             self.note(operation, event)
             operation = self.take(event)
         self.take(events.RequestClosed())
 
     def take(self, event: events.ProxyEvent) -> effects.ProxyOperation | None:
-        """Check what follows an event; returns the operation that comes next."""
+        """Check the effects of an event; return the operation among them."""
         operation: effects.ProxyOperation | None = None
         for effect in self.driven.take(event).effects:
-            assert operation is None, "nothing follows an operation"
+            assert operation is None, "an operation is the last effect"
             if isinstance(effect, effects.ProxyOperation):
                 operation = effect
             self.check(effect)
         return operation
 
     def note(self, operation: effects.ProxyOperation, event: events.ProxyEvent) -> None:
-        """Note what a worker has done or may have done."""
+        """Record what a worker has executed or may have executed."""
         match event:
             case events.PrefillSucceeded():
-                self.held.add(event.handle)
+                self.retained_handles.add(event.handle)
             case events.RefusalDrained():
                 self.may_have_executed -= 1
             case events.ResponseCompleted():
@@ -74,9 +74,9 @@
     def check(self, effect: effects.ProxyEffect) -> None:
         match effect:
             case effects.ReleaseHandle():
-                self.held.remove(effect.source.handle)
+                self.retained_handles.remove(effect.source.handle)
             case effects.Report(observed=Observed.SUCCESS):
-                self.held.clear()
+                self.retained_handles.clear()
             case effects.RelayResponse():
                 self.has_begun = True
             case effects.AbortResponse():
@@ -88,8 +88,8 @@
                 assert (effect.retry_after_seconds is None) == (effect.status != 503)
                 self.final_answers += 1
 
-    def ending_of(self, operation: effects.ProxyOperation) -> events.ProxyEvent:
-        """Return an event in which an operation may end."""
+    def random_result_of(self, operation: effects.ProxyOperation) -> events.ProxyEvent:
+        """Return a random event that ends an operation."""
         if self.random.random() < DEADLINE_SHARE:
             return events.DeadlinePassed()
         match operation:
@@ -98,8 +98,8 @@
             case effects.Wait():
                 return events.WaitElapsed()
             case effects.Dispatch():
-                refusal = events.SendRefused(self.random.choice(tuple(SendRefusal)))
-                return self.any_of(events.Dispatched(), events.ConnectFailed(), refusal)
+                rejection = events.SendRefused(self.random.choice(tuple(SendRefusal)))
+                return self.any_of(events.Dispatched(), events.ConnectFailed(), rejection)
             case effects.AwaitPrefill():
                 return self.prefill()
             case effects.AwaitHead():
@@ -110,16 +110,18 @@
                 broken = events.StreamBroken(self.random.random() < 0.7, "3")
                 return self.random.choice((events.ResponseCompleted(), broken))
 
-    def any_of(self, well: events.ProxyEvent, *others: events.ProxyEvent) -> events.ProxyEvent:
-        """Return the first event more often than one of the others."""
-        return well if self.random.random() < 0.7 else self.random.choice(others)
+    def any_of(self, common: events.ProxyEvent, *rare: events.ProxyEvent) -> events.ProxyEvent:
+        """Return the first event with probability 0.7, else one of the others."""
+        return common if self.random.random() < 0.7 else self.random.choice(rare)
 
-    def decision(self, ask: effects.ChooseWorkers) -> events.ProxyEvent:
-        stages = [one.stage for one in ask.per_stage]
+    def decision(self, request: effects.ChooseWorkers) -> events.ProxyEvent:
+        stages = [candidates.stage for candidates in request.per_stage]
         if Stage.PREFILL in stages and self.random.random() < 0.1:
             stages.remove(Stage.PREFILL)
         number = self.random.randrange(1, 5)
-        workers = {one: chosen(one, f"{one.value}{number}", ask.attempt_id) for one in stages}
+        workers = {
+            stage: chosen(stage, f"{stage.value}{number}", request.attempt_id) for stage in stages
+        }
         return self.any_of(
             events.WorkersChosen(workers),
             events.DecisionRejected("exhausted", 0.5),
@@ -137,14 +139,14 @@
         )
 
     def answer(self) -> events.ProxyEvent:
-        refused = head(
+        rejected = head(
             self.random.choice((503, 429, 421)),
             guarantees_not_executed=True,
             is_full=self.random.random() < 0.5,
         )
         other = head(self.random.choice((200, 404, 500, 503)), is_signed=self.random.random() < 0.8)
         failures = (events.ExchangeBroken(), events.ExchangeTimedOut())
-        return self.random.choice((refused, refused, other, other, *failures))
+        return self.random.choice((rejected, rejected, other, other, *failures))
 
 
 def _is_prefill(operation: effects.ProxyOperation) -> bool:
@@ -152,10 +154,10 @@
 
 
 @pytest.mark.parametrize("seed", range(400))
-def test_no_walk_breaks_a_promise(seed: int) -> None:
+def test_no_walk_violates_the_invariants_of_a_request(seed: int) -> None:
     walk = Walk(seed)
-    walk.to_its_end()
+    walk.run_to_its_end()
     assert walk.final_answers == 1
     assert len(walk.reached) <= walk.max_attempts
-    # Every KV cache was transferred or released; after an answer has begun it expires by itself.
-    assert not walk.held or walk.has_begun
+    # Every KV cache is transferred or released, or it expires once a response has begun.
+    assert not walk.retained_handles or walk.has_begun
--- a/tests/forwarding/test_forward_progress.py
+++ b/tests/forwarding/test_forward_progress.py
@@ -1,4 +1,4 @@
-"""What may be sent again, at what price, and what the caller may be told."""
+"""Progress of a forwarded request: permitted retries, their budget, and the final outcome."""
 
 import pytest
 
@@ -42,106 +42,106 @@
     return ForwardProgress(route, RetryBudget(policy), NOW + seconds)
 
 
-def test_the_first_order_costs_nothing() -> None:
-    one = progress(budget_per_second=0.0)
-    assert one.may_dispatch("a", NOW)
-    assert one.failure_outcome() is FailureOutcome.NOT_EXECUTED
+def test_the_first_dispatch_is_not_charged() -> None:
+    request = progress(budget_per_second=0.0)
+    assert request.may_dispatch("a", NOW)
+    assert request.failure_outcome() is FailureOutcome.NOT_EXECUTED
 
 
 @pytest.mark.parametrize("kind", [FailureKind.BROKEN, FailureKind.TIMED_OUT])
-def test_what_may_have_run_is_never_sent_again(kind: FailureKind) -> None:
-    one = progress()
-    one.dispatched("a")
-    one.dispatch_failed(kind)
-    assert not one.may_dispatch("b", NOW)
-    assert one.failure_outcome() is not FailureOutcome.NOT_EXECUTED
+def test_a_request_that_may_have_executed_is_never_retried(kind: FailureKind) -> None:
+    request = progress()
+    request.dispatched("a")
+    request.dispatch_failed(kind)
+    assert not request.may_dispatch("b", NOW)
+    assert request.failure_outcome() is not FailureOutcome.NOT_EXECUTED
 
 
 @pytest.mark.parametrize("repetition", [Repetition.WHOLE, Repetition.RESUMED])
-def test_what_may_be_repeated_goes_to_another_worker_once(repetition: Repetition) -> None:
-    one = progress(repetition)
-    one.dispatched("a")
-    one.dispatch_failed(FailureKind.BROKEN)
-    assert one.may_dispatch("b", NOW)
-    one.dispatched("b")
-    one.dispatch_failed(FailureKind.BROKEN)
-    assert not one.may_dispatch("c", NOW)
-    assert one.failure_outcome() is FailureOutcome.BROKEN
+def test_an_idempotent_request_is_retried_on_one_other_worker(repetition: Repetition) -> None:
+    request = progress(repetition)
+    request.dispatched("a")
+    request.dispatch_failed(FailureKind.BROKEN)
+    assert request.may_dispatch("b", NOW)
+    request.dispatched("b")
+    request.dispatch_failed(FailureKind.BROKEN)
+    assert not request.may_dispatch("c", NOW)
+    assert request.failure_outcome() is FailureOutcome.BROKEN
 
 
-def test_a_promise_of_the_worker_lets_it_go_on() -> None:
-    one = progress()
-    one.dispatched("a")
-    one.dispatch_failed(FailureKind.REFUSED)
-    assert one.failure_outcome() is FailureOutcome.NOT_EXECUTED
-    assert one.may_dispatch("b", NOW)
+def test_a_not_executed_guarantee_permits_a_retry() -> None:
+    request = progress()
+    request.dispatched("a")
+    request.dispatch_failed(FailureKind.REFUSED)
+    assert request.failure_outcome() is FailureOutcome.NOT_EXECUTED
+    assert request.may_dispatch("b", NOW)
 
 
-def test_a_promise_does_not_undo_an_earlier_run() -> None:
-    one = progress(Repetition.WHOLE, max_attempts=3)
-    one.dispatched("a")
-    one.dispatch_failed(FailureKind.BROKEN)
-    one.dispatched("b")
-    one.dispatch_failed(FailureKind.REFUSED)
-    assert one.failure_outcome() is FailureOutcome.BROKEN
+def test_a_not_executed_guarantee_does_not_cover_an_earlier_attempt() -> None:
+    request = progress(Repetition.WHOLE, max_attempts=3)
+    request.dispatched("a")
+    request.dispatch_failed(FailureKind.BROKEN)
+    request.dispatched("b")
+    request.dispatch_failed(FailureKind.REFUSED)
+    assert request.failure_outcome() is FailureOutcome.BROKEN
 
 
-def test_with_one_worker_the_same_one_may_be_asked_again() -> None:
-    one = progress(max_attempts=1)
-    one.dispatched("a")
-    one.dispatch_failed(FailureKind.REFUSED)
-    assert one.may_dispatch("a", NOW)
-    assert not one.may_dispatch("b", NOW)
+def test_with_one_attempt_only_the_same_worker_may_be_retried() -> None:
+    request = progress(max_attempts=1)
+    request.dispatched("a")
+    request.dispatch_failed(FailureKind.REFUSED)
+    assert request.may_dispatch("a", NOW)
+    assert not request.may_dispatch("b", NOW)
 
 
-def test_a_retry_is_paid_for() -> None:
-    one = progress(budget_per_second=0.0)
-    one.dispatched("a")
-    one.dispatch_failed(FailureKind.REFUSED)
-    assert not one.may_dispatch("b", NOW)
+def test_a_retry_is_charged_to_the_budget() -> None:
+    request = progress(budget_per_second=0.0)
+    request.dispatched("a")
+    request.dispatch_failed(FailureKind.REFUSED)
+    assert not request.may_dispatch("b", NOW)
 
 
-def test_a_second_prompt_read_is_an_attempt() -> None:
-    one = progress(max_attempts=2)
-    assert one.may_prefill(NOW)
-    one.prefill_dispatched()
-    assert one.may_prefill(NOW)
-    one.prefill_dispatched()
-    # One attempt is left for the run itself, and only on one worker.
-    assert not one.may_prefill(NOW)
-    assert one.may_dispatch("a", NOW)
+def test_a_second_prefill_counts_as_an_attempt() -> None:
+    request = progress(max_attempts=2)
+    assert request.may_prefill(NOW)
+    request.prefill_dispatched()
+    assert request.may_prefill(NOW)
+    request.prefill_dispatched()
+    # One attempt remains for the decode, and only on one worker.
+    assert not request.may_prefill(NOW)
+    assert request.may_dispatch("a", NOW)
 
 
-def test_a_failed_prompt_read_is_charged_though_it_was_the_first() -> None:
-    one = progress(max_attempts=3, budget_per_second=0.1)
-    one.prefill_dispatched()
-    one.prefill_failed(NOW)
-    assert not one.may_prefill(NOW)
+def test_a_failed_prefill_is_charged_even_as_the_first_dispatch() -> None:
+    request = progress(max_attempts=3, budget_per_second=0.1)
+    request.prefill_dispatched()
+    request.prefill_failed(NOW)
+    assert not request.may_prefill(NOW)
 
 
-def test_nothing_is_sent_after_the_deadline() -> None:
-    one = progress(seconds=0.0)
-    assert not one.may_dispatch("a", NOW)
+def test_nothing_is_dispatched_after_the_deadline() -> None:
+    request = progress(seconds=0.0)
+    assert not request.may_dispatch("a", NOW)
 
 
-def test_only_what_may_be_repeated_gives_a_silent_worker_up() -> None:
+def test_only_an_idempotent_request_has_a_first_response_timeout() -> None:
     assert progress().first_response_timeout_seconds(NOW) == pytest.approx(8.0)
-    repeatable = progress(Repetition.RESUMED)
+    idempotent = progress(Repetition.RESUMED)
     expected = 0.8 * FIRST_RESPONSE_LATENCY_FACTOR
-    assert repeatable.first_response_timeout_seconds(NOW) == pytest.approx(expected)
-    alone = progress(Repetition.RESUMED, max_attempts=1)
-    alone.dispatched("a")
-    assert alone.first_response_timeout_seconds(NOW) == pytest.approx(8.0)
+    assert idempotent.first_response_timeout_seconds(NOW) == pytest.approx(expected)
+    single_attempt = progress(Repetition.RESUMED, max_attempts=1)
+    single_attempt.dispatched("a")
+    assert single_attempt.first_response_timeout_seconds(NOW) == pytest.approx(8.0)
 
 
-def test_return_times_are_spread_and_never_too_early() -> None:
-    one = RetryAfterRange(shortest_seconds=0.1, longest_seconds=0.4)
-    assert one.seconds(0.0) == pytest.approx(0.1)
-    assert one.seconds(1.0) == pytest.approx(0.4)
-    assert one.seconds(0.0, at_least=2.0) >= 2.0
+def test_retry_after_is_spread_and_has_a_minimum() -> None:
+    retry_after = RetryAfterRange(shortest_seconds=0.1, longest_seconds=0.4)
+    assert retry_after.seconds(0.0) == pytest.approx(0.1)
+    assert retry_after.seconds(1.0) == pytest.approx(0.4)
+    assert retry_after.seconds(0.0, at_least=2.0) >= 2.0
 
 
-def test_a_prompt_read_that_takes_far_longer_than_expected_is_given_up() -> None:
+def test_the_prefill_timeout_follows_the_expected_duration() -> None:
     assert progress().prefill_timeout_seconds(NOW) == pytest.approx(8.0 * PREFILL_DEADLINE_SHARE)
     expected = MIN_PREFILL_TIMEOUT_SECONDS + PREFILL_TIMEOUT_FACTOR * 0.5
     assert progress().prefill_timeout_seconds(NOW, 0.5) == pytest.approx(expected)
--- a/tests/forwarding/test_forward_route_table.py
+++ b/tests/forwarding/test_forward_route_table.py
@@ -42,6 +42,6 @@
         ("one.example", "*", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_wins(host: str, path: str, name: str | None) -> None:
+def test_the_longest_prefix_of_the_host_matches(host: str, path: str, name: str | None) -> None:
     found = TABLE.match(host, path)
     assert (found.name if found else None) == name
--- a/tests/forwarding/test_resumable_stream.py
+++ b/tests/forwarding/test_resumable_stream.py
@@ -1,4 +1,4 @@
-"""Streams that another worker takes up after their last whole event."""
+"""Streams that another worker resumes after their last complete event."""
 
 from random import Random
 
@@ -15,10 +15,10 @@
     return f"id: {number}\ndata: word {number}\n\n".encode()
 
 
-WHOLE = b"".join(event(number) for number in range(12))
+COMPLETE_STREAM = b"".join(event(number) for number in range(12))
 
 
-def test_only_whole_events_are_passed_on() -> None:
+def test_only_complete_events_are_relayed() -> None:
     stream = ResumableStream()
     assert stream.take(event(0) + b"id: 1\nda") == event(0)
     assert stream.last_event_id == "0"
@@ -28,28 +28,30 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_stream_cut_anywhere_and_taken_up_is_whole_and_has_nothing_twice(seed: int) -> None:
+def test_a_stream_interrupted_anywhere_and_resumed_is_complete_without_duplicates(
+    seed: int,
+) -> None:
     random = Random(seed)
     stream = ResumableStream()
-    passed = b""
+    relayed = b""
     for _ in range(4):
-        done = int(stream.last_event_id) + 1 if stream.last_event_id else 0
-        rest = b"".join(event(number) for number in range(done, 12))
-        cut = random.randrange(len(rest) + 1)
-        while rest[:cut]:
+        first = int(stream.last_event_id) + 1 if stream.last_event_id else 0
+        rest = b"".join(event(number) for number in range(first, 12))
+        interruption = random.randrange(len(rest) + 1)
+        while rest[:interruption]:
             size = random.randrange(1, 20)
-            passed += stream.take(rest[: min(size, cut)])
-            rest, cut = rest[size:], max(cut - size, 0)
+            relayed += stream.take(rest[: min(size, interruption)])
+            rest, interruption = rest[size:], max(interruption - size, 0)
         stream.broke_off()
         assert stream.can_be_resumed
-        assert WHOLE.startswith(passed)
-    done = int(stream.last_event_id) + 1 if stream.last_event_id else 0
-    passed += stream.take(b"".join(event(number) for number in range(done, 12)))
-    assert passed + stream.end() == WHOLE
+        assert COMPLETE_STREAM.startswith(relayed)
+    first = int(stream.last_event_id) + 1 if stream.last_event_id else 0
+    relayed += stream.take(b"".join(event(number) for number in range(first, 12)))
+    assert relayed + stream.end() == COMPLETE_STREAM
 
 
 @pytest.mark.parametrize("number", [0, 1, 2])
-def test_a_worker_that_begins_anew_is_noticed(number: int) -> None:
+def test_a_worker_that_restarts_the_stream_is_detected(number: int) -> None:
     stream = ResumableStream()
     stream.take(event(0) + event(1) + event(2))
     stream.broke_off()
@@ -57,7 +59,7 @@
         stream.take(event(number))
 
 
-def test_events_that_bear_no_number_cannot_be_taken_up() -> None:
+def test_a_stream_of_events_without_numeric_ids_cannot_be_resumed() -> None:
     for data in (b"data: word\n\n", b"id: a\ndata: word\n\n"):
         stream = ResumableStream()
         assert stream.can_be_resumed
@@ -65,14 +67,14 @@
         assert not stream.can_be_resumed
 
 
-def test_other_line_ends_and_an_unended_last_event() -> None:
+def test_crlf_line_ends_and_an_incomplete_last_event_are_relayed() -> None:
     stream = ResumableStream()
     assert stream.take(b"id: 4\r\ndata: x\r\n\r\nid: 5") == b"id: 4\r\ndata: x\r\n\r\n"
     assert stream.last_event_id == "4"
     assert stream.end() == b"id: 5"
 
 
-def test_an_event_without_end_takes_bounded_memory() -> None:
+def test_memory_for_an_event_without_end_is_bounded() -> None:
     stream = ResumableStream()
     assert len(stream.take(b"x" * (MAX_EVENT_BYTES + 1))) == MAX_EVENT_BYTES + 1
     assert not stream.can_be_resumed
--- a/tests/forwarding/test_weighted_split.py
+++ b/tests/forwarding/test_weighted_split.py
@@ -10,7 +10,9 @@
 
 
 def route(name: str, **weights: int) -> ForwardRoute:
-    services = [WeightedService(service=one, weight=weight) for one, weight in weights.items()]
+    services = [
+        WeightedService(service=service, weight=weight) for service, weight in weights.items()
+    ]
     return ForwardRoute(name=name, host="h", path_prefix="/", services=services)
 
 
@@ -18,7 +20,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_router_keeps_the_weights_within_a_few_requests(seed: int) -> None:
+def test_one_router_follows_the_weights_within_a_few_requests(seed: int) -> None:
     split = WeightedSplit(Random(seed))
     chosen = Counter(split.next_service(SPLIT) for _ in range(200))
     assert set(chosen) == {"a", "b"}
@@ -26,34 +28,34 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_many_routers_with_few_requests_keep_them_together(seed: int) -> None:
+def test_many_routers_with_few_requests_follow_the_weights_together(seed: int) -> None:
     random = Random(seed)
     routers = [WeightedSplit(random) for _ in range(77)]
     chosen = Counter(router.next_service(SPLIT) for router in routers for _ in range(5))
     assert abs(chosen["b"] / (77 * 5) - 0.1) < 0.05
 
 
-def test_each_route_has_its_own_order_and_one_service_needs_none() -> None:
+def test_each_route_has_its_own_sequence_and_a_single_service_needs_none() -> None:
     split = WeightedSplit(Random(1))
     first = [split.next_service(SPLIT) for _ in range(50)]
     other = WeightedSplit(Random(1))
-    mixed = []
+    interleaved = []
     for _ in range(50):
-        mixed.append(other.next_service(SPLIT))
+        interleaved.append(other.next_service(SPLIT))
         other.next_service(route("another", x=1, y=1))
         assert other.next_service(route("single", z=1)) == "z"
-    assert mixed == first
+    assert interleaved == first
 
 
-def test_changed_weights_hold_from_the_next_request_on() -> None:
+def test_changed_weights_apply_to_the_next_request() -> None:
     split = WeightedSplit(Random(1))
     for _ in range(30):
         split.next_service(SPLIT)
-    moved = route("split", a=0, b=10)
-    assert {split.next_service(moved) for _ in range(30)} == {"b"}
+    changed = route("split", a=0, b=10)
+    assert {split.next_service(changed) for _ in range(30)} == {"b"}
 
 
-def test_many_routes_take_bounded_memory() -> None:
+def test_memory_for_routes_is_bounded() -> None:
     split = WeightedSplit(Random(1))
     for number in range(2 * MAX_ROUTES):
         split.next_service(route(f"r{number}", a=1, b=1))
