--- a/tests/routing/request_machine_driver.py
+++ b/tests/routing/request_machine_driver.py
@@ -1,4 +1,4 @@
-"""Drives a request machine by scripted events; shared by the tests of the machine."""
+"""Driver of a request machine by scripted events, shared by the tests of the machine."""
 
 from collections.abc import Sequence
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class Driver:
-    """One request: feeds events, keeps every instruction, and picks workers in turn."""
+    """One request: feeds its events and records every instruction."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         return self.last
 
     def all(self, kind: type[T]) -> list[T]:
-        return [one for one in self.log if isinstance(one, kind)]
+        return [instruction for instruction in self.log if isinstance(instruction, kind)]
 
     def newest(self, kind: type[T]) -> T:
         return self.all(kind)[-1]
@@ -95,7 +95,7 @@
         self.sequence = 0
         return self.feed(events.DecisionMade(attempt_id=self.attempt_id, reply=reply))
 
-    def deny(
+    def reject_decision(
         self, rejection: Rejection, retry_after: float = 7.0
     ) -> list[events.RequestInstruction]:
         reply = DecisionReply(
@@ -114,7 +114,7 @@
             **(bound | changes),
         )
 
-    def read(self, worker: str, **changes: str) -> list[events.RequestInstruction]:
+    def complete_prefill(self, worker: str, **changes: str) -> list[events.RequestInstruction]:
         handle = self.handle(worker, **changes)
         event = events.PrefillSucceeded(
             attempt_id=self.attempt_id, request_id=REQUEST, handle=handle
@@ -154,17 +154,17 @@
         )
 
     def fail(
-        self, observed: Observed = Observed.CONNECTION_RESET, *, left: bool = True
+        self, observed: Observed = Observed.CONNECTION_RESET, *, sent: bool = True
     ) -> list[events.RequestInstruction]:
         event = events.AttemptFailed(
             attempt_id=self.attempt_id,
             observation=AttemptObservation(observed=observed),
             reason=observed.value,
-            dispatch_left=left,
+            dispatch_left=sent,
         )
         return self.feed(event)
 
-    def refuse(
+    def reject(
         self, error: ErrorBody, echoed_attempt_id: str | None = None
     ) -> list[events.RequestInstruction]:
         event = events.AttemptFailed(
@@ -194,11 +194,17 @@
         return self.feed(events.TimerElapsed(kind=timer.kind, number=timer.number))
 
     def sends(self) -> list[events.RequestInstruction]:
-        return [one for one in self.log if isinstance(one, events.SEND_INSTRUCTIONS)]
+        return [
+            instruction
+            for instruction in self.log
+            if isinstance(instruction, events.SEND_INSTRUCTIONS)
+        ]
 
     def reports(self, worker: str) -> list[AttemptEffect]:
         return [
-            one.report.effect for one in self.all(events.Report) if one.report.worker_id == worker
+            instruction.report.effect
+            for instruction in self.all(events.Report)
+            if instruction.report.worker_id == worker
         ]
 
     def rejected(self) -> ErrorBody:
@@ -207,6 +213,10 @@
 
     def is_retrying(self) -> bool:
         """Whether the newest instructions lead to a further attempt."""
-        timers = [one for one in self.last if isinstance(one, events.StartTimer)]
+        timers = [
+            instruction for instruction in self.last if isinstance(instruction, events.StartTimer)
+        ]
         waits = any(timer.kind is events.TimerKind.BACKOFF for timer in timers)
-        return waits or any(isinstance(one, events.RequestDecision) for one in self.last)
+        return waits or any(
+            isinstance(instruction, events.RequestDecision) for instruction in self.last
+        )
--- a/tests/routing/request_machine_world.py
+++ b/tests/routing/request_machine_world.py
@@ -1,7 +1,7 @@
-"""A world of unreliable workers around one request, and a checker that trusts only that world.
+"""Unreliable workers around one request, and a checker independent of the machine.
 
-Every choice of the world comes from outside as a number, so that a failing run can be shrunk. The
-checker keeps its own record of what each worker truly promised; it never asks the machine.
+Every choice is a number given from outside, so that a failing run can be shrunk. The checker keeps
+its own record of the guarantees of each worker and never reads the state of the machine.
 """
 
 from collections import Counter
@@ -21,8 +21,8 @@
 MAXIMUM_ATTEMPTS = 5
 
 
-class Sent:
-    """One order as the world saw it."""
+class DispatchedCall:
+    """One dispatch, and what its worker did with it."""
 
     def __init__(self, instruction: events.RequestInstruction) -> None:
         assert isinstance(instruction, events.SEND_INSTRUCTIONS)
@@ -56,7 +56,7 @@
             retry=retry,
             disabled=disabled,
         )
-        self.orders: list[Sent] = []
+        self.dispatches: list[DispatchedCall] = []
         self.chosen: list[tuple[str, str]] = []
         self.relayed: list[DecodeFrame] = []
         self.committed = False
@@ -75,7 +75,8 @@
         self.driver.feed(events.ClientDisconnected())
         self.check()
         reported = Counter(
-            (one.report.attempt_id, one.report.worker_id) for one in self.driver.all(events.Report)
+            (instruction.report.attempt_id, instruction.report.worker_id)
+            for instruction in self.driver.all(events.Report)
         )
         assert reported == Counter(self.chosen), "each chosen worker is reported once"
 
@@ -91,32 +92,32 @@
         elif phase == "cancelling":
             self.answer_cancel(choice)
         elif phase == "reading_prompt":
-            self.read_prompt(choice)
+            self.prefill(choice)
         elif phase == "calling":
             self.answer_call(choice)
         else:
             self.stream(choice)
 
     def disturb(self, choice: int) -> None:
-        """Something late, crossed or from the caller's side."""
+        """Feed an event that is late, of another request, or of the caller."""
         driver = self.driver
         if choice % 4 == 0:
             driver.feed(events.DeadlinePassed())
-        elif choice % 4 == 1 and len(self.orders) > 1:
-            late = self.orders[0].attempt_id
+        elif choice % 4 == 1 and len(self.dispatches) > 1:
+            late = self.dispatches[0].attempt_id
             driver.feed(events.DecodeEnded(attempt_id=late))
             driver.feed(
                 events.CancelAnswered(
-                    worker_id=self.orders[0].worker_id,
+                    worker_id=self.dispatches[0].worker_id,
                     attempt_id=late,
                     is_same_incarnation=True,
                     ran=Ran.NO,
                 )
             )
-        elif choice % 4 == 2 and self.orders:
+        elif choice % 4 == 2 and self.dispatches:
             number = choice % 3
             driver.feed(events.TimerElapsed(kind=events.TimerKind.BACKOFF, number=-number))
-        elif choice % 4 == 3 and self.orders:
+        elif choice % 4 == 3 and self.dispatches:
             frame = DecodeFrame(
                 request_id=REQUEST, attempt_id="other", sequence=0, kind=FrameKind.CONTENT
             )
@@ -125,7 +126,7 @@
     def decide(self, choice: int) -> None:
         driver = self.driver
         if choice % 10 == 0:
-            driver.deny(Rejection.CIRCUITS_OPEN)
+            driver.reject_decision(Rejection.CIRCUITS_OPEN)
             return
         if choice % 10 == 1:
             driver.feed(events.NoCandidates(attempt_id=driver.attempt_id, reason="none"))
@@ -137,56 +138,56 @@
         self.chosen.extend((attempt_id, worker) for worker in workers)
 
     def fail(self, choice: int) -> None:
-        """Let the current order fail in one of many ways, true promises among them."""
-        driver, order = self.driver, self.orders[-1]
+        """Let the current dispatch fail in one of several variants, some with a true guarantee."""
+        driver, dispatch = self.driver, self.dispatches[-1]
         code = CODES[choice % len(CODES)]
-        way = choice // 4 % 7
-        if way == 0:
-            order.cannot_run = True
-            driver.fail(Observed.CONNECT_FAILED, left=False)
-        elif way == 1:
-            order.cannot_run = not self.has_content
-            driver.refuse(driver.error(code, Ran.NO))
-        elif way == 2:
-            driver.refuse(driver.error(code, Ran.NO), echoed_attempt_id="other")
-        elif way == 3:
-            driver.refuse(driver.error(code, Ran.UNKNOWN))
-        elif way == 4:
-            order.cannot_run = True
+        variant = choice // 4 % 7
+        if variant == 0:
+            dispatch.cannot_run = True
+            driver.fail(Observed.CONNECT_FAILED, sent=False)
+        elif variant == 1:
+            dispatch.cannot_run = not self.has_content
+            driver.reject(driver.error(code, Ran.NO))
+        elif variant == 2:
+            driver.reject(driver.error(code, Ran.NO), echoed_attempt_id="other")
+        elif variant == 3:
+            driver.reject(driver.error(code, Ran.UNKNOWN))
+        elif variant == 4:
+            dispatch.cannot_run = True
             refusal = tuple(events.SendRefusal)[choice % 2]
             event = events.SendRefused(
                 attempt_id=driver.attempt_id, refusal=refusal, retry_after_seconds=1.0
             )
             driver.feed(event)
-        elif way == 5:
-            driver.refuse(driver.error(code, Ran.NO, attempt_id="other"), echoed_attempt_id="")
+        elif variant == 5:
+            driver.reject(driver.error(code, Ran.NO, attempt_id="other"), echoed_attempt_id="")
         else:
             driver.fail(OBSERVATIONS[choice % len(OBSERVATIONS)])
 
     def answer_cancel(self, choice: int) -> None:
-        driver, order = self.driver, self.orders[-1]
-        way = choice % 6
-        if way == 0:
-            order.cannot_run = True
-            driver.cancel_answer(order.worker_id, Ran.NO)
-        elif way == 1:
+        driver, dispatch = self.driver, self.dispatches[-1]
+        variant = choice % 6
+        if variant == 0:
+            dispatch.cannot_run = True
+            driver.cancel_answer(dispatch.worker_id, Ran.NO)
+        elif variant == 1:
             driver.cancel_answer("p-other", Ran.NO)
-        elif way == 2:
-            driver.cancel_answer(order.worker_id, Ran.NO, same_incarnation=False)
-        elif way == 3:
-            driver.cancel_answer(order.worker_id, Ran.YES)
-        elif way == 4:
-            driver.cancel_answer(order.worker_id, Ran.NO, attempt_id="other")
+        elif variant == 2:
+            driver.cancel_answer(dispatch.worker_id, Ran.NO, same_incarnation=False)
+        elif variant == 3:
+            driver.cancel_answer(dispatch.worker_id, Ran.YES)
+        elif variant == 4:
+            driver.cancel_answer(dispatch.worker_id, Ran.NO, attempt_id="other")
         else:
             driver.elapse()
 
-    def read_prompt(self, choice: int) -> None:
-        worker = self.orders[-1].worker_id
+    def prefill(self, choice: int) -> None:
+        worker = self.dispatches[-1].worker_id
         if choice % 10 < 6:
-            self.orders[-1].succeeded = True
-            self.driver.read(worker)
+            self.dispatches[-1].succeeded = True
+            self.driver.complete_prefill(worker)
         elif choice % 10 == 6:
-            self.driver.read(worker, attempt_id="other")
+            self.driver.complete_prefill(worker, attempt_id="other")
         else:
             self.fail(choice)
 
@@ -205,27 +206,27 @@
 
     def stream(self, choice: int) -> None:
         driver = self.driver
-        way = choice % 12
+        variant = choice % 12
         kinds = (FrameKind.ROLE, FrameKind.USAGE, FrameKind.KEEPALIVE, FrameKind.DONE)
-        if way < 4:
-            driver.frame(kinds[way])
-        elif way < 7:
+        if variant < 4:
+            driver.frame(kinds[variant])
+        elif variant < 7:
             self.has_content = True
             driver.frame(FrameKind.CONTENT)
-        elif way == 7:
+        elif variant == 7:
             driver.frame(FrameKind.CONTENT, sequence=driver.sequence + 1)
-        elif way == 8:
+        elif variant == 8:
             driver.frame(FrameKind.CONTENT, attempt_id="other")
-        elif way == 9:
+        elif variant == 9:
             driver.feed(events.DecodeEnded(attempt_id=driver.attempt_id))
-        elif way == 10:
-            self.orders[-1].cannot_run = not self.has_content
+        elif variant == 10:
+            self.dispatches[-1].cannot_run = not self.has_content
             driver.frame(FrameKind.ERROR, error=driver.error(ErrorCode.INTERNAL, Ran.NO))
         else:
             self.fail(choice)
 
     def check(self) -> None:
-        """Check the instructions that came since the last check."""
+        """Check the instructions since the last check."""
         new = self.driver.log[self.checked :]
         self.checked = len(self.driver.log)
         for instruction in new:
@@ -239,17 +240,17 @@
             elif isinstance(instruction, events.Reject):
                 self.check_reject(instruction)
             elif isinstance(instruction, events.Finish):
-                is_whole = instruction.body is not None or (
+                is_complete = instruction.body is not None or (
                     bool(self.relayed) and self.relayed[-1].kind is FrameKind.DONE
                 )
-                assert is_whole, "a cut stream must not look complete"
+                assert is_complete, "an aborted stream must not look complete"
             if isinstance(instruction, events.TERMINAL_INSTRUCTIONS):
                 assert not self.ended
                 self.ended = True
         counted = Counter(
-            one.report.worker_id
-            for one in self.driver.all(events.Report)
-            if one.report.effect is AttemptEffect.TRANSIENT
+            instruction.report.worker_id
+            for instruction in self.driver.all(events.Report)
+            if instruction.report.effect is AttemptEffect.TRANSIENT
         )
         assert all(count == 1 for count in counted.values()), "one failure a worker"
 
@@ -260,33 +261,37 @@
             handle = instruction.handle
             bound_to = (handle.request_id, handle.attempt_id)
             assert bound_to == (REQUEST, instruction.attempt_id), "a handle of another attempt"
-        for order in self.orders:
-            is_own_read = (
+        for dispatch in self.dispatches:
+            is_own_prefill = (
                 isinstance(instruction, events.SendDecode)
-                and order.attempt_id == instruction.attempt_id
+                and dispatch.attempt_id == instruction.attempt_id
             )
-            allowed = self.repeatable or is_own_read or self.allows_another(order)
-            assert allowed, "two orders for one call"
-        self.orders.append(Sent(instruction))
-        executions = [one for one in self.orders if one.kind is not events.SendDecode]
+            allowed = self.repeatable or is_own_prefill or self.allows_another(dispatch)
+            assert allowed, "two dispatches of one call"
+        self.dispatches.append(DispatchedCall(instruction))
+        executions = [
+            dispatch for dispatch in self.dispatches if dispatch.kind is not events.SendDecode
+        ]
         assert len(executions) <= MAXIMUM_ATTEMPTS
 
-    def allows_another(self, order: Sent) -> bool:
-        if order.cannot_run:
+    def allows_another(self, dispatch: DispatchedCall) -> bool:
+        if dispatch.cannot_run:
             return True
-        return order.kind is events.SendPrefill and self.repeat_prompt_read
+        return dispatch.kind is events.SendPrefill and self.repeat_prompt_read
 
     def check_relay(self, instruction: events.Relay) -> None:
         assert self.committed, "nothing reaches the caller before the commit"
         may_commit = self.has_content or instruction.frames[-1].kind is FrameKind.DONE
         assert may_commit, "only content and the terminal commit"
         self.relayed.extend(instruction.frames)
-        kept = [one for one in self.relayed if one.kind is not FrameKind.KEEPALIVE]
-        assert {one.attempt_id for one in kept} <= {self.driver.attempt_id}, "stitched stream"
-        sequences = [one.sequence for one in self.relayed]
+        content = [frame for frame in self.relayed if frame.kind is not FrameKind.KEEPALIVE]
+        assert {frame.attempt_id for frame in content} <= {self.driver.attempt_id}, (
+            "stitched stream"
+        )
+        sequences = [frame.sequence for frame in self.relayed]
         assert sequences == sorted(set(sequences))
 
     def check_reject(self, instruction: events.Reject) -> None:
         assert not self.relayed, "an error status after the commit"
         if instruction.error.ran is Ran.NO:
-            assert all(order.cannot_run for order in self.orders), "ran=no was not so"
+            assert all(dispatch.cannot_run for dispatch in self.dispatches), "ran=no was wrong"
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: bounds by count, cost and tenant; nothing leaks; honest times to come back."""
+"""Admission: bounds by count, cost and tenant; no leaks; accurate retry-after."""
 
 import pytest
 from hypothesis import settings
@@ -21,7 +21,7 @@
 
 
 class AdmissionModel(RuleBasedStateMachine):
-    """Compares the controller with a plain list of what was admitted."""
+    """Compares the controller with a plain list of the admitted requests."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -98,7 +98,7 @@
 
 
 def full_controller(tenants: int = 10) -> AdmissionController:
-    """Ten requests in flight since time 0, after ten that lasted two seconds each."""
+    """Return a controller with ten requests in flight, after ten of two seconds each."""
     controller = AdmissionController(POLICY)
     for start in (-2.0, 0.0):
         for number in range(10):
@@ -110,7 +110,7 @@
     return controller
 
 
-def test_a_lone_tenant_may_fill_an_idle_router_to_the_crowded_mark_only() -> None:
+def test_a_single_tenant_may_fill_an_idle_router_to_the_crowded_threshold_only() -> None:
     controller = AdmissionController(POLICY)
     answers = [controller.admit(str(number), "lone", 1, 0.0) for number in range(6)]
     assert [isinstance(answer, Admitted) for answer in answers] == [True] * 5 + [False]
@@ -151,7 +151,7 @@
     assert wait_of(controller.admit("late", "late", 1, 0.0)) == pytest.approx(0.2)
 
 
-def test_a_smaller_policy_holds_for_the_next_request_and_a_repeated_id_is_refused() -> None:
+def test_a_smaller_policy_applies_to_the_next_request_and_a_repeated_id_is_rejected() -> None:
     controller = full_controller()
     controller.release("9", 1.0)
     repeated = controller.admit("1", "late", 1, 1.0)
--- a/tests/routing/test_attempt_properties.py
+++ b/tests/routing/test_attempt_properties.py
@@ -1,6 +1,6 @@
-"""Properties of the request machine under random events, and each safety rule turned off.
+"""Properties of the request machine under random events, with each guard on and disabled.
 
-A rule whose guard is off must be caught by the same checker: otherwise the checker proves nothing.
+The same checker must detect each disabled guard; otherwise it proves nothing.
 """
 
 import pytest
@@ -21,7 +21,7 @@
     repeatable=st.booleans(),
     repeat_prompt_read=st.booleans(),
 )
-def test_no_rule_is_broken_by_any_order_of_events(
+def test_no_sequence_of_events_violates_a_rule(
     choices: list[int], model: bool, streaming: bool, repeatable: bool, repeat_prompt_read: bool
 ) -> None:
     world = World(
@@ -33,26 +33,26 @@
     world.run(choices)
 
 
-TWO_ORDERS = "two orders for one call"
+TWO_DISPATCHES = "two dispatches of one call"
 
-CAUGHT_BY = {
-    Guard.GUARANTEE_BEFORE_RETRY: TWO_ORDERS,
-    Guard.ECHO_CHECKED_GUARANTEE: TWO_ORDERS + "|ran=no was not so",
-    Guard.GUARANTEE_OF_THE_DISPATCHED_WORKER: TWO_ORDERS + "|ran=no was not so",
-    Guard.GUARANTEE_OF_THE_SAME_INCARNATION: TWO_ORDERS + "|ran=no was not so",
+DETECTED_BY = {
+    Guard.GUARANTEE_BEFORE_RETRY: TWO_DISPATCHES,
+    Guard.ECHO_CHECKED_GUARANTEE: TWO_DISPATCHES + "|ran=no was wrong",
+    Guard.GUARANTEE_OF_THE_DISPATCHED_WORKER: TWO_DISPATCHES + "|ran=no was wrong",
+    Guard.GUARANTEE_OF_THE_SAME_INCARNATION: TWO_DISPATCHES + "|ran=no was wrong",
     Guard.NO_RETRY_AFTER_COMMIT: "(nothing is sent|an error status) after the commit",
     Guard.ONLY_CONTENT_COMMITS: "only content and the terminal commit",
-    Guard.EXPLICIT_TERMINAL: "a cut stream must not look complete",
-    Guard.HONEST_RAN: "ran=no was not so",
+    Guard.EXPLICIT_TERMINAL: "an aborted stream must not look complete",
+    Guard.HONEST_RAN: "ran=no was wrong",
     Guard.HANDLE_BOUND_TO_ATTEMPT: "a handle of another attempt",
-    Guard.EVENTS_OF_THIS_ATTEMPT: TWO_ORDERS + "|ran=no was not so",
+    Guard.EVENTS_OF_THIS_ATTEMPT: TWO_DISPATCHES + "|ran=no was wrong",
     Guard.ONE_FAILURE_A_WORKER: "one failure a worker",
 }
-"""Which check must catch each rule once it is off."""
+"""Message of the check that must detect each disabled guard."""
 
 
-@pytest.mark.parametrize("guard", CAUGHT_BY)
-def test_checker_catches_each_rule_turned_off(guard: Guard) -> None:
+@pytest.mark.parametrize("guard", DETECTED_BY)
+def test_checker_detects_each_disabled_guard(guard: Guard) -> None:
     @settings(
         max_examples=1500,
         deadline=None,
@@ -72,5 +72,5 @@
         )
         world.run(choices)
 
-    with pytest.raises(AssertionError, match=CAUGHT_BY[guard]):
+    with pytest.raises(AssertionError, match=DETECTED_BY[guard]):
         broken()
--- a/tests/routing/test_decision_log.py
+++ b/tests/routing/test_decision_log.py
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("line", LINES, ids=lambda line: type(line).__name__)
-def test_a_line_is_read_back(line: LogLine) -> None:
+def test_a_line_is_decoded_as_it_was_encoded(line: LogLine) -> None:
     encoded = encode_line(line)
     assert encoded.count(b"\n") == 1
     assert encoded.endswith(b"\n")
@@ -75,21 +75,21 @@
 
 @settings(deadline=None, derandomize=True)
 @given(st.binary(max_size=300))
-def test_random_bytes_are_damage(noise: bytes) -> None:
+def test_random_bytes_are_reported_as_damage(noise: bytes) -> None:
     with pytest.raises(DamagedLineError):
         decode_line(noise)
 
 
 @settings(deadline=None, derandomize=True)
 @given(line=st.sampled_from(LINES), cut=st.integers(1, 60))
-def test_a_cut_line_is_damage(line: LogLine, cut: int) -> None:
+def test_a_truncated_line_is_reported_as_damage(line: LogLine, cut: int) -> None:
     with pytest.raises(DamagedLineError):
         decode_line(encode_line(line).rstrip()[:-cut])
 
 
 @settings(deadline=None, derandomize=True)
 @given(line=st.sampled_from(LINES), value=JSON_VALUES, data=st.data())
-def test_a_wrong_value_is_damage_or_read_as_it_is(
+def test_a_wrong_value_is_reported_as_damage_or_decoded_unchanged(
     line: LogLine, value: object, data: st.DataObject
 ) -> None:
     table = json.loads(encode_line(line))
@@ -105,7 +105,7 @@
     assert getattr(read, info.name) == msgspec.convert(value, info.type)
 
 
-def test_deep_nesting_and_length_are_damage() -> None:
+def test_deep_nesting_and_length_are_reported_as_damage() -> None:
     with pytest.raises(DamagedLineError, match="nested"):
         decode_line(b'{"type":"dropped","count":1,"x":' + b"[" * 100_000)
     with pytest.raises(DamagedLineError, match="longer"):
--- a/tests/routing/test_freshness.py
+++ b/tests/routing/test_freshness.py
@@ -55,7 +55,7 @@
     return sum(isinstance(message, FleetUpdateRequest) for message in sent)
 
 
-def test_a_lease_counts_from_when_the_question_was_sent() -> None:
+def test_a_lease_starts_when_its_request_was_sent() -> None:
     one = core(view(1))
     one.heartbeat(10.0)
     one.receive_heartbeat_reply(reply(1, 1), 11.2)
@@ -63,7 +63,7 @@
     assert not one.is_fresh(10.0 + ROUTER_LEASE_SECONDS)
 
 
-def test_an_answer_that_names_a_newer_revision_renews_nothing() -> None:
+def test_a_reply_with_a_newer_revision_renews_no_lease() -> None:
     one = core(view(1))
     one.heartbeat(10.0)
     effects = one.receive_heartbeat_reply(reply(1, 2), 10.1)
@@ -82,7 +82,7 @@
     assert one.revision == 5
 
 
-def test_witnesses_carry_the_lease_while_the_leader_is_silent() -> None:
+def test_witnesses_renew_the_lease_while_the_leader_is_unreachable() -> None:
     one = core(view(1))
     effects = one.heartbeat(10.0)
     asked = [effect for effect in effects if isinstance(effect, SendToRouter)]
@@ -96,7 +96,7 @@
     assert not one.is_fresh(10.0 + ROUTER_LEASE_SECONDS)
 
 
-def test_a_router_off_the_roster_gets_no_lease_from_witnesses() -> None:
+def test_an_unregistered_router_gets_no_lease_from_witnesses() -> None:
     one = core(view(1, ROUTERS[1:]))
     one.heartbeat(10.0)
     for witness in ("b", "c"):
@@ -105,7 +105,7 @@
     assert not one.is_fresh(10.2)
 
 
-def test_a_witness_that_was_never_fresh_keeps_silent() -> None:
+def test_a_witness_that_was_never_fresh_does_not_reply() -> None:
     one = core(view(1))
     query = FreshnessQuery(router_id="b", sequence=1, adopted_revision=0)
     assert one.receive_query(query, "b:1", 10.0) == []
@@ -115,7 +115,7 @@
     assert isinstance(effects[0], SendToRouter)
 
 
-def test_a_missing_revision_is_asked_for_once_and_not_while_others_come() -> None:
+def test_a_missing_revision_is_requested_once_and_not_while_updates_arrive() -> None:
     one = core(view(1))
     gap = FleetUpdate(revision=9, configuration_version=9, base_revision=8)
     assert requests(one.receive_update(gap, 10.0)) == 1
--- a/tests/routing/test_kv_transfer_evidence.py
+++ b/tests/routing/test_kv_transfer_evidence.py
@@ -1,4 +1,4 @@
-"""The charging table of failed hand-overs (design page: which side a failed hand-over charges)."""
+"""Failed KV transfers: which side is charged, by the evidence of several pairs."""
 
 import pytest
 from hypothesis import given, settings
@@ -54,7 +54,7 @@
     assert not attempt_table.avoidance.is_avoided("p1", "d1", 5.0)
 
 
-def test_denied_handle_charges_the_prefill_side_unless_it_had_lapsed() -> None:
+def test_rejected_handle_charges_the_prefill_side_unless_it_had_expired() -> None:
     attempt_table = TransferEvidenceTable()
     assert (
         fail(attempt_table, "p1 d1", 1.0, TransferEvidence.HANDLE_DENIED, expires_at=1.5) is PREFILL
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize(
     "evidence", [TransferEvidence.HANDLE_EXPIRED, TransferEvidence.HANDLE_MISMATCH]
 )
-def test_lapsed_and_foreign_handles_are_neutral_and_leave_no_evidence(
+def test_expired_and_foreign_handles_are_neutral_and_leave_no_evidence(
     evidence: TransferEvidence,
 ) -> None:
     attempt_table = TransferEvidenceTable()
@@ -123,7 +123,7 @@
     assert fail(attempt_table, "p1 d1", 4.0) is DECODE
 
 
-def test_network_split_that_points_both_ways_charges_nobody() -> None:
+def test_network_partition_with_evidence_on_both_sides_charges_no_worker() -> None:
     attempt_table = TransferEvidenceTable()
     assert fail(attempt_table, "p1 d1", 1.0) is LINK
     fail(attempt_table, "p2 d2", 1.0)
--- a/tests/routing/test_pairing.py
+++ b/tests/routing/test_pairing.py
@@ -1,4 +1,4 @@
-"""Preference orders of prefill, decode and plain legs."""
+"""Order of the prefill, decode and plain candidates."""
 
 from collections.abc import Sequence
 
@@ -79,7 +79,7 @@
         worker("p9", service="puzzle"),
     ],
 )
-def test_only_ready_workers_of_the_service_and_model_that_are_not_held(
+def test_only_ready_uncordoned_workers_of_the_service_and_model_are_candidates(
     excluded: WorkerRecord,
 ) -> None:
     selector = selector_of([*PREFILL, excluded, *DECODE])
@@ -124,20 +124,20 @@
     assert set(after[:2]) == {"d0", "d4"}
 
 
-def test_decode_worker_over_the_load_bound_gives_way_to_another_zone() -> None:
+def test_decode_worker_over_the_load_bound_comes_after_another_zone() -> None:
     selector = selector_of([worker("p1"), worker("d1"), worker("d2", zone="z2")])
     assert selector.decode_candidates(query(), "p1", {"d1": 1}, 0.0).candidates == ("d1", "d2")
     assert selector.decode_candidates(query(), "p1", {"d1": 9}, 0.0).candidates == ("d2", "d1")
 
 
-def test_decode_is_paired_with_the_worker_that_holds_the_prompt_already() -> None:
+def test_decode_is_paired_with_the_worker_that_has_the_kv_cache() -> None:
     selector = selector_of([*PREFILL, worker("p7", zone="z2"), *DECODE])
     (stage_candidates,) = selector.model_candidates(query(prefill_worker_id="p7"), {}, 0.0)
     assert stage_candidates.stage is Stage.DECODE
     assert set(stage_candidates.candidates[:3]) == {"d1", "d3", "d5"}
 
 
-def test_plain_leg_takes_the_lighter_of_two() -> None:
+def test_plain_stage_prefers_the_less_loaded_of_two() -> None:
     selector = selector_of([worker(f"s{number}", service="stock") for number in range(4)])
     plain = PlainQuery(service="stock", request_id="r1")
     order = selector.plain_candidates(plain, {}).candidates
@@ -177,31 +177,31 @@
     assert firsts == {"s0", "s1", "s2", "s3"}
 
 
-def test_a_prompt_that_its_decode_worker_reads_goes_to_the_own_zone_first() -> None:
+def test_decode_side_prefill_prefers_the_own_zone() -> None:
     selector = selector_of(zoned("d", 26, 5), zone="z2")
     for number in range(50):
-        asked = query(request_id=f"r{number}")
-        stage_candidates = selector.decode_candidates(asked, "", {}, 0.0)
+        model_query = query(request_id=f"r{number}")
+        stage_candidates = selector.decode_candidates(model_query, "", {}, 0.0)
         zones = [int(one[1:]) % 5 for one in stage_candidates.candidates]
         assert zones[0] == 2
         assert len(set(zones)) > 1
-        elsewhere = selector.decode_candidates(asked, "p-unknown", {}, 0.0)
+        elsewhere = selector.decode_candidates(model_query, "p-unknown", {}, 0.0)
         assert len(set(elsewhere.candidates)) == CANDIDATE_LIMIT
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.integers(0, 60), st.integers(0, 60), st.integers(0, 2**64 - 1), st.text(max_size=5))
-def test_legs_are_bounded_distinct_and_the_same_on_every_router(
+def test_stage_candidates_are_bounded_distinct_and_the_same_on_every_router(
     prefill_count: int, decode_count: int, key: int, request_id: str
 ) -> None:
     workers = [
         *(worker(f"p{number}") for number in range(prefill_count)),
         *(worker(f"d{number}", zone=f"z{number % 3}") for number in range(decode_count)),
     ]
-    asked = query(key=key, request_id=request_id)
+    model_query = query(key=key, request_id=request_id)
     selector, reversed_selector = selector_of(workers), selector_of(workers[::-1])
-    per_stage = selector.model_candidates(asked, {}, 0.0)
-    assert per_stage == reversed_selector.model_candidates(asked, {}, 0.0)
+    per_stage = selector.model_candidates(model_query, {}, 0.0)
+    assert per_stage == reversed_selector.model_candidates(model_query, {}, 0.0)
     eligible = reversed_selector.eligible("wine", Stage.DECODE, "m")
     assert list(eligible) == sorted(f"d{number}" for number in range(decode_count))
     for stage_candidates, count in zip(per_stage, (prefill_count, decode_count), strict=True):
@@ -212,7 +212,7 @@
         )
 
 
-def test_rings_survive_a_view_change_and_are_bounded() -> None:
+def test_rings_are_reused_after_a_view_change_and_are_bounded() -> None:
     cache = RingCache(capacity=2)
     first = cache.ring("wine", Stage.PREFILL, ("a", "b"))
     assert cache.ring("wine", Stage.PREFILL, ("a", "b")) is first
@@ -235,15 +235,15 @@
 def test_decode_candidates_come_from_every_zone_and_half_of_them_are_near() -> None:
     zones = {f"d{number}": f"z{number % 4 + 1}" for number in range(40)}
     for number in range(50):
-        asked = query(request_id=f"r{number}")
-        _, decode = many_zones().model_candidates(asked, {}, 0.0)
+        model_query = query(request_id=f"r{number}")
+        _, decode = many_zones().model_candidates(model_query, {}, 0.0)
         found = [zones[worker_id] for worker_id in decode.candidates]
         assert found[: CANDIDATE_LIMIT // 2] == ["z1"] * (CANDIDATE_LIMIT // 2)
         assert set(found) == {"z1", "z2", "z3", "z4"}
         assert len(set(decode.candidates)) == CANDIDATE_LIMIT
 
 
-def test_a_prompt_that_was_read_has_candidates_near_its_reader_only() -> None:
+def test_a_prefilled_prompt_has_candidates_in_the_zone_of_its_prefill_worker_only() -> None:
     (decode,) = many_zones().model_candidates(query(prefill_worker_id="p1"), {}, 0.0)
     assert {int(worker_id[1:]) % 4 for worker_id in decode.candidates} == {0}
 
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -73,7 +73,7 @@
         assert count_within(retries, start, end) <= allowed + SLACK
 
 
-def test_the_share_is_usable_and_comes_back() -> None:
+def test_the_share_is_usable_and_is_restored() -> None:
     budget = RetryBudget(RetryPolicy(budget_minimum_per_second=0.0))
     for number in range(100):
         budget.record_first_attempt(number * 0.01)
@@ -116,7 +116,7 @@
     assert all(router.try_spend(later) for router in routers)
 
 
-def test_policy_changes_keep_what_was_counted() -> None:
+def test_policy_changes_retain_the_counts() -> None:
     budget = RetryBudget(RetryPolicy(), router_count=1)
     assert sum(budget.try_spend(5.0) for _ in range(9)) == 5
     budget.set_policy(RetryPolicy(budget_minimum_per_second=0.7))
--- a/tests/routing/test_ring.py
+++ b/tests/routing/test_ring.py
@@ -20,7 +20,7 @@
 
 @DETERMINISTIC
 @given(pools)
-def test_leaving_worker_moves_only_its_own_keys(worker_ids: list[str]) -> None:
+def test_removed_worker_moves_only_its_own_keys(worker_ids: list[str]) -> None:
     full, smaller = HashRing.build(worker_ids), HashRing.build(worker_ids[1:])
     for key in KEYS:
         if full.owner(key) != worker_ids[0]:
@@ -99,12 +99,12 @@
     assert prefix_key("m", prefix) != prefix_key("m", "y" + prefix)
 
 
-def test_short_prompts_are_told_apart_and_a_lone_surrogate_is_hashed() -> None:
+def test_short_prompts_have_different_keys_and_a_lone_surrogate_is_hashed() -> None:
     assert prefix_key("m", "valuation of a") != prefix_key("m", "valuation of b")
     assert prefix_key("m", "\ud800") != prefix_key("m", "\udfff")
 
 
-def test_a_ring_without_virtual_nodes_is_refused() -> None:
+def test_a_ring_without_virtual_nodes_is_rejected() -> None:
     with pytest.raises(ValueError, match="virtual node"):
         HashRing.build(["a"], 0)
 
--- a/tests/routing/test_route_table.py
+++ b/tests/routing/test_route_table.py
@@ -67,7 +67,7 @@
     assert (match.route.name if match else None) == expected
 
 
-def test_literal_segments_win_whatever_the_order_of_the_routes() -> None:
+def test_literal_segments_take_precedence_in_any_order_of_the_routes() -> None:
     routes = [plain("literal", "GET", "/a/b"), plain("template", "GET", "/{x}/b")]
     for order in (routes, routes[::-1]):
         match = RouteTable(Configuration(services=[STOCK], routes=order)).match_plain("GET", "/a/b")
--- a/tests/routing/test_stream.py
+++ b/tests/routing/test_stream.py
@@ -12,7 +12,7 @@
     return DecodeFrame(request_id=request_id, attempt_id=attempt_id, sequence=sequence, kind=kind)
 
 
-def test_whole_stream_is_complete_only_by_its_terminal() -> None:
+def test_stream_is_complete_only_with_its_terminal() -> None:
     validator = StreamValidator("r", "a")
     assert validator.check(frame(0, FrameKind.ROLE)) is StreamVerdict.ACCEPTED
     assert validator.check(frame(1)) is StreamVerdict.ACCEPTED
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("sequence", [0, 2, -1])
-def test_repeated_or_missing_frame_is_a_gap_and_stays_one(sequence: int) -> None:
+def test_repeated_or_missing_frame_is_a_gap_permanently(sequence: int) -> None:
     validator = StreamValidator("r", "a")
     validator.check(frame(0))
     assert validator.check(frame(sequence)) is StreamVerdict.GAP
