--- a/tests/placement/plan_world.py
+++ b/tests/placement/plan_world.py
@@ -1,4 +1,4 @@
-"""A fleet's plan part without a network: the replicated state, leaders and stand-ins' cores."""
+"""Plans in a fleet without a network: replicated state, leaders and emulated workers."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -69,10 +69,10 @@
 
 
 class PlanWorld:
-    """One replicated state, the leader of the newest term, and workers that obey orders.
+    """One replicated state, the leader of the newest term, and workers that execute commands.
 
-    ``check`` is run after every command. An order may be lost, its answer may be lost, and any
-    order may come a second time later, as ``random`` has it.
+    ``check`` runs after every entry of the log. With ``random``, a command or its reply may be
+    lost, and any command may arrive a second time later.
     """
 
     def __init__(
@@ -93,15 +93,15 @@
         self.switched: list[str] = []
         self.on_event: Callable[[], None] = lambda: None
         self.configurations = 0
-        for one in workers:
-            self.start_worker(one)
+        for worker in workers:
+            self.start_worker(worker)
         self.configure(wanted)
         self.fail_over()
 
     def apply(self, command: Command) -> Outcome:
         index = self.state.applied_index + 1
         outcome = self.state.apply(index, encode_command(command)).outcome
-        # Every replica must get here from a snapshot, too.
+        # Every replica must reach the same state from a snapshot.
         assert FleetState.restore(self.state.snapshot()).snapshot() == self.state.snapshot()
         self.check()
         return outcome
@@ -109,20 +109,20 @@
     def configure(self, wanted: Service) -> None:
         configuration = Configuration(services=[wanted])
         version = self.state.configuration_version
-        order = SubmitConfiguration(
+        update = SubmitConfiguration(
             order_id=f"configuration-{version}",
             base_version=version,
             configuration=configuration,
             digest=configuration_digest(version, configuration),
         )
-        outcome = self.apply(order)
+        outcome = self.apply(update)
         assert isinstance(outcome, UpdateResult)
         assert isinstance(outcome.outcome, UpdateAccepted)
 
-    def start_worker(self, one: WorkerRecord) -> None:
-        self.cores[one.worker_id] = BackendCore(one, max_in_flight=8)
-        self.sequences[one.worker_id] = 0
-        self.announce(one.worker_id)
+    def start_worker(self, worker: WorkerRecord) -> None:
+        self.cores[worker.worker_id] = BackendCore(worker, max_in_flight=8)
+        self.sequences[worker.worker_id] = 0
+        self.announce(worker.worker_id)
 
     def restart_worker(self, worker_id: str) -> None:
         old = self.cores[worker_id].record
@@ -170,7 +170,7 @@
         return self.plan.progress.steps[position].phase
 
     def turn(self) -> None:
-        """Let the leader look once and what it asks for happen."""
+        """Run one tick of the leader and carry out its effects and proposals."""
         self.now += TURN_SECONDS
         if self.confirms:
             self.confirmed_revision = self.state.revision
@@ -188,69 +188,75 @@
             self.execute(self.random.choice(self.sent).command)  # a late duplicate
 
     def run(self, turns: int = 600) -> None:
-        """Run until the plan is over."""
+        """Run until the plan has ended."""
         for _ in range(turns):
             if not self.plan.active:
                 return
             self.turn()
         raise AssertionError(f"the plan does not end: {self.plan.progress}")
 
-    def execute(self, order: WorkerCommand) -> WorkerCommandReply:
-        """Let an order reach its worker, which announces what it has become."""
-        core = self.cores[order.worker_id]
+    def execute(self, command: WorkerCommand) -> WorkerCommandReply:
+        """Deliver a command to its worker, which announces its new state."""
+        core = self.cores[command.worker_id]
         before = core.record
-        reply = core.execute(order, handles_outstanding=0)
-        if reply.accepted and order.kind is WorkerCommandKind.SET_STAGE:
-            self._check_switch(order)
-            # An order that was taken and whose answer was lost is given again, as a newer one: a
-            # worker that plays the part already accepts it and changes nothing.
+        reply = core.execute(command, handles_outstanding=0)
+        if reply.accepted and command.kind is WorkerCommandKind.SET_STAGE:
+            self._check_stage_change(command)
+            # A command whose reply was lost is repeated as a newer one; a worker that has the stage
+            # already accepts it and changes nothing.
             if core.record.stage is not before.stage:
-                self.switched.append(order.worker_id)
+                self.switched.append(command.worker_id)
         if core.record != before:
-            self.announce(order.worker_id)
+            self.announce(command.worker_id)
         return reply
 
     def stages(self) -> dict[str, Stage]:
-        return {one: core.record.stage for one, core in self.cores.items()}
+        return {worker_id: core.record.stage for worker_id, core in self.cores.items()}
 
     def serving(self, stage: Stage) -> int:
-        return sum(1 for one in self.state.workers() if one.stage is stage and is_serving(one))
+        return sum(
+            1 for worker in self.state.workers() if worker.stage is stage and is_serving(worker)
+        )
 
     def check(self) -> None:
-        """Check the bounds that hold while a plan runs and no worker is lost."""
+        """Check the bounds of a running plan."""
         if self.state.plan is None:
             return
         plan = self.plan
-        cordoned = {one.worker_id for one in self.state.workers() if one.cordoned}
+        cordoned = {worker.worker_id for worker in self.state.workers() if worker.cordoned}
         steps = zip(plan.plan.steps, plan.progress.steps, strict=True)
-        open_workers = {step.worker_id for step, one in steps if one.phase in OPEN_PHASES}
+        open_workers = {step.worker_id for step, progress in steps if progress.phase in OPEN_PHASES}
         assert cordoned <= open_workers
         assert len(open_workers) <= self.wanted.max_held_workers
 
     def check_serving(self) -> None:
-        """Check that the giving stage keeps its desired count and none is empty."""
+        """Check that the source stage has its desired count and that no stage is empty."""
         step = self.plan.plan.steps[0]
         minimum = self.plan.plan.bounds_of(step.service).minimum(step.from_stage)
         assert self.serving(step.from_stage) >= minimum
         assert self.serving(Stage.PREFILL) > 0
         assert self.serving(Stage.DECODE) > 0
 
-    def _send(self, driver: PlanDriver, order: WorkerCommand) -> None:
+    def _send(self, driver: PlanDriver, command: WorkerCommand) -> None:
         lost = self.random is not None and self.random.random() < 0.2
-        if order.worker_id in self.unreachable or lost:
+        if command.worker_id in self.unreachable or lost:
             return
-        reply = self.execute(order)
-        answer_lost = self.random is not None and self.random.random() < 0.2
-        if not answer_lost:
-            driver.command_answered(order, reply)
-
-    def _check_switch(self, order: WorkerCommand) -> None:
-        """Check that a worker changes its part only while every router leaves it alone."""
-        worker = next(one for one in self.state.workers() if one.worker_id == order.worker_id)
-        assert worker.cordoned, "switched while routers may give it requests"
-        held_revisions = [
+        reply = self.execute(command)
+        reply_lost = self.random is not None and self.random.random() < 0.2
+        if not reply_lost:
+            driver.command_answered(command, reply)
+
+    def _check_stage_change(self, command: WorkerCommand) -> None:
+        """Check that a worker changes its stage only while no router sends requests to it."""
+        worker = next(
+            record for record in self.state.workers() if record.worker_id == command.worker_id
+        )
+        assert worker.cordoned, "stage changed while routers may send requests"
+        cordoned_revisions = [
             progress.cordoned_revision
             for step, progress in zip(self.plan.plan.steps, self.plan.progress.steps, strict=True)
-            if step.worker_id == order.worker_id
+            if step.worker_id == command.worker_id
         ]
-        assert self.confirmed_revision >= held_revisions[0], "a router may not know of the hold"
+        assert self.confirmed_revision >= cordoned_revisions[0], (
+            "a router may not know of the cordon"
+        )
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -1,4 +1,4 @@
-"""Which workers a plan moves, and how it is refused (docs/design/plans.md)."""
+"""Which workers a plan moves, and why a plan is rejected (docs/design/plans.md)."""
 
 from collections import Counter
 from itertools import combinations
@@ -96,7 +96,7 @@
     return sum(count * count for count in counts.values())
 
 
-def test_of_equally_placed_workers_the_smallest_part_of_the_ring_goes() -> None:
+def test_of_equally_placed_workers_the_one_with_the_smallest_ring_share_is_moved() -> None:
     workers = fleet(prefill=9, decode=1)
     preview = make_preview(view(*workers, services=[service(5, 5)]))
     shares = ring_shares([one.worker_id for one in workers if one.stage is Stage.PREFILL])
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize(("prefill_workers", "decode_workers"), [(3, 9), (10, 2)])
-def test_the_shown_share_is_what_moves_on_the_ring(
+def test_the_previewed_share_is_the_share_of_keys_that_move_on_the_ring(
     prefill_workers: int, decode_workers: int
 ) -> None:
     workers = fleet(prefill=7, decode=5, zones=3)
@@ -127,7 +127,7 @@
     assert racks == {"rack-a": 2, "rack-b": 2}
 
 
-def test_refusals_name_their_reason() -> None:
+def test_rejections_state_their_reason() -> None:
     assert reason(*fleet(1, 1), wanted=service(1, 2)) is RefusalReason.NOT_ENOUGH_WORKERS
     assert reason(*fleet(2, 2), wanted=service(0, 4)) is RefusalReason.STAGE_WOULD_BE_EMPTY
     assert reason(*fleet(2, 2), wanted=service(4, 0)) is RefusalReason.STAGE_WOULD_BE_EMPTY
@@ -135,7 +135,7 @@
     assert reason(*fleet(3, 2), wanted=service(2, 2)) is RefusalReason.ALREADY_AS_DESIRED
 
 
-def test_a_worker_that_serves_nobody_is_not_counted_and_not_moved() -> None:
+def test_a_worker_that_does_not_serve_is_not_counted_and_not_moved() -> None:
     draining = msgspec.structs.replace(record("w9", Stage.PREFILL), status=WorkerStatus.DRAINING)
     cordoned = msgspec.structs.replace(record("w8", Stage.PREFILL), cordoned=True)
     preview = make_preview(view(*fleet(2, 2), draining, cordoned, services=[service(1, 3)]))
@@ -147,14 +147,14 @@
     )
 
 
-def test_services_without_desired_counts_and_plain_ones_are_left_alone() -> None:
+def test_services_without_desired_counts_and_plain_services_are_unchanged() -> None:
     services = [service(0, 0), Service(name="stock", kind=ServiceKind.PLAIN)]
     preview = make_preview(view(*fleet(2, 2), services=services))
     assert not preview.refusals
     assert not preview.steps
 
 
-def test_a_refused_service_does_not_hold_up_another() -> None:
+def test_a_rejected_service_does_not_block_another() -> None:
     others = [record(f"o{number}", Stage.PREFILL, service="other") for number in range(3)]
     services = [service(9, 9), service(1, 2, name="other")]
     preview = make_preview(view(*fleet(2, 2), *others, services=services))
@@ -162,7 +162,7 @@
     assert {step.service for step in preview.plan.steps} == {"other"}
 
 
-def test_the_plan_id_changes_with_every_thing_that_the_plan_depends_on() -> None:
+def test_the_plan_id_changes_with_every_input_of_the_plan() -> None:
     workers = fleet(4, 2)
     wanted = [service(2, 4)]
     first = make_preview(view(*workers, services=wanted)).plan
@@ -183,7 +183,7 @@
     assert make_preview(view(*workers, elsewhere, services=wanted)).plan.plan_id == first.plan_id
 
 
-def test_bounds_follow_the_longest_deadline_and_the_number_held_at_once() -> None:
+def test_bounds_follow_the_longest_deadline_and_the_number_cordoned_at_once() -> None:
     preview = make_preview(view(*fleet(6, 2), services=[service(2, 6, max_cordoned=3)]))
     (shown,) = preview.services
     (bounds,) = preview.plan.bounds
--- a/tests/placement/test_prefill_placement.py
+++ b/tests/placement/test_prefill_placement.py
@@ -1,4 +1,4 @@
-"""Prompts go where their shared part is held, unless too much waits there."""
+"""Prompts go to the worker with their prefix in its cache, unless its queue is too long."""
 
 from collections.abc import Callable
 
@@ -54,12 +54,12 @@
 
 def place(
     placement: PrefillPlacement,
-    asked: DecisionRequest,
+    decision_request: DecisionRequest,
     now: float = 0.0,
     in_flight: Callable[[str], int] = idle,
 ) -> dict[Stage, str]:
-    """Choose the first candidate of every leg, as circuits that are all closed do."""
-    ordered = placement.order(asked, in_flight, now)
+    """Choose the first candidate of each stage, as with closed circuits."""
+    ordered = placement.order(decision_request, in_flight, now)
     choices = tuple(
         Choice(stage=stage_candidates.stage, worker_id=stage_candidates.candidates[0])
         for stage_candidates in ordered.per_stage
@@ -68,12 +68,12 @@
     return {choice.stage: choice.worker_id for choice in choices}
 
 
-def read(
-    placement: PrefillPlacement, asked: DecisionRequest, worker_id: str, now: float = 0.0
+def complete_prefill(
+    placement: PrefillPlacement, decision_request: DecisionRequest, worker_id: str, now: float = 0.0
 ) -> None:
     report = AttemptReport(
-        request_id=asked.request_id,
-        attempt_id=asked.attempt_id + PREFILL_DONE_SUFFIX,
+        request_id=decision_request.request_id,
+        attempt_id=decision_request.attempt_id + PREFILL_DONE_SUFFIX,
         worker_id=worker_id,
         effect=AttemptEffect.GATEWAY,
     )
@@ -84,120 +84,127 @@
     assert place(PrefillPlacement(), request(1))[Stage.PREFILL] == "p1"
 
 
-def test_a_prefix_stays_where_it_was_read() -> None:
+def test_a_prefix_is_placed_where_it_is_cached() -> None:
     placement = PrefillPlacement()
     first = request(1, ring=("p2", "p1", "p3"))
     assert place(placement, first)[Stage.PREFILL] == "p2"
-    read(placement, first, "p2")
+    complete_prefill(placement, first, "p2")
     assert place(placement, request(2))[Stage.PREFILL] == "p2"
 
 
-def test_what_waits_at_the_holder_sends_a_prompt_elsewhere() -> None:
+def test_a_long_queue_at_the_caching_worker_sends_a_prompt_elsewhere() -> None:
     placement = PrefillPlacement()
     place(placement, request(1, prefix=8, own=60_000))
     assert placement.waiting_tokens("p1") == 73_000
     assert place(placement, request(2))[Stage.PREFILL] == "p2"
 
 
-def test_a_read_that_has_ended_waits_no_more() -> None:
+def test_a_completed_prefill_leaves_the_queue() -> None:
     placement = PrefillPlacement()
-    asked = request(1)
-    place(placement, asked)
-    read(placement, asked, "p1")
+    decision_request = request(1)
+    place(placement, decision_request)
+    complete_prefill(placement, decision_request, "p1")
     assert placement.waiting_tokens("p1") == 0
-    read(placement, asked, "p1")
+    complete_prefill(placement, decision_request, "p1")
     assert placement.waiting_tokens("p1") == 0
 
 
-def test_empty_prompts_on_one_worker_end_one_after_the_other() -> None:
-    # Seen on the bench: the second end of a read of no tokens stopped the leader.
+def test_empty_prompts_on_one_worker_are_completed_one_after_the_other() -> None:
+    # In a bench run, the second end of a prefill without tokens stopped the leader.
     placement = PrefillPlacement()
-    asked = [request(number, shared=0, own=0) for number in range(3)]
-    chosen = [place(placement, one) for one in asked]
-    for one, choice in zip(asked, chosen, strict=True):
-        read(placement, one, next(iter(choice.values())))
+    requests = [request(number, shared=0, own=0) for number in range(3)]
+    chosen = [place(placement, each) for each in requests]
+    for each, choice in zip(requests, chosen, strict=True):
+        complete_prefill(placement, each, next(iter(choice.values())))
 
 
-def test_a_read_without_a_report_is_forgotten() -> None:
+def test_a_prefill_without_a_report_expires() -> None:
     placement = PrefillPlacement()
     place(placement, request(1))
     place(placement, request(2, prefix=9), now=PREFILL_TTL_SECONDS + 1.0)
     assert placement.waiting_tokens("p1") <= 16_700
 
 
-def test_a_short_prompt_is_read_by_a_decode_worker_while_prefill_is_busy() -> None:
+def test_a_short_prompt_gets_decode_side_prefill_while_prefill_workers_are_busy() -> None:
     placement = PrefillPlacement()
     for number, worker_id in enumerate(RING):
         place(placement, request(number, prefix=number + 20, own=60_000, ring=(worker_id,)))
     assert Stage.PREFILL not in place(placement, request(9, shared=0, own=1_000))
 
 
-def test_a_decode_worker_does_not_read_while_a_pair_is_free() -> None:
+def test_there_is_no_decode_side_prefill_while_a_pair_is_free() -> None:
     chosen = place(PrefillPlacement(), request(1, shared=0, own=1_000))
     assert set(chosen) == {Stage.PREFILL, Stage.DECODE}
 
 
-def test_the_lightest_decode_worker_comes_first() -> None:
+def test_the_least_loaded_decode_worker_comes_first() -> None:
     loads = {"d1": 4, "d2": 1}
-    chosen = place(PrefillPlacement(), request(1), in_flight=lambda one: loads.get(one, 0))
+    chosen = place(
+        PrefillPlacement(), request(1), in_flight=lambda worker_id: loads.get(worker_id, 0)
+    )
     assert chosen[Stage.DECODE] == "d2"
 
 
 def test_tried_workers_come_last() -> None:
-    asked = request(1)
-    per_stage = (msgspec.structs.replace(asked.per_stage[0], tried=("p1",)), asked.per_stage[1])
-    asked = msgspec.structs.replace(asked, per_stage=per_stage)
-    assert place(PrefillPlacement(), asked)[Stage.PREFILL] == "p2"
+    decision_request = request(1)
+    per_stage = (
+        msgspec.structs.replace(decision_request.per_stage[0], tried=("p1",)),
+        decision_request.per_stage[1],
+    )
+    decision_request = msgspec.structs.replace(decision_request, per_stage=per_stage)
+    assert place(PrefillPlacement(), decision_request)[Stage.PREFILL] == "p2"
 
 
-def test_a_worker_that_is_gone_holds_nothing() -> None:
+def test_a_removed_worker_has_no_cached_prefixes() -> None:
     placement = PrefillPlacement()
     first = request(1, ring=("p2", "p1", "p3"))
     place(placement, first)
-    read(placement, first, "p2")
+    complete_prefill(placement, first, "p2")
     placement.set_workers(frozenset({"p1", "p3"}))
     assert place(placement, request(2))[Stage.PREFILL] == "p1"
 
 
-def test_a_full_cache_forgets_what_was_used_longest_ago() -> None:
+def test_a_full_cache_evicts_the_least_recently_used_prefix() -> None:
     placement = PrefillPlacement()
     placement.set_capacity(40_000)
     for number in range(1, 5):
-        asked = request(number, prefix=number, ring=("p2", "p1", "p3"))
-        place(placement, asked)
-        read(placement, asked, "p2")
+        decision_request = request(number, prefix=number, ring=("p2", "p1", "p3"))
+        place(placement, decision_request)
+        complete_prefill(placement, decision_request, "p2")
     assert place(placement, request(9, prefix=1))[Stage.PREFILL] == "p1"
     assert place(placement, request(10, prefix=4))[Stage.PREFILL] == "p2"
 
 
-def test_a_prompt_that_was_read_is_not_read_again_by_its_decode_worker() -> None:
+def test_a_prefilled_prompt_is_not_queued_at_its_decode_worker() -> None:
     placement = PrefillPlacement()
-    asked = msgspec.structs.replace(request(1), per_stage=(request(1).per_stage[1],), is_read=True)
-    place(placement, asked)
+    decision_request = msgspec.structs.replace(
+        request(1), per_stage=(request(1).per_stage[1],), is_read=True
+    )
+    place(placement, decision_request)
     assert placement.waiting_tokens("d1") == 0
 
 
-def busy(placement: PrefillPlacement) -> None:
-    """Give every prefill worker much to read."""
+def fill_prefill_queues(placement: PrefillPlacement) -> None:
+    """Give every prefill worker a long queue."""
     for number, worker_id in enumerate(RING):
         place(placement, request(number, prefix=number + 20, own=60_000, ring=(worker_id,)))
 
 
-def test_a_decode_worker_reads_no_long_prompt_however_busy_the_others_are() -> None:
-    # Seen on the bench: 22,000 tokens kept all hand-overs to a worker waiting for two seconds.
+def test_a_long_prompt_never_gets_decode_side_prefill() -> None:
+    # In a bench run, 22,000 tokens delayed all KV transfers to a worker by two seconds.
     placement = PrefillPlacement()
-    busy(placement)
+    fill_prefill_queues(placement)
     assert Stage.PREFILL in place(placement, request(9, shared=0, own=9_000))
 
 
-def test_a_decode_worker_holds_a_prefix_once_it_has_answered() -> None:
+def test_a_decode_worker_has_a_prefix_cached_after_its_prefill() -> None:
     placement = PrefillPlacement()
-    asked = request(1)
-    decoder = place(placement, asked)[Stage.DECODE]
-    busy(placement)
+    decision_request = request(1)
+    decoder = place(placement, decision_request)[Stage.DECODE]
+    fill_prefill_queues(placement)
     again = request(9, own=500)
     assert Stage.PREFILL in place(placement, again)
-    read(placement, asked, decoder)
+    complete_prefill(placement, decision_request, decoder)
     assert place(placement, request(10, own=500)) == {Stage.DECODE: decoder}
 
 
@@ -205,45 +212,49 @@
     placement = PrefillPlacement()
     now = 0.0
     for number in range(12):
-        asked = request(number, prefix=number + 100, ring=(RING[number % 2],))
-        worker_id = place(placement, asked, now)[Stage.PREFILL]
+        decision_request = request(number, prefix=number + 100, ring=(RING[number % 2],))
+        worker_id = place(placement, decision_request, now)[Stage.PREFILL]
         seconds = 2.0 if worker_id == "p1" else 0.4
-        read(placement, asked, worker_id, now + seconds)
+        complete_prefill(placement, decision_request, worker_id, now + seconds)
         now += seconds
     fresh = request(50, prefix=7, shared=0, own=10_000, ring=("p1", "p2"))
     assert place(placement, fresh, now)[Stage.PREFILL] == "p2"
 
 
 def postponed_seconds(
-    placement: PrefillPlacement, asked: DecisionRequest, now: float, *, may_wait: bool = True
+    placement: PrefillPlacement,
+    decision_request: DecisionRequest,
+    now: float,
+    *,
+    may_wait: bool = True,
 ) -> float:
-    asked = msgspec.structs.replace(asked, may_wait=may_wait)
-    return placement.postponed_seconds(placement.order(asked, idle, now), now)
+    decision_request = msgspec.structs.replace(decision_request, may_wait=may_wait)
+    return placement.postponed_seconds(placement.order(decision_request, idle, now), now)
 
 
-def test_a_second_prompt_waits_while_its_shared_part_is_being_read() -> None:
-    # Seen on the bench: a worker that is asked meanwhile reads all of it a second time.
+def test_a_second_prompt_is_postponed_while_its_prefix_is_being_prefilled() -> None:
+    # In a bench run, a worker that was chosen meanwhile prefilled all of it a second time.
     placement = PrefillPlacement()
-    asked = request(1)
-    place(placement, asked)
+    decision_request = request(1)
+    place(placement, decision_request)
     assert postponed_seconds(placement, request(2), 0.01) == MAX_POSTPONEMENT_SECONDS
     assert postponed_seconds(placement, request(2), 0.41) == MIN_POSTPONEMENT_SECONDS
     assert postponed_seconds(placement, request(2, prefix=8), 0.01) == 0.0
     assert postponed_seconds(placement, request(2, shared=500), 0.01) == 0.0
     assert postponed_seconds(placement, request(2), 0.01, may_wait=False) == 0.0
-    read(placement, asked, "p1", 0.42)
+    complete_prefill(placement, decision_request, "p1", 0.42)
     assert postponed_seconds(placement, request(2), 0.43) == 0.0
     assert place(placement, request(2), 0.43)[Stage.PREFILL] == "p1"
 
 
-def test_nobody_waits_for_a_read_that_is_overdue_or_failed() -> None:
+def test_no_prompt_is_postponed_for_an_overdue_or_failed_prefill() -> None:
     placement = PrefillPlacement()
-    asked = request(1)
-    place(placement, asked)
+    decision_request = request(1)
+    place(placement, decision_request)
     assert postponed_seconds(placement, request(2), 1.0 + MAX_OVERDUE_SECONDS) == 0.0
     failed = AttemptReport(
-        request_id=asked.request_id,
-        attempt_id=asked.attempt_id,
+        request_id=decision_request.request_id,
+        attempt_id=decision_request.attempt_id,
         worker_id="p1",
         effect=AttemptEffect.TRANSIENT,
     )
@@ -251,7 +262,7 @@
     assert postponed_seconds(placement, request(2), 0.21) == 0.0
 
 
-def test_a_prompt_that_waits_too_long_goes_to_another_worker() -> None:
+def test_a_prompt_with_too_long_a_wait_goes_to_another_worker() -> None:
     placement = PrefillPlacement()
     place(placement, request(1, prefix=8, own=60_000))
     place(placement, request(2, ring=("p1", "p2")))
@@ -262,19 +273,19 @@
     assert ordered.per_stage[0].candidates[0] == "p3"
 
 
-def test_each_mechanism_can_be_switched_off() -> None:
+def test_each_mechanism_can_be_disabled() -> None:
     placement = PrefillPlacement()
-    asked = request(1, ring=("p2", "p1", "p3"))
-    place(placement, asked)
+    decision_request = request(1, ring=("p2", "p1", "p3"))
+    place(placement, decision_request)
     assert postponed_seconds(placement, request(2), 0.01) > 0
     placement.set_policy(PlacementPolicy(postponement=False))
     assert postponed_seconds(placement, request(2), 0.01) == 0.0
-    read(placement, asked, "p2", 0.5)
+    complete_prefill(placement, decision_request, "p2", 0.5)
     assert place(placement, request(3), 0.6)[Stage.PREFILL] == "p2"
     placement.set_policy(PlacementPolicy(prefix_affinity=False))
     assert place(placement, request(4), 0.6)[Stage.PREFILL] == "p1"
     placement.set_policy(PlacementPolicy())
-    busy(placement)
+    fill_prefill_queues(placement)
     assert Stage.PREFILL not in place(placement, request(9, shared=0, own=1_000), 0.7)
     placement.set_policy(PlacementPolicy(direct_reads=False))
     assert Stage.PREFILL in place(placement, request(10, shared=0, own=1_000), 0.7)
@@ -283,7 +294,7 @@
 ZONES = {"p1": "z1", "p2": "z2", "p3": "z1", "d1": "z1", "d2": "z2"}
 
 
-def test_a_cache_is_handed_over_inside_the_zone_of_its_reader() -> None:
+def test_a_kv_cache_is_transferred_within_the_zone_of_its_prefill_worker() -> None:
     placement = PrefillPlacement()
     placement.set_zones(ZONES)
     assert place(placement, request(1)) == {Stage.PREFILL: "p1", Stage.DECODE: "d1"}
@@ -297,7 +308,7 @@
     placement = PrefillPlacement()
     placement.set_zones(ZONES)
     loads = {"d1": 60, "d2": 1}
-    chosen = place(placement, request(1), in_flight=lambda one: loads.get(one, 0))
+    chosen = place(placement, request(1), in_flight=lambda worker_id: loads.get(worker_id, 0))
     assert chosen[Stage.DECODE] == "d2"
 
 
@@ -312,9 +323,11 @@
     placement = PrefillPlacement()
     placement.set_zones({"far": "z1", "near": "z2"})
 
-    def first(asked: DecisionRequest, near_load: int = 0, zone: str = "z2") -> str:
+    def first(decision_request: DecisionRequest, near_load: int = 0, zone: str = "z2") -> str:
         loads = {"near": near_load}
-        ordered = placement.order(asked, lambda one: loads.get(one, 0), 0.0, zone)
+        ordered = placement.order(
+            decision_request, lambda worker_id: loads.get(worker_id, 0), 0.0, zone
+        )
         return ordered.per_stage[0].candidates[0]
 
     assert first(short_request()) == "near"
--- a/tests/placement/test_prefill_queues.py
+++ b/tests/placement/test_prefill_queues.py
@@ -1,4 +1,4 @@
-"""How long a prompt would wait at a worker, and how fast each worker reads."""
+"""Prefill queues: the expected wait of a prompt, and the measured pace of each worker."""
 
 from orchidpath.placement.prefill_queues import (
     DEFAULT_SECONDS_PER_TOKEN,
@@ -11,10 +11,10 @@
     return abs(left - right) < 1e-9
 
 
-def read_one_after_the_other(
+def prefill_one_after_the_other(
     queues: PrefillQueues, worker_id: str, tokens_per_second: int, count: int = 4
 ) -> None:
-    """Order reads of 20,000 tokens at once; the worker takes them in turn."""
+    """Begin prefills of 20,000 tokens at once; the worker completes them in turn."""
     tokens = 20_000
     for number in range(count):
         queues.begin(f"{worker_id}{number}", worker_id, tokens, 0.0, measures_pace=True)
@@ -23,7 +23,7 @@
         queues.end(f"{worker_id}{number}", worker_id, ended_at, was_completed=True)
 
 
-def test_a_prompt_waits_for_what_is_still_to_be_read() -> None:
+def test_a_prompt_waits_for_the_queued_prefills() -> None:
     queues = PrefillQueues()
     queues.begin("a", "w", 40_000, 10.0, measures_pace=True)
     queues.begin("b", "w", 40_000, 10.2, measures_pace=True)
@@ -34,31 +34,31 @@
     assert queues.wait_seconds("another", 11.0) == 0.0
 
 
-def test_each_worker_has_its_own_pace() -> None:
+def test_each_worker_has_its_own_measured_pace() -> None:
     queues = PrefillQueues()
-    read_one_after_the_other(queues, "fast", 50_000)
-    read_one_after_the_other(queues, "slow", 20_000)
+    prefill_one_after_the_other(queues, "fast", 50_000)
+    prefill_one_after_the_other(queues, "slow", 20_000)
     assert close(queues.seconds_per_token("fast"), 1 / 50_000)
     assert close(queues.seconds_per_token("slow"), 1 / 20_000)
 
 
-def test_a_worker_of_which_little_is_known_is_as_fast_as_most() -> None:
+def test_a_worker_with_few_measurements_has_the_median_pace() -> None:
     queues = PrefillQueues()
     for worker_id in ("a", "b", "c"):
-        read_one_after_the_other(queues, worker_id, 50_000)
+        prefill_one_after_the_other(queues, worker_id, 50_000)
     queues.begin("few", "new", 500, 0.0, measures_pace=True)
     queues.end("few", "new", 5.0, was_completed=True)
     assert close(queues.seconds_per_token("new"), 1 / 50_000)
 
 
-def test_a_read_that_shares_the_worker_with_streams_shows_no_pace() -> None:
+def test_a_prefill_beside_streams_is_not_measured() -> None:
     queues = PrefillQueues()
     queues.begin("a", "w", 20_000, 0.0, measures_pace=False)
     queues.end("a", "w", 9.0, was_completed=True)
     assert queues.seconds_per_token("w") == DEFAULT_SECONDS_PER_TOKEN
 
 
-def test_many_ends_heard_at_once_are_no_infinite_pace() -> None:
+def test_many_ends_reported_at_once_do_not_give_an_infinite_pace() -> None:
     queues = PrefillQueues()
     for name in ("a", "b"):
         queues.begin(name, "w", 20_000, 1.0, measures_pace=True)
@@ -67,7 +67,7 @@
     assert queues.seconds_per_token("w") > 0.0
 
 
-def test_an_end_that_was_heard_twice_or_of_another_worker_changes_nothing() -> None:
+def test_a_repeated_end_or_one_of_another_worker_is_ignored() -> None:
     queues = PrefillQueues()
     queues.begin("a", "w", 20_000, 0.0, measures_pace=True)
     queues.end("a", "other", 1.0, was_completed=True)
@@ -77,7 +77,7 @@
     assert queues.waiting_tokens("w") == 0
 
 
-def test_reads_of_which_nothing_is_heard_are_forgotten() -> None:
+def test_prefills_without_a_report_expire() -> None:
     queues = PrefillQueues()
     queues.begin("a", "w", 20_000, 0.0, measures_pace=True)
     queues.begin("b", "w", 5_000, 5.0, measures_pace=True)
@@ -85,7 +85,7 @@
     assert queues.waiting_tokens("w") == 5_000
 
 
-def test_a_worker_that_is_gone_is_forgotten_with_its_reads() -> None:
+def test_a_removed_worker_is_dropped_with_its_prefills() -> None:
     queues = PrefillQueues()
     queues.begin("a", "w", 20_000, 0.0, measures_pace=True)
     queues.set_workers(frozenset())
--- a/tests/placement/test_recommendation.py
+++ b/tests/placement/test_recommendation.py
@@ -1,4 +1,4 @@
-"""Which split the load wants: a recommendation that follows a shift and ignores a swing."""
+"""Recommended split for a load: it follows a lasting change and ignores oscillation."""
 
 import pytest
 from hypothesis import given
@@ -27,7 +27,7 @@
     prefill=st.integers(1, 30),
     decode=st.integers(1, 30),
 )
-def test_the_recommended_split_is_the_best_one_or_the_present_one_is_near_it(
+def test_the_recommended_split_is_optimal_or_the_present_one_is_near_it(
     prompt: float, output: float, prefill: int, decode: int
 ) -> None:
     found = recommend(rates(prompt, output), CAPACITY, prefill, decode, POLICY)
@@ -45,7 +45,7 @@
         assert found.utilization_now * 0.9 <= best * (1 + 1e-9)
 
 
-def test_after_a_change_the_same_load_asks_for_no_other() -> None:
+def test_after_a_change_the_same_load_recommends_no_further_change() -> None:
     load = rates(700.0, 10.0)
     first = recommend(load, CAPACITY, 2, 8, POLICY)
     assert first.change
@@ -53,12 +53,12 @@
     assert not second.change
 
 
-def test_a_swing_around_a_border_changes_nothing() -> None:
+def test_load_that_oscillates_around_a_threshold_changes_nothing() -> None:
     for prompt in (290.0, 310.0, 290.0, 310.0):
         assert not recommend(rates(prompt, 70.0), CAPACITY, 3, 7, POLICY).change
 
 
-def test_without_load_nothing_is_to_change() -> None:
+def test_without_load_no_change_is_recommended() -> None:
     assert not recommend(rates(0.0, 0.0), CAPACITY, 1, 9, POLICY).change
 
 
--- a/tests/placement/test_stage_allocation.py
+++ b/tests/placement/test_stage_allocation.py
@@ -1,4 +1,4 @@
-"""The split that the fleet keeps itself, and who moves for it."""
+"""The automatic split into prefill and decode workers, and which workers are moved."""
 
 import pytest
 
@@ -36,18 +36,18 @@
     ("count", "wanted"),
     [(0, 0), (1, 1), (2, 1), (3, 1), (4, 2), (5, 2), (9, 2), (10, 2), (11, 3), (70, 14)],
 )
-def test_the_share_is_kept_within_what_there_is(count: int, wanted: int) -> None:
+def test_the_decode_share_is_bounded_by_the_number_of_workers(count: int, wanted: int) -> None:
     assert desired_decode_workers(service(), count) == wanted
 
 
-def test_of_three_workers_two_read_prompts() -> None:
-    """Seen on the bench: one of three read all prompts and had seconds of them waiting."""
+def test_of_three_workers_two_prefill() -> None:
+    """In a bench run, one of three workers prefilled all prompts, with seconds of them queued."""
     moves = next_moves(service(), workers(1, 2), {}, {})
     assert [move.stage for move in moves] == [Stage.PREFILL]
     assert next_moves(service(), workers(2, 1), {}, {}) == []
 
 
-def test_a_surplus_moves_at_once_from_the_fullest_zone() -> None:
+def test_a_surplus_moves_at_once_from_the_largest_zone() -> None:
     moves = next_moves(service(), workers(4, 5), {}, {})
     assert len(moves) == 3
     assert all(move.stage is Stage.PREFILL for move in moves)
@@ -55,43 +55,42 @@
     assert sorted(move.worker.zone for move in moves) == ["z0", "z0", "z1"]
 
 
-def test_the_worker_with_the_fewest_requests_goes_first() -> None:
+def test_the_worker_with_the_fewest_requests_moves_first() -> None:
     loads = {"w4": 5, "w6": 0, "w8": 3}
     moves = next_moves(service(least=4), workers(4, 5), {}, loads)
     assert [move.worker.worker_id for move in moves] == ["w6"]
 
 
-def test_moves_that_have_begun_count() -> None:
+def test_stage_changes_in_progress_are_counted() -> None:
     moving = {"w4": Stage.PREFILL, "w5": Stage.PREFILL, "w6": Stage.PREFILL}
     assert next_moves(service(), workers(4, 5), moving, {}) == []
 
 
-def test_a_worker_that_is_lost_for_a_while_moves_nobody() -> None:
+def test_a_worker_lost_temporarily_moves_no_other() -> None:
     assert next_moves(service(share=0.3, least=2), workers(7, 2), {}, {}) == []
 
 
 def test_the_last_worker_decodes() -> None:
-    # Seen on the bench: it was made to read prompts, which nobody was left to take up.
+    # In a bench run, it was moved to prefill, and no decode worker remained.
     assert next_moves(service(), workers(0, 1), {}, {}) == []
     assert [move.stage for move in next_moves(service(), workers(1, 0), {}, {})] == [Stage.DECODE]
 
 
-def test_too_few_decode_workers_are_made_up_for() -> None:
+def test_a_shortage_of_decode_workers_is_corrected() -> None:
     moves = next_moves(service(), workers(8, 1), {}, {})
     assert [move.stage for move in moves] == [Stage.DECODE]
 
 
-def test_a_draining_or_held_worker_is_not_moved() -> None:
-    some = workers(4, 5)
+def test_a_draining_worker_is_not_moved() -> None:
     drained = [
         WorkerRecord(
-            worker_id=one.worker_id,
+            worker_id=worker.worker_id,
             incarnation="1",
             service="s",
-            stage=one.stage,
-            url=one.url,
-            status=WorkerStatus.DRAINING if one.stage is Stage.DECODE else one.status,
+            stage=worker.stage,
+            url=worker.url,
+            status=WorkerStatus.DRAINING if worker.stage is Stage.DECODE else worker.status,
         )
-        for one in some
+        for worker in workers(4, 5)
     ]
     assert all(move.stage is Stage.DECODE for move in next_moves(service(), drained, {}, {}))
