--- a/tests/circuit/circuit_builders.py
+++ b/tests/circuit/circuit_builders.py
@@ -1,4 +1,4 @@
-"""Short-hands for the circuit tests: a table whose proposals are agreed at once."""
+"""Builders for the circuit tests, and a table whose proposals are committed at once."""
 
 import random
 from collections.abc import Sequence
@@ -129,7 +129,7 @@
     def attempt(
         self, worker_id: str, effect: AttemptEffect, now: float, request_id: str = ""
     ) -> int:
-        """Run one whole attempt on one worker; return the number of transitions it caused."""
+        """Run one complete attempt on one worker; return the number of its transitions."""
         self.attempts += 1
         attempt_id = f"attempt-{self.attempts}"
         decision = request(attempt_id, stage_candidates([worker_id]), request_id=request_id)
--- a/tests/circuit/test_circuit_classification.py
+++ b/tests/circuit/test_circuit_classification.py
@@ -36,7 +36,7 @@
         (Observed.DEADLINE_BEFORE_SEND, AttemptEffect.GATEWAY),
         (Observed.GATEWAY_FAULT, AttemptEffect.GATEWAY),
         (Observed.HANDLE_EXPIRED, AttemptEffect.GATEWAY),
-        # Design page: it must be decided which side a failed hand-over charges.
+        # A failed KV transfer is charged to one side, by evidence.
         (Observed.KV_TRANSFER_CHARGED, AttemptEffect.TRANSIENT),
         (Observed.KV_TRANSFER_UNDECIDED, AttemptEffect.GATEWAY),
         (Observed.SUCCESS, AttemptEffect.SUCCESS),
@@ -80,6 +80,6 @@
         (None, AttemptEffect.TRANSIENT),
     ],
 )
-def test_effect_of_a_refusal(code: ErrorCode | None, effect: AttemptEffect) -> None:
+def test_effect_of_a_rejection(code: ErrorCode | None, effect: AttemptEffect) -> None:
     observation = AttemptObservation(observed=Observed.REFUSED, error_code=code)
     assert classify(observation) is effect
--- a/tests/circuit/test_circuit_expiring.py
+++ b/tests/circuit/test_circuit_expiring.py
@@ -3,7 +3,7 @@
 from orchidpath.circuit.expiring import ExpiringSet
 
 
-def test_expiring_set_forgets_in_order() -> None:
+def test_expiring_set_drops_keys_in_order() -> None:
     keys: ExpiringSet[str] = ExpiringSet(10.0)
     assert keys.add("a", 0.0)
     assert keys.add("b", 5.0)
--- a/tests/circuit/test_circuit_fallback.py
+++ b/tests/circuit/test_circuit_fallback.py
@@ -1,4 +1,4 @@
-"""Decisions of a router without the control tier (design page: "slow, lost or cut off")."""
+"""Decisions of a router without the control tier while the leader is slow or lost."""
 
 import random
 
@@ -49,7 +49,7 @@
         fallback.observe([report(attempt_id, "a", TRANSIENT)], now)
 
 
-def test_the_last_known_circuits_hold() -> None:
+def test_the_last_known_circuits_apply() -> None:
     fallback = fallback_of("a", "b")
     assert fallback.accept_view(view_of(cooling(1), 1), 0.0)
     assert choose(fallback, "1", "ab", 19.0) == "b"
@@ -95,7 +95,7 @@
         ready.append(wait)
         assert choose(fallback, "probe", "ab", wait) == "a"
         assert choose(fallback, "next", "ab", wait) == "b"
-        # Not even when its time has run out, for it may still be running.
+        # Not even after its expiry, because it may still be running.
         expired = wait + POLICY.half_open_probe_seconds
         assert choose(fallback, "lapsed", "ab", expired) == "b"
         fallback.observe([report("probe", "a", AttemptEffect.SUCCESS)], expired)
@@ -135,7 +135,7 @@
     assert choose(fallback, "2", "ab", 60.0) == "a"
 
 
-def test_a_request_takes_one_own_probe_while_the_other_leg_has_a_closed_worker() -> None:
+def test_a_request_takes_one_own_probe_while_the_other_stage_has_a_closed_worker() -> None:
     fallback = fallback_of("a", "b", "c", "d")
     both = (cooling(1), msgspec.structs.replace(cooling(1), worker_id="c"))
     fallback.accept_view(CircuitsView(term=1, sequence=1, circuits=both, capacities=()), 0.0)
@@ -147,7 +147,7 @@
     assert [choice.worker_id for choice in choices] == ["a", "d"]
 
 
-def test_throttles_are_obeyed_agreed_or_own() -> None:
+def test_agreed_and_own_throttles_apply() -> None:
     fallback = fallback_of("a")
     capacity = CapacityRecord(failure_domain="d", generation=1, duration_seconds=5.0)
     view = CircuitsView(term=1, sequence=1, circuits=(), capacities=(capacity,))
@@ -162,14 +162,14 @@
     assert choose(fallback, "3", "a", 10.0) == "a"
 
 
-def test_the_circuit_of_a_worker_not_known_yet_is_kept() -> None:
+def test_the_circuit_of_a_worker_not_known_yet_is_retained() -> None:
     fallback = fallback_of("b")
     fallback.accept_view(view_of(cooling(1), 1), 0.0)
     fallback.set_workers([worker("a"), worker("b")])
     assert choose(fallback, "1", "ab", 1.0) == "b"
 
 
-def test_counters_for_a_new_leader_leave_out_what_will_still_be_reported() -> None:
+def test_counters_for_a_new_leader_exclude_unacknowledged_reports() -> None:
     fallback = fallback_of("a")
     ends = [report("1", "a", AttemptEffect.SUCCESS), report("2", "a", TRANSIENT)]
     fallback.observe(ends, 0.0)
--- a/tests/circuit/test_circuit_in_flight.py
+++ b/tests/circuit/test_circuit_in_flight.py
@@ -17,7 +17,7 @@
     assert register.count("w") == 0
 
 
-def test_a_crashed_router_leaks_no_busy_mark() -> None:
+def test_a_crashed_router_leaks_no_in_flight_mark() -> None:
     # Paper: "TTL'd so a crashed process can't leak a permanently busy deployment".
     register = InFlightRegister(120.0)
     register.register("r1", "a1", [WORKER], 0.0)
@@ -45,7 +45,7 @@
     assert register.choices("a") == ()
 
 
-def test_an_id_registered_anew_keeps_its_own_deadline() -> None:
+def test_an_id_registered_again_has_its_own_deadline() -> None:
     register = InFlightRegister(100.0)
     register.register("r", "a", [WORKER], 0.0)
     register.release("a", "w", 10.0)
--- a/tests/circuit/test_circuit_own_probes.py
+++ b/tests/circuit/test_circuit_own_probes.py
@@ -1,4 +1,4 @@
-"""Probes that a router's own attempts run."""
+"""Probes that run in a router's own attempts."""
 
 import pytest
 
--- a/tests/circuit/test_circuit_properties.py
+++ b/tests/circuit/test_circuit_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the table under any order of decisions, reports, repeats and losses."""
+"""Properties of the circuit table under any sequence of decisions, reports, repeats and losses."""
 
 import math
 from collections.abc import Sequence
@@ -25,7 +25,7 @@
 
 
 class Attempt:
-    """An attempt as the model remembers it."""
+    """An attempt as recorded by the model."""
 
     def __init__(self, request_id: str, attempt_id: str, worker_id: str, at: float) -> None:
         self.request_id = request_id
@@ -46,7 +46,7 @@
 
 
 class TableMachine(RuleBasedStateMachine):
-    """Checks the rules against a model that only remembers what was asked and agreed."""
+    """Checks the rules against a model that records only requests and committed transitions."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -72,7 +72,7 @@
 
     @rule(order=ORDERS)
     def race(self, order: Sequence[str]) -> None:
-        """Two requests ask before either one's transition is agreed."""
+        """Two requests decide before the transition of either is committed."""
         self.number += 1
         self.attempts += 2
         decisions = [
@@ -90,7 +90,7 @@
 
     @rule(order=ORDERS)
     def lose_grant(self, order: Sequence[str]) -> None:
-        """A probe is granted and its owner is never heard of."""
+        """A probe is granted and its owner never reports."""
         self.attempts += 1
         answer = self.agreed.table.decide(
             request(f"attempt-{self.attempts}", stage_candidates(order)), self.now
@@ -123,7 +123,7 @@
             self.take_probe(worker_id, record)
 
     def take_probe(self, worker_id: str, record: CircuitRecord) -> None:
-        """Never two owners at once: a grant while another one's time runs is a fault."""
+        """Never two owners at once: a grant before the expiry of another is a fault."""
         for generation, until in self.probes[worker_id]:
             assert generation < record.generation
             assert until <= self.now
--- a/tests/circuit/test_circuit_table.py
+++ b/tests/circuit/test_circuit_table.py
@@ -23,7 +23,7 @@
     return AgreedTable([worker(worker_id, domain=domain) for worker_id in worker_ids])
 
 
-def test_preference_order_holds_without_load() -> None:
+def test_preference_order_applies_without_load() -> None:
     table = table_of("a", "b")
     assert table.choose("1", ["b", "a"], 0.0) == "b"
 
@@ -44,7 +44,7 @@
     assert table.decide(attempt, 0.0).choices[0].worker_id == "b"
 
 
-def test_a_worker_over_the_load_bound_is_passed_over() -> None:
+def test_a_worker_over_the_load_bound_is_skipped() -> None:
     table = table_of("a", "b")
     chosen = [table.choose(str(number), ["a", "b"], 0.0) for number in range(4)]
     assert chosen == ["a", "a", "b", "a"]
@@ -96,7 +96,7 @@
     assert table.status("a", 34.1) == "available"
 
 
-def test_a_lapsed_probe_passes_to_another_owner_and_its_late_failure_is_fenced_off() -> None:
+def test_an_expired_probe_passes_to_another_owner_and_its_late_failure_is_ignored() -> None:
     # Design page: "one request owns the probe for at most halfOpenProbeSeconds 30".
     table = table_of("a")
     table.open("a", 0.0)
@@ -110,19 +110,19 @@
     assert table.status("a", 41.0) == "half_open"
 
 
-def test_a_probe_comes_in_its_turn_and_only_when_a_retry_remains() -> None:
+def test_a_probe_follows_preference_order_and_needs_a_remaining_retry() -> None:
     table = table_of("a", "b", "c")
     table.open("b", 0.0)
     # Not the next in preference order.
     assert table.choose("1", ["a", "b", "c"], 10.0) == "a"
-    # The next one, but no untried closed worker would remain: the closed one is used again.
+    # The next one, but no untried closed worker would remain: the closed one is reused.
     no_retry = request("2", stage_candidates(["b", "a"], ["a"]))
     assert table.decide(no_retry, 10.0).choices[0].worker_id == "a"
     # The next one, and a closed worker remains.
     assert table.choose("3", ["b", "a"], 10.0) == "b"
 
 
-def test_a_request_takes_one_probe_while_the_other_leg_has_a_closed_worker() -> None:
+def test_a_request_takes_one_probe_while_the_other_stage_has_a_closed_worker() -> None:
     table = table_of("a", "b", "c", "d")
     table.open("a", 0.0)
     table.open("c", 0.0)
@@ -134,7 +134,7 @@
     assert [choice.worker_id for choice in choices] == ["a", "d"]
 
 
-def test_a_granted_probe_that_cannot_be_used_is_given_back() -> None:
+def test_a_granted_probe_that_cannot_be_used_is_released() -> None:
     table = table_of("a", "b")
     table.open("a", 0.0)
     per_stage = (
@@ -157,7 +157,7 @@
     assert reply.choices[0].probe_generation is not None
 
 
-def test_all_legs_are_registered_or_none() -> None:
+def test_all_stages_are_registered_or_none() -> None:
     table = table_of("a", "b")
     table.open("b", 0.0)
     per_stage = (
@@ -267,7 +267,7 @@
     assert table.in_flight("a", 3.0 + POLICY.in_flight_ttl_seconds) == 0
 
 
-def test_workers_that_left_drain_or_are_held_are_not_chosen() -> None:
+def test_removed_draining_and_cordoned_workers_are_not_chosen() -> None:
     table = table_of("a", "b", "c", "d")
     draining = msgspec.structs.replace(worker("b"), status=WorkerStatus.DRAINING)
     cordoned = msgspec.structs.replace(worker("c"), cordoned=True)
@@ -279,8 +279,8 @@
     )
 
 
-def test_a_new_process_starts_afresh_and_is_charged_with_nothing_of_the_old() -> None:
-    # Brief: never "a failure is charged to the wrong worker".
+def test_a_new_incarnation_starts_with_a_closed_circuit_without_earlier_charges() -> None:
+    # A failure must not be charged to another incarnation.
     table = table_of("a")
     table.choose("old", ["a"], 0.0)
     table.open("a", 0.0)
@@ -289,12 +289,12 @@
     assert (table.health("a", 1.0), table.in_flight("a", 1.0)) == (0.5, 0)
     assert table.report(report("old", "a", AttemptEffect.CONFIGURATION), 1.0) == 0
     assert table.health("a", 1.0) == 0.5
-    # The agreed generation goes on, so the next opening is taken by the log.
+    # The generation continues, so that the log accepts the next opening.
     table.open("a", 2.0)
     assert table.status("a", 2.0) == "cooldown"
 
 
-def test_a_worker_that_comes_back_keeps_its_agreed_circuit() -> None:
+def test_a_worker_that_returns_has_its_agreed_circuit() -> None:
     table = table_of("a", "b")
     table.open("a", 0.0)
     table.table.set_workers([worker("b")])
@@ -315,7 +315,7 @@
 
 
 def test_a_new_leader_rebuilds_from_the_routers_counters_once() -> None:
-    # Design page: it must be decided how state survives a fail-over.
+    # Health and failure counts survive a fail-over through the routers' counters.
     table = table_of("a")
     mark = InFlightMark(request_id="r", attempt_id="x", worker_id="a", age_seconds=20.0)
     tally = WorkerTally(worker_id="a", successes=6, failures=2, consecutive_transients=2)
@@ -346,7 +346,7 @@
     assert after.status("a", 102.0) == "available"
 
 
-def test_views_show_what_remains() -> None:
+def test_views_contain_the_remaining_times() -> None:
     table = AgreedTable([worker("a", domain="d"), worker("b")])
     table.open("b", 0.0)
     table.throttle("d", 5.0, 0.0)
--- a/tests/circuit/test_circuit_throttle.py
+++ b/tests/circuit/test_circuit_throttle.py
@@ -1,4 +1,4 @@
-"""Throttles derived from refusals and delays (design page); the choices are the module's own."""
+"""Throttles derived from rejections and delays."""
 
 import random
 
@@ -16,10 +16,10 @@
     return detector
 
 
-def refuse(
+def reject(
     detector: ThrottleDetector, worker_ids: str, now: float, prefix: str = "r"
 ) -> list[CapacityObserved]:
-    """Refuse one distinct request on each worker named by a letter, in turn."""
+    """Reject one distinct request on each worker named by a letter, in turn."""
     derived = [
         detector.observe_refusal(name, f"{prefix}-{number}", now)
         for number, name in enumerate(worker_ids)
@@ -33,26 +33,26 @@
             assert detector.observe_delay(name, f"warm-{number}", 0.1, now) is None
 
 
-def test_refusals_of_two_workers_throttle_their_domain() -> None:
-    derived = refuse(detector_of("a", "b"), "aba", 0.0)
+def test_rejections_of_two_workers_throttle_their_domain() -> None:
+    derived = reject(detector_of("a", "b"), "aba", 0.0)
     assert [observed.failure_domain for observed in derived] == ["d"]
     shortest = POLICY.throttle_cooldown_seconds
     assert shortest <= derived[0].retry_after_seconds <= shortest * 1.25
 
 
 def test_one_worker_alone_never_throttles_a_domain_of_two() -> None:
-    assert refuse(detector_of("a", "b"), "a" * 20, 0.0) == []
+    assert reject(detector_of("a", "b"), "a" * 20, 0.0) == []
 
 
 def test_the_only_worker_of_a_domain_is_enough() -> None:
-    assert len(refuse(detector_of("a"), "aaa", 0.0)) == 1
+    assert len(reject(detector_of("a"), "aaa", 0.0)) == 1
 
 
-def test_one_blip_elsewhere_does_not_make_a_slow_worker_a_full_domain() -> None:
+def test_one_rejection_elsewhere_does_not_make_a_slow_worker_a_full_domain() -> None:
     detector = detector_of("a", "b")
     for number in range(10):
         assert detector.observe_delay("b", f"fine-{number}", 0.1, 0.0) is None
-    assert refuse(detector, "aaaaaab", 0.0) == []
+    assert reject(detector, "aaaaaab", 0.0) == []
 
 
 def test_retries_of_one_request_prove_nothing() -> None:
@@ -68,40 +68,40 @@
     assert delays == [None] * 4
     more = [detector.observe_delay(name, f"t-{i}", 2.0, 20.0) for i, name in enumerate("ab")]
     assert more[1] is not None
-    # The same delay is ordinary where it has always been so.
+    # The same delay is no evidence where it is the baseline.
     slow = detector_of("a", "b")
     for number in range(60):
         assert slow.observe_delay("ab"[number % 2], f"r-{number}", 2.0, 0.0) is None
 
 
-def test_a_refusal_counts_stronger_than_a_delay() -> None:
+def test_a_rejection_has_more_weight_than_a_delay() -> None:
     detector = detector_of("a", "b")
     warm(detector, "ab", 0.0)
     for number, name in enumerate("aba"):
         assert detector.observe_delay(name, f"s-{number}", 2.0, 20.0) is None
     refused = detector_of("a", "b")
     warm(refused, "ab", 0.0)
-    assert len(refuse(refused, "aba", 20.0)) == 1
+    assert len(reject(refused, "aba", 20.0)) == 1
 
 
-def test_old_evidence_lapses() -> None:
+def test_old_evidence_expires() -> None:
     detector = detector_of("a", "b")
-    assert refuse(detector, "ab", 0.0) == []
-    assert refuse(detector, "a", 10.0, "later") == []
+    assert reject(detector, "ab", 0.0) == []
+    assert reject(detector, "a", 10.0, "later") == []
 
 
-def test_it_does_not_flap() -> None:
+def test_a_throttle_does_not_oscillate() -> None:
     detector = detector_of("a", "b")
-    first = refuse(detector, "aba", 0.0)[0]
-    # What arrives before the retry time has passed belongs to the same throttle.
-    assert refuse(detector, "abababab", first.retry_after_seconds - 0.1, "late") == []
-    # Afterwards single refusals need the whole evidence anew.
+    first = reject(detector, "aba", 0.0)[0]
+    # Evidence before the retry time belongs to the same throttle.
+    assert reject(detector, "abababab", first.retry_after_seconds - 0.1, "late") == []
+    # Afterwards a further throttle needs complete evidence again.
     end = first.retry_after_seconds
-    assert refuse(detector, "ab", end, "single") == []
-    second = refuse(detector, "aba", end, "anew")[0]
+    assert reject(detector, "ab", end, "single") == []
+    second = reject(detector, "aba", end, "anew")[0]
     assert second.retry_after_seconds > 1.5 * first.retry_after_seconds
-    # A calm time resets the growth.
-    calm = refuse(detector, "aba", end + 100.0, "calm")[0]
+    # A quiet period resets the growth.
+    calm = reject(detector, "aba", end + 100.0, "calm")[0]
     assert calm.retry_after_seconds <= POLICY.throttle_cooldown_seconds * 1.25
 
 
@@ -110,7 +110,7 @@
     detector.set_policy(msgspec.structs.replace(POLICY, max_cooldown_seconds=30.0))
     now = 0.0
     for number in range(20):
-        derived = refuse(detector, "aba", now, str(number))[0]
+        derived = reject(detector, "aba", now, str(number))[0]
         assert derived.retry_after_seconds <= 30.0
         now += derived.retry_after_seconds
 
@@ -118,8 +118,8 @@
 def test_an_agreed_throttle_of_another_router_is_not_derived_again() -> None:
     detector = detector_of("a", "b")
     detector.record_open("d", 5.0, 0.0)
-    assert refuse(detector, "ababab", 4.9) == []
-    assert len(refuse(detector, "aba", 5.0)) == 1
+    assert reject(detector, "ababab", 4.9) == []
+    assert len(reject(detector, "aba", 5.0)) == 1
 
 
 def test_unknown_workers_are_ignored() -> None:
--- a/tests/circuit/test_circuit_worker_circuit.py
+++ b/tests/circuit/test_circuit_worker_circuit.py
@@ -1,4 +1,4 @@
-"""One worker's circuit: admission, judged outcomes and timer."""
+"""The circuit of one worker: admission, outcomes and timer."""
 
 import random
 
@@ -127,7 +127,7 @@
     assert circuit_in(CircuitStatus.AVAILABLE).admission("a", 0.0) is Admission.CLOSED
 
 
-def test_a_record_taken_again_restarts_no_timer() -> None:
+def test_a_record_adopted_again_restarts_no_timer() -> None:
     circuit = circuit_in(CircuitStatus.COOLDOWN)
     assert not circuit.accept(circuit.record, 9.0)
     assert circuit.wait_seconds(10.0) == 0.0
--- a/tests/emulators/emulator_harness.py
+++ b/tests/emulators/emulator_harness.py
@@ -1,4 +1,4 @@
-"""Shared by the tests of the stand-ins: back ends on loopback and typed HTTP calls."""
+"""Back ends on loopback and typed HTTP calls, shared by the tests of the emulators."""
 
 import contextlib
 import random
@@ -38,7 +38,7 @@
 
 
 class Answer(msgspec.Struct, kw_only=True):
-    """One whole answer of a back end."""
+    """One complete response of a back end."""
 
     status: int
     attempt_header: str
@@ -116,10 +116,10 @@
     async def prefill(
         self, worker: BackendShell, request_id: str, attempt_id: str, prompt: str = "a b c"
     ) -> Answer:
-        order = PrefillRequest(
+        dispatch = PrefillRequest(
             request_id=request_id, attempt_id=attempt_id, model=MODEL, prompt=prompt
         )
-        return await self.post(f"{worker.url}/v1/prefill", order)
+        return await self.post(f"{worker.url}/v1/prefill", dispatch)
 
     async def read_prompt(
         self, worker: BackendShell, request_id: str, attempt_id: str
@@ -135,20 +135,20 @@
         attempt_id: str,
         max_tokens: int = 8,
     ) -> Answer:
-        order = DecodeRequest(
+        dispatch = DecodeRequest(
             request_id=request_id,
             attempt_id=attempt_id,
             model=MODEL,
             handle=handle,
             max_tokens=max_tokens,
         )
-        return await self.post(f"{worker.url}/v1/decode", order)
+        return await self.post(f"{worker.url}/v1/decode", dispatch)
 
     async def call(self, worker: BackendShell, request_id: str, attempt_id: str) -> Answer:
-        order = CallRequest(
+        dispatch = CallRequest(
             request_id=request_id, attempt_id=attempt_id, method="GET", path="/stock/7"
         )
-        return await self.post(f"{worker.url}/v1/call", order)
+        return await self.post(f"{worker.url}/v1/call", dispatch)
 
     async def inject(self, worker: BackendShell, kind: FaultKind, **fields: object) -> None:
         fault = msgspec.convert({"kind": kind.value, **fields}, type=Fault)
--- a/tests/emulators/test_attempt_registry.py
+++ b/tests/emulators/test_attempt_registry.py
@@ -1,4 +1,4 @@
-"""At most once: the registry under any order of events."""
+"""At-most-once execution: the attempt registry under any sequence of events."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -22,7 +22,7 @@
 
 
 @given(EVENTS)
-def test_a_phase_starts_at_most_once_and_never_after_a_promise(
+def test_a_phase_starts_at_most_once_and_never_after_a_not_executed_guarantee(
     events: list[tuple[str, str, Phase]],
 ) -> None:
     registry = AttemptRegistry()
@@ -47,7 +47,7 @@
     assert all(count == 1 for count in starts.values())
 
 
-def test_duplicates_are_turned_away_with_an_honest_word() -> None:
+def test_duplicates_are_rejected_with_a_true_execution_status() -> None:
     registry = AttemptRegistry()
     assert registry.admit("r", "a", Phase.EXECUTION, 0.0) is Admission.ADMITTED
     assert registry.admit("r", "a", Phase.EXECUTION, 0.0) is Admission.DUPLICATE
@@ -57,14 +57,14 @@
     assert registry.admit("other", "a", Phase.PREFILL_DONE, 0.0) is Admission.DUPLICATE
 
 
-def test_cancelled_before_it_arrives_is_refused_for_ever() -> None:
+def test_an_attempt_cancelled_before_its_arrival_is_rejected_permanently() -> None:
     registry = AttemptRegistry()
     assert registry.cancel("a", 0.0) is Ran.NO
     assert registry.admit("r", "a", Phase.EXECUTION, 1.0) is Admission.REFUSED_BEFORE
     assert registry.ran("a", Phase.EXECUTION) is Ran.NO
 
 
-def test_full_memory_promises_nothing_and_forgets_only_old_ids() -> None:
+def test_a_full_registry_gives_no_guarantee_and_drops_only_old_ids() -> None:
     registry = AttemptRegistry(max_attempts=2, retention_seconds=10.0)
     registry.cancel("a", 0.0)
     registry.cancel("b", 0.0)
@@ -74,7 +74,7 @@
     assert len(registry) == 2
 
 
-def test_a_running_attempt_is_not_forgotten() -> None:
+def test_a_running_attempt_is_never_dropped() -> None:
     registry = AttemptRegistry(max_attempts=1, retention_seconds=10.0)
     registry.admit("r", "a", Phase.EXECUTION, 0.0)
     registry.start("a", Phase.EXECUTION, 0.0)
@@ -82,7 +82,7 @@
     assert registry.admit("r", "a", Phase.EXECUTION, 100.0) is Admission.DUPLICATE
 
 
-def test_executions_are_counted_apart_from_prompt_reads() -> None:
+def test_executions_are_counted_separately_from_prefills() -> None:
     registry = AttemptRegistry()
     for attempt_id in ("a", "b"):
         registry.admit("r", attempt_id, Phase.PREFILL_DONE, 0.0)
--- a/tests/emulators/test_backend_core.py
+++ b/tests/emulators/test_backend_core.py
@@ -1,4 +1,4 @@
-"""Admission and orders of an emulated back end."""
+"""Admission and commands of an emulated back end."""
 
 import pytest
 from emulator_harness import make_record
@@ -19,7 +19,7 @@
     )
 
 
-def order(
+def command(
     term: int,
     sequence: int,
     kind: WorkerCommandKind = WorkerCommandKind.DRAIN,
@@ -38,30 +38,32 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "code"),
+    ("dispatch", "code"),
     [
         (attempt("a", stage=Stage.PREFILL), ErrorCode.WRONG_STAGE),
         (attempt("a", model="riddle"), ErrorCode.WRONG_MODEL),
     ],
 )
-def test_a_refused_attempt_is_refused_for_ever(asked: AttemptDispatch, code: ErrorCode) -> None:
+def test_a_rejected_attempt_is_rejected_permanently(
+    dispatch: AttemptDispatch, code: ErrorCode
+) -> None:
     core = make_core()
-    refusal = core.admit(asked, 0.0)
-    assert refusal is not None
-    assert (refusal.code, refusal.ran) == (code, Ran.NO)
+    rejection = core.admit(dispatch, 0.0)
+    assert rejection is not None
+    assert (rejection.code, rejection.ran) == (code, Ran.NO)
     again = core.admit(attempt("a"), 0.0)
     assert again is not None
     assert (again.code, again.ran) == (ErrorCode.ATTEMPT_REFUSED, Ran.NO)
     assert core.limit.current == 0
 
 
-def test_overload_is_refused_without_retry_after() -> None:
+def test_overload_is_rejected_without_retry_after() -> None:
     core = make_core(max_in_flight=1)
     assert core.admit(attempt("a"), 0.0) is None
-    refusal = core.admit(attempt("b"), 0.0)
-    assert refusal is not None
-    assert (refusal.code, refusal.ran) == (ErrorCode.OVERLOADED, Ran.NO)
-    assert refusal.retry_after_seconds is None
+    rejection = core.admit(attempt("b"), 0.0)
+    assert rejection is not None
+    assert (rejection.code, rejection.ran) == (ErrorCode.OVERLOADED, Ran.NO)
+    assert rejection.retry_after_seconds is None
     core.leave(attempt("a"), 0.0)
     assert core.admit(attempt("c"), 0.0) is None
 
@@ -73,42 +75,42 @@
     assert not core.start(attempt("a"), 0.0)
 
 
-def test_orders_at_or_below_the_fence_are_refused() -> None:
+def test_commands_at_or_below_the_highest_fencing_token_are_rejected() -> None:
     core = make_core()
-    assert core.execute(order(2, 5), 0).accepted
+    assert core.execute(command(2, 5), 0).accepted
     assert core.draining
     for term, sequence in [(2, 5), (2, 4), (1, 9)]:
-        reply = core.execute(order(term, sequence, WorkerCommandKind.RESUME), 0)
+        reply = core.execute(command(term, sequence, WorkerCommandKind.RESUME), 0)
         assert (reply.accepted, reply.reason) == (False, "stale_order")
         assert (reply.highest_term, reply.highest_sequence) == (2, 5)
     assert core.record.status is WorkerStatus.DRAINING
-    assert core.execute(order(3, 1, WorkerCommandKind.RESUME), 0).accepted
+    assert core.execute(command(3, 1, WorkerCommandKind.RESUME), 0).accepted
     assert not core.draining
 
 
-def test_orders_to_another_are_refused_and_do_not_move_the_fence() -> None:
+def test_commands_to_another_worker_are_rejected_and_do_not_raise_the_fencing_token() -> None:
     core = make_core()
-    assert not core.execute(order(9, 9, incarnation="i0"), 0).accepted
-    assert not core.execute(order(9, 9, worker_id="w2"), 0).accepted
-    assert core.execute(order(1, 1), 0).accepted
+    assert not core.execute(command(9, 9, incarnation="i0"), 0).accepted
+    assert not core.execute(command(9, 9, worker_id="w2"), 0).accepted
+    assert core.execute(command(1, 1), 0).accepted
 
 
 def test_the_stage_changes_only_when_idle() -> None:
     core = make_core()
     assert core.admit(attempt("a"), 0.0) is None
-    busy = core.execute(order(1, 1, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0)
+    busy = core.execute(command(1, 1, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0)
     assert (busy.accepted, busy.reason) == (False, "not idle")
     core.leave(attempt("a"), 0.0)
-    assert not core.execute(order(1, 2, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 1).accepted
-    assert not core.execute(order(1, 3, WorkerCommandKind.SET_STAGE, Stage.PLAIN), 0).accepted
-    assert core.execute(order(1, 4, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0).accepted
+    assert not core.execute(command(1, 2, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 1).accepted
+    assert not core.execute(command(1, 3, WorkerCommandKind.SET_STAGE, Stage.PLAIN), 0).accepted
+    assert core.execute(command(1, 4, WorkerCommandKind.SET_STAGE, Stage.PREFILL), 0).accepted
     assert core.record.stage is Stage.PREFILL
 
 
-def test_no_order_resumes_a_process_that_is_ending() -> None:
+def test_no_command_resumes_a_process_that_is_stopping() -> None:
     core = make_core()
     core.terminate()
-    core.execute(order(1, 1, WorkerCommandKind.RESUME), 0)
-    refusal = core.admit(attempt("a"), 0.0)
-    assert refusal is not None
-    assert (refusal.code, refusal.ran) == (ErrorCode.DRAINING, Ran.NO)
+    core.execute(command(1, 1, WorkerCommandKind.RESUME), 0)
+    rejection = core.admit(attempt("a"), 0.0)
+    assert rejection is not None
+    assert (rejection.code, rejection.ran) == (ErrorCode.DRAINING, Ran.NO)
--- a/tests/emulators/test_caller.py
+++ b/tests/emulators/test_caller.py
@@ -1,4 +1,4 @@
-"""Callers against a small router that answers as each test says."""
+"""Callers against a fake router with scripted responses."""
 
 import asyncio
 import contextlib
@@ -45,7 +45,7 @@
 
 
 class FakeRouter:
-    """Answers chats by a function and plain calls by the right answer, after some refusals."""
+    """Answers chats by a function and plain calls correctly, after some rejections."""
 
     def __init__(self, chat: Chat, ready: bool = True) -> None:
         self.chat = chat
@@ -62,10 +62,10 @@
             return self.refusals.pop()
         if request.method == "GET":
             return web.Response(body=expected_call_body(request_id, "GET", request.path))
-        order = msgspec.json.decode(await request.read(), type=ChatCompletionRequest)
+        chat = msgspec.json.decode(await request.read(), type=ChatCompletionRequest)
         response = web.StreamResponse()
         await response.prepare(request)
-        await self.chat(request, response, request_id, order.max_tokens)
+        await self.chat(request, response, request_id, chat.max_tokens)
         return response
 
     @contextlib.asynccontextmanager
@@ -81,7 +81,7 @@
             await runner.cleanup()
 
 
-async def whole(
+async def complete_response(
     request: web.Request, response: web.StreamResponse, request_id: str, count: int
 ) -> None:
     for token in answer_tokens(request_id, count):
@@ -89,13 +89,13 @@
     await send_end(response)
 
 
-async def crossed(
+async def response_to_another_request(
     request: web.Request, response: web.StreamResponse, request_id: str, count: int
 ) -> None:
-    await whole(request, response, f"{request_id}-other", count)
+    await complete_response(request, response, f"{request_id}-other", count)
 
 
-async def cut_but_clean(
+async def truncated_but_clean(
     request: web.Request, response: web.StreamResponse, request_id: str, count: int
 ) -> None:
     for token in answer_tokens(request_id, count - 1):
@@ -153,45 +153,45 @@
         return await call_routers([url])
 
 
-async def test_whole_answers_are_answered_and_timed() -> None:
-    summary = await outcome_of(whole)
+async def test_complete_responses_are_counted_and_timed() -> None:
+    summary = await outcome_of(complete_response)
     assert summary.outcomes.answered == summary.due == REQUESTS
     assert summary.violations == 0
     assert summary.first_token.count == REQUESTS
     assert summary.between_tokens.count >= REQUESTS
 
 
-async def test_the_answer_of_another_request_is_flagged() -> None:
-    summary = await outcome_of(crossed)
+async def test_a_response_to_another_request_is_a_violation() -> None:
+    summary = await outcome_of(response_to_another_request)
     assert summary.outcomes.wrong_content == summary.violations == REQUESTS
     assert len(summary.examples) == REQUESTS
 
 
-async def test_a_cut_answer_that_looks_complete_is_flagged() -> None:
-    summary = await outcome_of(cut_but_clean)
+async def test_a_truncated_response_that_looks_complete_is_a_violation() -> None:
+    summary = await outcome_of(truncated_but_clean)
     assert summary.outcomes.incomplete_but_clean == summary.violations == REQUESTS
 
 
-async def test_visible_breaks_are_no_violation() -> None:
+async def test_aborted_responses_are_no_violation() -> None:
     for chat in (cut_visibly, error_event):
         summary = await outcome_of(chat)
         assert summary.outcomes.broken == REQUESTS
         assert summary.violations == 0
 
 
-async def test_a_refused_caller_comes_back_under_the_same_request_id() -> None:
-    router = FakeRouter(whole)
+async def test_a_rejected_caller_retries_under_the_same_request_id() -> None:
+    router = FakeRouter(complete_response)
     router.refusals = [refusal("no", "0")]
     async with router.running() as url:
-        # A caller comes back only while the load goes on: far longer than a busy machine takes.
+        # A caller retries only while the load runs, which is far longer than these retries take.
         summary = await call_routers([url], for_seconds=8.0)
     assert (summary.outcomes.answered, summary.returns) == (REQUESTS, 1)
     assert len(router.request_ids) == REQUESTS + 1
     assert len(set(router.request_ids)) == REQUESTS
 
 
-async def test_a_call_that_may_have_run_is_not_sent_again() -> None:
-    router = FakeRouter(whole)
+async def test_a_call_that_may_have_executed_is_not_retried() -> None:
+    router = FakeRouter(complete_response)
     router.refusals = [refusal("unknown", "0")]
     async with router.running() as url:
         summary = await call_routers([url])
@@ -200,21 +200,21 @@
     assert [code.count for code in summary.codes if code.code == "overloaded"] == [1]
 
 
-async def test_unready_and_dead_routers_are_passed_over() -> None:
-    ready, unready = FakeRouter(whole), FakeRouter(whole, ready=False)
+async def test_unready_and_dead_routers_are_skipped() -> None:
+    ready, unready = FakeRouter(complete_response), FakeRouter(complete_response, ready=False)
     async with ready.running() as url, unready.running() as unready_url:
         summary = await call_routers([unready_url, "http://127.0.0.1:1", url])
     assert summary.outcomes.answered == REQUESTS
     assert (len(ready.request_ids), len(unready.request_ids)) == (REQUESTS, 0)
 
 
-async def test_no_router_at_all() -> None:
+async def test_without_a_router_the_request_fails() -> None:
     summary = await call_routers(["http://127.0.0.1:1"])
     assert summary.outcomes.unreachable == REQUESTS
 
 
-async def test_plain_calls_and_callers_that_go_away() -> None:
-    async with FakeRouter(whole).running() as url:
+async def test_plain_calls_and_disconnecting_callers() -> None:
+    async with FakeRouter(complete_response).running() as url:
         plain = await call_routers([url], PLAIN_STREAM)
         assert plain.outcomes.answered == plain.plain_call.count == REQUESTS
         leaving = await call_routers([url], disconnect_share=1.0)
--- a/tests/emulators/test_emulator_cli.py
+++ b/tests/emulators/test_emulator_cli.py
@@ -1,4 +1,4 @@
-"""The stand-ins as processes: ready line, polite and hard stop, bad input."""
+"""The emulators as processes: ready line, graceful and immediate stop, bad input."""
 
 import contextlib
 import signal
@@ -33,7 +33,7 @@
         (["caller", "--router", "127.0.0.1:1", "--mix", "BAD", "--for", "1"], "strems"),
     ],
 )
-def test_bad_input_is_told_and_exits_with_2(
+def test_bad_input_is_reported_and_exits_with_2(
     arguments: list[str], message: str, tmp_path: Path
 ) -> None:
     bad = tmp_path / "mix.json"
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("arguments", [WORKER, ["service", "--id", "b1", "--service", "board"]])
-def test_a_back_end_tells_its_address_and_stops_politely(arguments: list[str]) -> None:
+def test_a_back_end_reports_its_address_and_shuts_down_gracefully(arguments: list[str]) -> None:
     with started(*arguments) as (process, line):
         assert line.ready == arguments[2]
         assert line.url.startswith("http://127.0.0.1:")
@@ -78,11 +78,11 @@
         assert process.wait(timeout=15) == 0
 
 
-def test_a_second_signal_ends_the_wait_for_what_runs() -> None:
+def test_a_second_signal_ends_the_graceful_shutdown() -> None:
     patient = ["--handle-lifetime-seconds", "600", "--drain-seconds", "600"]
     with started(*WORKER, *patient) as (process, line):
-        order = PrefillRequest(request_id="r", attempt_id="a", model="m", prompt="x")
-        exchange(f"{line.url}/v1/prefill", order)
+        dispatch = PrefillRequest(request_id="r", attempt_id="a", model="m", prompt="x")
+        exchange(f"{line.url}/v1/prefill", dispatch)
         process.send_signal(signal.SIGTERM)
         while not is_draining(line.url):
             continue
--- a/tests/emulators/test_emulator_cores.py
+++ b/tests/emulators/test_emulator_cores.py
@@ -37,7 +37,7 @@
 STREAM = TrafficStream(name="wine", kind=TrafficKind.MODEL, rate_per_second=50.0, model="wine")
 
 
-def test_timing() -> None:
+def test_durations_follow_the_configured_rates() -> None:
     timing = WorkerTiming(
         prefill_tokens_per_second=100.0,
         prefill_overhead_seconds=0.5,
@@ -59,7 +59,7 @@
 
 
 @given(st.integers(0, 30), st.integers(1, 5))
-def test_a_healthy_stream_is_whole(max_tokens: int, tokens_per_frame: int) -> None:
+def test_a_stream_without_faults_is_complete(max_tokens: int, tokens_per_frame: int) -> None:
     plan = StreamPlan(
         request_id="r", attempt_id="a", max_tokens=max_tokens, tokens_per_frame=tokens_per_frame
     )
@@ -70,11 +70,11 @@
     assert kinds == [FrameKind.ROLE, FrameKind.USAGE, FrameKind.DONE]
 
 
-def test_faults_end_by_count_by_time_and_by_peer() -> None:
+def test_faults_are_limited_by_count_by_time_and_by_peer() -> None:
     board = FaultBoard()
     board.add(Fault(kind=FaultKind.FAIL_NEXT, count=2), 0.0)
-    taken = [board.take(FaultKind.FAIL_NEXT, 0.0) is not None for _ in range(3)]
-    assert taken == [True, True, False]
+    active = [board.take(FaultKind.FAIL_NEXT, 0.0) is not None for _ in range(3)]
+    assert active == [True, True, False]
     board.add(Fault(kind=FaultKind.GO_DARK, seconds=5.0), 0.0)
     assert board.active(FaultKind.GO_DARK, 4.9) is not None
     assert board.active(FaultKind.GO_DARK, 5.0) is None
@@ -85,7 +85,7 @@
     assert board.list_active(0.0) == ()
 
 
-def test_announcements_keep_a_good_address_and_leave_a_bad_one() -> None:
+def test_announcements_continue_at_a_reachable_address_and_leave_an_unreachable_one() -> None:
     announcer = Announcer("w1", ["one", "two"])
     record = make_record("w1", Stage.DECODE)
     sent = []
@@ -115,7 +115,7 @@
     assert announcer.due_in(record, 0.2) == pytest.approx(0.4)
 
 
-def test_arrivals_follow_swings_and_bursts_and_repeat_under_a_seed() -> None:
+def test_arrivals_follow_oscillation_and_bursts_and_are_reproducible() -> None:
     points = [RatePoint(at_seconds=0, multiplier=0), RatePoint(at_seconds=100, multiplier=2)]
     assert [multiplier_at(points, at) for at in (-1, 0, 50, 100, 200)] == [0, 0, 1, 2, 2]
     mix = TrafficMix(
@@ -132,7 +132,7 @@
     assert arrivals == list(all_arrivals(mix, 100.0, seed=7))
 
 
-def test_requests_share_skewed_prefixes_and_have_ids_of_their_own() -> None:
+def test_requests_share_skewed_prefixes_and_have_unique_ids() -> None:
     planner = RequestPlanner(TrafficMix(streams=[STREAM]), "run", random.Random(1))
     planned = [planner.plan("wine") for _ in range(300)]
     assert len({request.request_id for request in planned}) == 300
@@ -152,17 +152,17 @@
         (b'{"streams": [], "swings": [{"points": []}]}', "points"),
     ],
 )
-def test_a_bad_mix_is_named(content: bytes, message: str) -> None:
+def test_an_invalid_mix_is_reported(content: bytes, message: str) -> None:
     with pytest.raises(TrafficMixError, match=message):
         decode_traffic_mix(content, is_toml=False)
 
 
-def test_a_toml_mix_is_read() -> None:
+def test_a_toml_mix_is_decoded() -> None:
     content = b'[[streams]]\nname="s"\nkind="plain"\nrate_per_second=3\npath="/stock/{}"\n'
     assert decode_traffic_mix(content, is_toml=True).streams[0].path == "/stock/{}"
 
 
-def test_a_caller_keeps_its_router_while_others_come_and_go() -> None:
+def test_a_caller_stays_with_its_router_while_others_change() -> None:
     routers = [f"http://r{number}" for number in range(8)]
     selection = RouterSelection(routers)
     nearest = {f"c{number}": selection.order(f"c{number}")[0] for number in range(100)}
@@ -170,6 +170,6 @@
     selection.mark(routers[0], ready=False)
     assert selection.ready_count == 7
     for caller_id, router in nearest.items():
-        order = selection.order(caller_id)
-        assert order[-1] == routers[0]
-        assert order[0] == router or router == routers[0]
+        preference = selection.order(caller_id)
+        assert preference[-1] == routers[0]
+        assert preference[0] == router or router == routers[0]
--- a/tests/emulators/test_kv_cache.py
+++ b/tests/emulators/test_kv_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache and the binding of handles."""
+"""The prefix cache, and the binding of handles to their attempt."""
 
 import pytest
 from hypothesis import given
@@ -31,7 +31,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 4), st.integers(1, 6)), max_size=40))
-def test_the_cache_stays_in_bounds_and_keeps_the_newest_prompt(
+def test_the_cache_is_bounded_and_retains_the_newest_prompt(
     reads: list[tuple[int, int]],
 ) -> None:
     cache = PrefixCache(capacity_tokens=8 * BLOCK_TOKENS)
@@ -42,7 +42,7 @@
         assert cache.cached_tokens(keys) == blocks * BLOCK_TOKENS
 
 
-def test_the_least_recently_used_prompt_goes_from_its_end() -> None:
+def test_the_least_recently_used_prompt_is_evicted_from_its_end() -> None:
     cache = PrefixCache(capacity_tokens=4 * BLOCK_TOKENS)
     old, new = [1, 2, 3], [11, 12]
     cache.insert(old)
@@ -60,14 +60,14 @@
 
 
 @pytest.mark.parametrize("field", ["request_id", "attempt_id", "incarnation"])
-def test_a_handle_is_refused_to_any_other(field: str) -> None:
+def test_a_handle_is_rejected_for_any_other_claim(field: str) -> None:
     table = HandleTable("i1", lifetime_seconds=5.0)
     table.issue("r", "a", 30, now=0.0)
     assert table.take(claim(**{field: "other"}), now=1.0).verdict is HandleVerdict.MISMATCH
     assert table.take(claim(), now=1.0).verdict is HandleVerdict.GRANTED
 
 
-def test_handles_lapse_by_time_by_fault_and_by_cancel() -> None:
+def test_handles_expire_by_time_by_fault_and_by_cancel() -> None:
     table = HandleTable("i1", lifetime_seconds=5.0)
     table.issue("r", "a", 30, now=0.0)
     assert table.take(claim(), now=5.0).verdict is HandleVerdict.EXPIRED
--- a/tests/emulators/test_model_worker.py
+++ b/tests/emulators/test_model_worker.py
@@ -1,4 +1,4 @@
-"""The emulated model worker over loopback: hand-overs, at most once, and every fault."""
+"""The emulated model worker on loopback: KV transfer, at-most-once execution, every fault."""
 
 import asyncio
 import contextlib
@@ -63,7 +63,7 @@
         yield Pair(prefill, decode, client)
 
 
-async def test_a_whole_answer() -> None:
+async def test_a_request_is_prefilled_and_decoded_completely() -> None:
     async with running_pair() as pair:
         answer = await pair.serve()
         assert (answer.status, answer.attempt_header, answer.clean_end) == (200, "a", True)
@@ -75,7 +75,7 @@
         assert (report.in_flight, report.counts.frames) == (0, 11)
 
 
-async def test_the_prefix_cache_is_hit_and_lost_with_the_stage() -> None:
+async def test_the_prefix_cache_is_hit_and_cleared_by_a_stage_change() -> None:
     async with running_pair() as pair:
         prompt = " ".join(["word"] * 40)
         cached = []
@@ -92,10 +92,10 @@
         handle = await pair.client.read_prompt(pair.prefill, "r", "a")
         duplicates = (pair.client.decode(pair.decode, handle, "r", "a") for _ in range(10))
         answers = await asyncio.gather(*duplicates)
-        refused = [answer for answer in answers if answer.status != 200]
-        assert len(refused) == 9
-        assert {answer.error.code for answer in refused} == {ErrorCode.ATTEMPT_REFUSED}
-        assert Ran.NO not in {answer.error.ran for answer in refused}
+        rejected = [answer for answer in answers if answer.status != 200]
+        assert len(rejected) == 9
+        assert {answer.error.code for answer in rejected} == {ErrorCode.ATTEMPT_REFUSED}
+        assert Ran.NO not in {answer.error.ran for answer in rejected}
         assert (await pair.client.status(pair.decode)).max_executions_by_request == 1
 
 
@@ -109,7 +109,7 @@
         assert (await pair.client.status(pair.decode)).executions == 0
 
 
-async def test_a_cancel_during_the_hand_over_stops_the_attempt() -> None:
+async def test_a_cancel_during_the_kv_transfer_stops_the_attempt() -> None:
     async with running_pair() as pair:
         handle = await pair.client.read_prompt(pair.prefill, "r", "a")
         await pair.client.inject(pair.prefill, FaultKind.GO_DARK)
@@ -123,7 +123,7 @@
         assert (await pair.client.status(pair.decode)).executions == 0
 
 
-async def test_a_running_stream_is_cut_by_a_cancel() -> None:
+async def test_a_running_stream_is_aborted_by_a_cancel() -> None:
     async with running_pair() as pair:
         await pair.client.inject(pair.decode, FaultKind.SLOW, factor=20.0)
         serving = asyncio.create_task(pair.serve(max_tokens=10_000))
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("field", ["request_id", "attempt_id", "incarnation"])
-async def test_a_handle_of_another_is_refused(field: str) -> None:
+async def test_a_handle_of_another_attempt_is_rejected(field: str) -> None:
     async with running_pair() as pair:
         handle = await pair.client.read_prompt(pair.prefill, "r", "a")
         stolen = msgspec.structs.replace(handle, **{field: "other"})
@@ -143,7 +143,7 @@
         assert (answer.error.code, answer.error.ran) == (ErrorCode.HANDLE_MISMATCH, Ran.NO)
         unbound = await pair.client.decode(pair.decode, handle, "r", "z")
         assert unbound.error.code is ErrorCode.HANDLE_MISMATCH
-        # Refusing the stolen handle refused the attempt id that it came under, and no other.
+        # The rejected handle made its attempt id rejected, and no other.
         untouched = field == "attempt_id"
         rightful = await pair.client.decode(pair.decode, handle, "r", "a")
         assert rightful.status == (200 if untouched else 409)
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("side", ["prefill", "decode"])
-async def test_a_cut_link_names_the_prefill_worker(side: str) -> None:
+async def test_a_partitioned_link_is_reported_with_the_prefill_worker(side: str) -> None:
     async with running_pair() as pair:
         worker, peer = (pair.prefill, "d1") if side == "prefill" else (pair.decode, "p1")
         await pair.client.inject(worker, FaultKind.LINK_PARTITION, worker_id=peer)
@@ -160,7 +160,7 @@
         assert "p1 unreachable" in answer.error.message
 
 
-async def test_lapsed_handles_and_a_slow_link() -> None:
+async def test_expired_handles_and_a_slow_link() -> None:
     timing = msgspec.structs.replace(FAST, transfer_timeout_seconds=0.5)
     async with running_pair(timing) as pair:
         handle = await pair.client.read_prompt(pair.prefill, "r", "a")
@@ -184,8 +184,8 @@
         sequences = [frame.sequence for frame in gapped.frames]
         assert set(range(sequences[-1] + 1)) - set(sequences) == {3}
         await pair.client.inject(pair.decode, FaultKind.TRUNCATE, count=1)
-        cut = await pair.serve("c")
-        assert (cut.clean_end, len(cut.frames)) == (False, 3)
+        aborted = await pair.serve("c")
+        assert (aborted.clean_end, len(aborted.frames)) == (False, 3)
         await pair.client.inject(pair.decode, FaultKind.WRONG_ATTEMPT_ECHO, count=1)
         crossed = await pair.serve("d")
         assert crossed.attempt_header == "d-other"
@@ -204,20 +204,20 @@
         assert (await serving).frames[-1].kind is FrameKind.DONE
 
 
-async def test_failing_and_refusing_differ_in_what_they_promise() -> None:
+async def test_failing_and_rejecting_differ_in_their_guarantee() -> None:
     async with running_pair() as pair:
         await pair.client.inject(pair.decode, FaultKind.FAIL_NEXT, count=1)
         failed = await pair.serve("a")
         assert (failed.status, failed.error.ran) == (500, Ran.UNKNOWN)
         assert (await pair.client.status(pair.decode)).executions == 1
         await pair.client.inject(pair.decode, FaultKind.REFUSE_ALL, count=1)
-        refused = await pair.serve("b")
-        assert (refused.status, refused.error.code) == (503, ErrorCode.OVERLOADED)
-        assert refused.error.ran is Ran.NO
+        rejected = await pair.serve("b")
+        assert (rejected.status, rejected.error.code) == (503, ErrorCode.OVERLOADED)
+        assert rejected.error.ran is Ran.NO
         assert (await pair.client.status(pair.decode)).executions == 1
 
 
-async def test_darkness_answers_nothing_and_works_late() -> None:
+async def test_an_unresponsive_worker_answers_nothing_and_executes_late() -> None:
     async with running_pair() as pair:
         await pair.client.inject(pair.prefill, FaultKind.GO_DARK)
         waiting = asyncio.create_task(pair.client.prefill(pair.prefill, "r", "a"))
@@ -228,7 +228,7 @@
         assert (await waiting).status == 200
 
 
-async def test_a_late_answer_has_run() -> None:
+async def test_a_late_response_has_executed() -> None:
     async with running_pair() as pair:
         await pair.client.inject(pair.decode, FaultKind.ANSWER_LATE, delay_seconds=30.0)
         handle = await pair.client.read_prompt(pair.prefill, "r", "a")
@@ -239,7 +239,7 @@
         waiting.cancel()
 
 
-async def test_overload_and_bad_bodies_are_refused() -> None:
+async def test_overload_and_bad_bodies_are_rejected() -> None:
     timing = msgspec.structs.replace(FAST, max_in_flight=1, prefill_overhead_seconds=30.0)
     worker = make_worker("p1", Stage.PREFILL, timing)
     async with running(worker), backend_client() as client:
@@ -253,13 +253,13 @@
         assert (bad.status, bad.error.code) == (400, ErrorCode.BAD_REQUEST)
 
 
-async def test_orders_change_the_stage_of_an_idle_worker() -> None:
+async def test_commands_change_the_stage_of_an_idle_worker() -> None:
     async with running_pair() as pair:
 
         async def send(
             sequence: int, kind: WorkerCommandKind, stage: Stage | None
         ) -> WorkerCommandReply:
-            order = WorkerCommand(
+            command = WorkerCommand(
                 term=1,
                 sequence=sequence,
                 worker_id="p1",
@@ -267,13 +267,13 @@
                 kind=kind,
                 stage=stage,
             )
-            answer = await pair.client.post(f"{pair.prefill.url}/v1/orders", order)
+            answer = await pair.client.post(f"{pair.prefill.url}/v1/orders", command)
             return answer.decode(WorkerCommandReply)
 
         handle = await pair.client.read_prompt(pair.prefill, "r", "a")
         assert (await send(1, WorkerCommandKind.DRAIN, None)).accepted
-        refused = await pair.client.prefill(pair.prefill, "r", "b")
-        assert (refused.error.code, refused.error.ran) == (ErrorCode.DRAINING, Ran.NO)
+        rejected = await pair.client.prefill(pair.prefill, "r", "b")
+        assert (rejected.error.code, rejected.error.ran) == (ErrorCode.DRAINING, Ran.NO)
         assert not (await send(2, WorkerCommandKind.SET_STAGE, Stage.DECODE)).accepted
         assert (await pair.client.decode(pair.decode, handle, "r", "a")).status == 200
         assert (await send(3, WorkerCommandKind.SET_STAGE, Stage.DECODE)).accepted
@@ -312,7 +312,7 @@
         assert last.sequence > first.sequence
 
 
-async def test_draining_finishes_what_runs() -> None:
+async def test_draining_finishes_running_requests() -> None:
     async with running_pair() as pair:
         await pair.client.inject(pair.decode, FaultKind.SLOW, factor=20.0)
         serving = asyncio.create_task(pair.serve(max_tokens=20))
--- a/tests/emulators/test_plain_service.py
+++ b/tests/emulators/test_plain_service.py
@@ -21,9 +21,9 @@
         reply = good[0].decode(CallReply)
         assert (good[0].attempt_header, reply.attempt_id) == ("a", "a")
         assert is_expected_call_body(bytes(reply.body), "r", "GET", "/stock/7")
-        refused = [answer.error for answer in answers if answer.status != 200]
-        assert {error.code for error in refused} == {ErrorCode.ATTEMPT_REFUSED}
-        assert Ran.NO not in {error.ran for error in refused}
+        rejected = [answer.error for answer in answers if answer.status != 200]
+        assert {error.code for error in rejected} == {ErrorCode.ATTEMPT_REFUSED}
+        assert Ran.NO not in {error.ran for error in rejected}
         assert (await client.status(service)).max_executions_by_request == 1
 
 
@@ -39,7 +39,7 @@
         assert [(record.number, record.attempt_id) for record in listed.executions] == [(2, "b")]
 
 
-async def test_overload_is_refused_with_the_promise() -> None:
+async def test_overload_is_rejected_with_a_not_executed_guarantee() -> None:
     slow = make_service(30.0, max_in_flight=1)
     async with running(slow) as service, backend_client() as client:
         first = asyncio.create_task(client.call(service, "r", "a"))
--- a/tests/emulators/test_verification.py
+++ b/tests/emulators/test_verification.py
@@ -1,4 +1,4 @@
-"""What a caller makes of a stream or a body."""
+"""Verification of streams and bodies by a caller."""
 
 import json
 
@@ -35,7 +35,7 @@
 
 
 @given(st.integers(0, 12), st.integers(1, 200))
-def test_the_whole_answer_is_recognised_however_it_is_cut(max_tokens: int, size: int) -> None:
+def test_a_complete_response_is_recognised_for_any_chunks(max_tokens: int, size: int) -> None:
     body = b"".join(whole_stream("r", max_tokens))
     pieces = [body[start : start + size] for start in range(0, len(body), size)]
     assert judge(pieces, max_tokens=max_tokens) is Outcome.ANSWERED
@@ -50,20 +50,20 @@
 
 
 @given(st.integers(0, 5))
-def test_a_visible_break_is_no_violation(kept: int) -> None:
+def test_an_aborted_response_is_no_violation(kept: int) -> None:
     stream = whole_stream("r", 4)[:kept]
     assert judge(stream, clean_end=False) is Outcome.BROKEN
     assert judge([*stream, ERROR]) is Outcome.BROKEN
     assert judge(stream, clean_end=True) is Outcome.INCOMPLETE_BUT_CLEAN
 
 
-def test_content_of_another_request_is_wrong_even_if_broken() -> None:
+def test_content_of_another_request_is_a_violation_even_if_aborted() -> None:
     assert judge(whole_stream("other", 4)) is Outcome.WRONG_CONTENT
     assert judge(whole_stream("other", 4)[:1], clean_end=False) is Outcome.WRONG_CONTENT
     assert judge([*whole_stream("r", 4)[:-1], chunk("more "), DONE]) is Outcome.WRONG_CONTENT
 
 
-def test_done_after_a_part_is_incomplete_even_if_the_body_is_cut() -> None:
+def test_done_after_partial_content_is_incomplete_even_if_the_body_is_aborted() -> None:
     stream = [chunk(expected_text("r", 3)), chunk(None, "stop"), DONE]
     assert judge(stream, clean_end=False) is Outcome.INCOMPLETE_BUT_CLEAN
 
@@ -77,7 +77,7 @@
     assert judge_call(b"", "r", "GET", "/stock/7") is Outcome.INCOMPLETE_BUT_CLEAN
 
 
-def test_only_calls_that_did_not_run_come_back() -> None:
+def test_only_calls_that_were_not_executed_are_retried() -> None:
     def result(
         outcome: Outcome, ran: str = "", attempts: int = 1, retry_after_seconds: float | None = None
     ) -> RequestResult:
