--- a/bench/control_cluster.py
+++ b/bench/control_cluster.py
@@ -1,4 +1,4 @@
-"""Real control processes with hollow routers in front of them, for the measurements in here."""
+"""Real control processes with hollow routers in front of them, shared by the measurements."""
 
 import asyncio
 import signal
@@ -78,11 +78,11 @@
 
     @property
     def version(self) -> int:
-        """The newest configuration version that was taken."""
+        """The newest accepted configuration version."""
         return self._version
 
     async def start(self) -> None:
-        """Start every process and take the first configuration."""
+        """Start every process and submit the first configuration."""
         for node in self.nodes:
             await node.process.start()
         async with asyncio.timeout(START_TIMEOUT_SECONDS):
@@ -94,7 +94,7 @@
         await stop_all([node.process for node in self.nodes], STOP_TIMEOUT_SECONDS)
 
     async def leader(self) -> ControlNode:
-        """Return the leader, once one says that it leads."""
+        """Return the leader, once a process reports that it leads."""
         async with asyncio.timeout(START_TIMEOUT_SECONDS):
             while True:
                 for node, status in (await self.statuses()).items():
@@ -180,10 +180,10 @@
 
 
 def end_on_sigterm() -> None:
-    """Have SIGTERM end this process as Ctrl-C does, so that its children are ended too."""
+    """Let SIGTERM end this process as Ctrl-C does, so that its children are stopped too."""
 
     def end(_number: int, _frame: FrameType | None) -> None:
-        # A second signal must not interrupt the ending of the children.
+        # A second signal must not interrupt the shutdown of the children.
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
         signal.signal(signal.SIGINT, signal.SIG_IGN)
         raise KeyboardInterrupt
@@ -193,7 +193,7 @@
 
 @asynccontextmanager
 async def running_cluster(count: int) -> AsyncIterator[ControlCluster]:
-    """Run control processes, and end them whatever happens."""
+    """Run control processes, and stop them in every case."""
     with tempfile.TemporaryDirectory(prefix="orchidpath-bench-") as folder:
         cluster = ControlCluster(Path(folder), count)
         try:
--- a/bench/decision_path.py
+++ b/bench/decision_path.py
@@ -31,7 +31,7 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """What was measured; bytes are those of the interpreter's allocations."""
+    """Measured figures; bytes are those of the interpreter's allocations."""
 
     workers: int
     in_flight: list[int]
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -60,7 +60,7 @@
 
 
 class OutageResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Times from the fault; ``serving`` is until every router was answered by the new leader."""
+    """Times from the fault; ``serving`` is until the new leader has answered every router."""
 
     part: str
     trials: int
@@ -120,7 +120,7 @@
 
 
 async def measure_outages(part: str, trials: int) -> OutageResult:
-    """Kill or freeze the leader again and again."""
+    """Kill or freeze the leader repeatedly."""
     outages: list[Outage] = []
     async with running_cluster(VOTERS) as cluster:
         fleet = await _start_routers(cluster)
@@ -181,7 +181,7 @@
 
 
 async def _wait_until_settled(cluster: ControlCluster) -> None:
-    """Wait until every process has applied what the leader has, and then a little longer."""
+    """Wait until every process has applied the leader's log, and for a short time after that."""
     async with asyncio.timeout(READY_TIMEOUT_SECONDS):
         while True:
             found = (await cluster.statuses()).values()
@@ -279,13 +279,13 @@
 
 def _change_entry(number: int) -> LogEntry:
     changed = configuration(number)
-    order = SubmitConfiguration(
+    update = SubmitConfiguration(
         order_id=f"order-{number}",
         base_version=number - 1,
         configuration=changed,
         digest=configuration_digest(number - 1, changed),
     )
-    return LogEntry(number, 1, EntryKind.COMMAND, encode_command(order))
+    return LogEntry(number, 1, EntryKind.COMMAND, encode_command(update))
 
 
 def main() -> None:
--- a/bench/hollow_control.py
+++ b/bench/hollow_control.py
@@ -1,4 +1,4 @@
-"""Measures what control costs against routers, workers, decisions and changes, with hollow nodes.
+"""Measures the cost of the control tier by routers, workers, decisions and changes.
 
 Starts real control processes (three voters and a standby) and a hollow fleet in this process, and
 prints one JSON line for each size that was measured, then the slopes. The figures are those of
@@ -30,7 +30,7 @@
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
-    """One size, what is asked of it a second, and how long it is measured."""
+    """One size of fleet, its load per second, and the duration of the measurement."""
 
     sweep: str
     routers: int
@@ -41,14 +41,14 @@
 
 
 class RoleUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """What one control process used while it was measured."""
+    """Resources that one control process used during the measurement."""
 
     cpu_share: float
     resident_mebibytes: float
 
 
 class RunResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run has measured; times in seconds."""
+    """Figures of one run; times in seconds."""
 
     run: Run
     join_seconds: float
--- a/bench/leave_out_guards.py
+++ b/bench/leave_out_guards.py
@@ -1,7 +1,7 @@
-"""Leaves safety rules out of a copy of the sources, one at a time; the named tests must fail.
+"""Leaves guards out of a copy of the sources, one at a time; the named tests must then fail.
 
 The table is tests/guards/left_out.toml. The same tests are first run on an unchanged copy, where
-they must pass. Prints a line a guard; the exit code is 1 if a guard was left out unnoticed.
+they must pass. Prints a line a guard; the exit code is 1 if no test failed without a guard.
 """
 
 import argparse
@@ -23,11 +23,11 @@
 
 
 FIRST_ADDRESS_NUMBER = 60
-"""Tests on loopback take addresses by their worker's number; each run here has one of its own."""
+"""First number of the loopback addresses; each run has a number of its own."""
 
 
 def exit_code(edits: Sequence[Edit], tests: Sequence[str], number: int) -> int:
-    """Run tests on a copy of the sources with edits made; returns pytest's exit code."""
+    """Run tests on a copy of the sources with edits made; return pytest's exit code."""
     with tempfile.TemporaryDirectory(prefix="left-out-") as name:
         folder = Path(name)
         copy_with(edits, folder)
@@ -51,7 +51,7 @@
 
 
 def main() -> int:
-    """Try the named guards, or all; returns the exit code."""
+    """Try the named guards, or all; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("names", nargs="*", help="guards of the table; all when none is named")
     parser.add_argument("--jobs", type=int, default=2)
--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -57,7 +57,7 @@
 
 
 class MixedRun(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run showed; ``replaced`` are the processes in the order of their replacement."""
+    """Result of one run; ``replaced`` are the processes in the order of their replacement."""
 
     mix: Mix
     replaced: tuple[str, ...]
@@ -180,7 +180,7 @@
 
 
 def main() -> None:
-    """Run all three mixes and print what they showed."""
+    """Run all three mixes and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("revision", help="earlier revision of this repository")
     parser.add_argument("--seconds", type=float, default=15.0, help="traffic of the first two runs")
--- a/bench/planning.py
+++ b/bench/planning.py
@@ -24,7 +24,7 @@
 
 
 class Case(msgspec.Struct, frozen=True, kw_only=True):
-    """One change of the split and what it took."""
+    """One change of the split, and its cost."""
 
     prefill_before: int
     prefill_after: int
@@ -104,7 +104,7 @@
 
 
 def zone_spread(view: FleetView, moved: set[str], stage: Stage) -> int:
-    """Return the difference between the fullest and the emptiest zone of a stage afterwards."""
+    """Return the difference between the largest and the smallest zone of a stage afterwards."""
     counts = dict.fromkeys((f"zone-{number}" for number in range(ZONES)), 0)
     for worker in view.workers:
         if (worker.stage is stage) != (worker.worker_id in moved):
--- a/bench/ring_cache_hits.py
+++ b/bench/ring_cache_hits.py
@@ -1,8 +1,8 @@
 """Simulated share of prefix cache hits: hash ring with bounded load against other choices.
 
 Requests arrive at random and name one of many prompt prefixes, whose popularity follows Zipf's
-law. Each prefill worker prefills prompts one at a time and keeps the prefixes it read last; a
-prompt whose prefix it holds takes a fraction of the time. Every choice sees the same arrivals, and
+law. Each prefill worker prefills prompts one at a time and caches the most recent prefixes; a
+prompt with a cached prefix takes a fraction of the time. Every choice sees the same arrivals, and
 loads are known exactly, as by one router; with many routers they would be slightly stale.
 
 Run ``python bench/ring_cache_hits.py`` for JSON on standard output.
@@ -29,7 +29,7 @@
 MODEL = "model"
 SERVICE = "service"
 MISS_SECONDS = 1.0
-"""Time to read a prompt whose prefix is not cached."""
+"""Time to prefill a prompt whose prefix is not cached."""
 
 
 class Choice(StrEnum):
@@ -56,7 +56,7 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """What one choice gave on one workload; times are from arrival to the end of the read."""
+    """Result of one choice on one workload; times are from arrival to the end of the prefill."""
 
     choice: Choice
     workers: int
@@ -84,7 +84,7 @@
 
 
 class SimulatedWorker:
-    """A prefill worker that reads one prompt at a time and keeps the prefixes read last."""
+    """A prefill worker that prefills one prompt at a time and caches the most recent prefixes."""
 
     def __init__(self, scenario: Scenario):
         self._scenario = scenario
@@ -93,7 +93,7 @@
         self.requests = 0
 
     def read(self, arrival: Arrival) -> tuple[bool, float]:
-        """Queue one prompt; return whether its prefix was cached and when the read ends."""
+        """Queue one prompt; return whether its prefix was cached and when its prefill ends."""
         hit = arrival.prefix in self._cached
         self._cached[arrival.prefix] = None
         self._cached.move_to_end(arrival.prefix)
--- a/bench/role_change.py
+++ b/bench/role_change.py
@@ -2,7 +2,7 @@
 
 Four runs of the same traffic on loopback: undisturbed; a confirmed plan that turns two of four
 prefill workers into decode workers; and the same two workers restarted one after the other
-without a plan, once stopped in order and once killed.
+without a plan, once shut down gracefully and once killed.
 
 Run ``python bench/role_change.py`` for JSON on standard output.
 """
@@ -69,7 +69,7 @@
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
-    """What callers saw in one run; ``change_seconds`` is how long the plan took."""
+    """Results of callers in one run; ``change_seconds`` is how long the plan took."""
 
     name: str
     requests: int
@@ -125,7 +125,7 @@
 
 
 async def first_configuration(client: OperatorClient) -> dict[str, Any]:
-    """Wait until the fleet has taken its file's configuration, and return it as plain data."""
+    """Wait until the fleet has accepted its file's configuration, and return it as plain data."""
     async with asyncio.timeout(START_TIMEOUT_SECONDS):
         while True:
             try:
@@ -159,7 +159,7 @@
 
 
 def make_run(name: str, summary: dict[str, Any], change_seconds: float) -> Run:
-    """Return what counts of a fleet's summary."""
+    """Return the result from a fleet's summary."""
     return Run(
         name=name,
         requests=summary["requests"],
--- a/bench/router_overhead.py
+++ b/bench/router_overhead.py
@@ -1,9 +1,9 @@
-"""Measures what one real router adds: time to the first token, time between tokens, processor time.
+"""Measures the overhead of one router: times to the first and between tokens, processor time.
 
-One control process, one router and emulator workers run as processes of their own. The same caller
-asks in turn through the router and straight at the workers, in one run, so that the machine's noise
-meets both. Then the router's processor time is measured against requests and tokens a second.
-Prints one JSON line. The figures are those of docs/CAPACITY.md.
+One control process, one router and emulated workers run as processes of their own. The same caller
+sends requests in turn through the router and directly to the workers, in one run, so that noise of
+the machine affects both. Then the router's processor time is measured against requests and tokens a
+second. Prints one JSON line. The figures are those of docs/CAPACITY.md.
 """
 
 import argparse
@@ -49,7 +49,7 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Times of one streamed answer."""
+    """Times of one streamed response."""
 
     first_token_seconds: float
     gaps: list[float]
@@ -57,7 +57,7 @@
 
 
 class SideResult(msgspec.Struct, frozen=True, kw_only=True):
-    """One way to ask."""
+    """One way to send a request."""
 
     first_token_seconds: Quantiles
     between_tokens_seconds: Quantiles
@@ -71,7 +71,7 @@
 
 
 class OverheadResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that was measured in one run."""
+    """All figures of one run."""
 
     pairs: int
     through_router: SideResult
@@ -100,7 +100,7 @@
 
 @asynccontextmanager
 async def running_fleet(cluster: ControlCluster) -> AsyncIterator[Bench]:
-    """Run one router and its workers, and end them whatever happens."""
+    """Run one router and its workers, and stop them in every case."""
     ports = choose_ports(3 + DECODE_WORKERS, SystemRandom())
     addresses = [f"{LOOPBACK_HOST}:{port}" for port in ports]
     with tempfile.TemporaryDirectory(prefix="orchidpath-bench-") as name:
@@ -154,7 +154,7 @@
 
 
 async def ask_router(session: aiohttp.ClientSession, bench: Bench, tokens: int) -> Timing:
-    """Ask through the router."""
+    """Send a request through the router."""
     body = msgspec.json.encode(
         {
             "model": MODEL,
@@ -172,7 +172,7 @@
 
 
 async def ask_workers(session: aiohttp.ClientSession, bench: Bench, tokens: int) -> Timing:
-    """Ask a prefill worker and then a decode worker, as the router does."""
+    """Send a request to a prefill worker and then to a decode worker, as the router does."""
     request_id = uuid.uuid4().hex
     headers = {"content-type": "application/json", ATTEMPT_HEADER: request_id}
     prefill = PrefillRequest(
@@ -208,7 +208,7 @@
 
 
 async def measure_pairs(bench: Bench, pairs: int, tokens: int) -> tuple[SideResult, SideResult]:
-    """Ask in turn through the router and straight."""
+    """Send requests in turn through the router and directly."""
     through: list[Timing] = []
     direct: list[Timing] = []
     async with aiohttp.ClientSession() as session:
@@ -226,7 +226,7 @@
 
 
 async def measure_tokens(bench: Bench, streams: int, seconds: float) -> LoadPoint:
-    """Keep so many streams running and count their tokens."""
+    """Keep a number of streams running and count their tokens."""
     tokens = round(seconds * PACED_TOKENS_PER_SECOND)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
@@ -242,7 +242,7 @@
 
 
 async def measure_requests(bench: Bench, per_second: float, seconds: float) -> LoadPoint:
-    """Send short requests open loop."""
+    """Send short requests in an open loop."""
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         before = read_usage(bench.router.process_id)
