--- a/tests/cli/test_cli_bad_input.py
+++ b/tests/cli/test_cli_bad_input.py
@@ -32,7 +32,7 @@
 
 
 def assert_refused(result: Result, *mentioned: str) -> None:
-    """Exit 2 with one line that says what is wrong, at most a usage hint around it."""
+    """Check for exit code 2 and one line with the error, besides a usage hint."""
     assert result.exit_code == 2, (result.exit_code, result.output, result.exception)
     assert result.exception is None or isinstance(result.exception, SystemExit)
     assert "Traceback" not in result.output
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("each", LEAVES, ids=words_of)
-def test_what_is_required_and_missing_is_named(
+def test_missing_required_arguments_are_reported(
     each: tuple[tuple[str, ...], click.Command], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.delenv("ORCHIDPATH_CONTROL", raising=False)
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(
     ("words", "option"), NUMBERS, ids=lambda each: each.name if hasattr(each, "name") else each[-1]
 )
-def test_a_number_that_is_none(words: tuple[str, ...], option: click.Option) -> None:
+def test_an_invalid_number_is_reported(words: tuple[str, ...], option: click.Option) -> None:
     name = max(option.opts, key=len)
     assert_refused(run(*words, name, "many"), "'many'")
 
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("content", CONTENTS.values(), ids=CONTENTS.keys())
 @pytest.mark.parametrize("arguments", FILES, ids=" ".join)
-def test_a_file_that_is_none(
+def test_a_missing_file_is_reported(
     tmp_path: Path, arguments: tuple[str, ...], content: bytes | None
 ) -> None:
     path = tmp_path / f"file{FILES[arguments]}"
@@ -134,7 +134,7 @@
     assert_refused(run(*[str(path) if each == "{}" else each for each in arguments]), path.name)
 
 
-def test_replay_refuses_a_missing_log_and_a_bad_policy(tmp_path: Path) -> None:
+def test_replay_rejects_a_missing_log_and_an_invalid_policy(tmp_path: Path) -> None:
     assert_refused(run("replay", tmp_path / "missing.log"), "missing.log")
     log = tmp_path / "decisions.log"
     log.write_bytes(b"")
@@ -146,10 +146,10 @@
 
 @pytest.mark.parametrize("address", ["nonsense", "http://", "ftp://x", "http://127.0.0.1:none"])
 @pytest.mark.parametrize("words", ["status", "config get", "config history", "plan show"])
-def test_a_control_address_that_is_none(words: str, address: str) -> None:
+def test_an_invalid_control_address_is_reported(words: str, address: str) -> None:
     assert_refused(run(*words.split(), "--control", address), address)
 
 
 @pytest.mark.parametrize("seeds", ["x", "3..1", "-1", "..2", "1..2..3"])
-def test_simulate_refuses_what_is_no_range(seeds: str) -> None:
+def test_simulate_rejects_an_invalid_range(seeds: str) -> None:
     assert_refused(run("simulate", f"--seeds={seeds}"), seeds)
--- a/tests/cli/test_cli_check.py
+++ b/tests/cli/test_cli_check.py
@@ -61,20 +61,20 @@
 @pytest.mark.parametrize(
     ("name", "text"), [("x.toml", "colour = 1"), ("x.json", "{"), ("x.yaml", "a: b")]
 )
-def test_unknown_files_are_refused(tmp_path: Path, name: str, text: str) -> None:
+def test_unknown_files_are_rejected(tmp_path: Path, name: str, text: str) -> None:
     result = run("check", write(tmp_path / name, text))
     assert result.exit_code == 2
     assert len(result.stderr.splitlines()) == 1
 
 
-def test_kind_may_be_said(tmp_path: Path) -> None:
+def test_kind_may_be_given(tmp_path: Path) -> None:
     path = write(tmp_path / "c.toml", "")
     assert run("check", path).exit_code == 2
     assert run("check", "--kind", "configuration", path).exit_code == 0
 
 
 @pytest.mark.parametrize("command", ["router", "control"])
-def test_process_refuses_invalid_settings_before_it_starts(tmp_path: Path, command: str) -> None:
+def test_process_rejects_invalid_settings_before_it_starts(tmp_path: Path, command: str) -> None:
     path = write(tmp_path / "a.toml", 'node_id = "a"\n')
     result = run(command, "-c", path)
     assert result.exit_code == 2
--- a/tests/cli/test_cli_config.py
+++ b/tests/cli/test_cli_config.py
@@ -16,19 +16,19 @@
 
 
 class FakeControl:
-    """Answers as told, records what it was asked, and may cut the connection instead."""
+    """Answers with a scripted reply or aborts the connection; records the updates."""
 
     def __init__(self) -> None:
         self.status = 200
         self.body: dict[str, Any] = {}
-        self.cut = False
-        self.orders: list[dict[str, Any]] = []
+        self.aborts = False
+        self.updates: list[dict[str, Any]] = []
         self.url = ""
 
     async def handle(self, request: web.Request) -> web.Response:
         if request.method == "PUT":
-            self.orders.append(await request.json())
-        if self.cut:
+            self.updates.append(await request.json())
+        if self.aborts:
             assert request.transport is not None
             request.transport.abort()
         return web.json_response(self.body, status=self.status)
@@ -72,26 +72,26 @@
     return await run("config", "put", file, "--base", "4", "--order-id", "order-1", *options)
 
 
-async def test_confirmed_order(tmp_path: Path, controls: list[FakeControl]) -> None:
+async def test_confirmed_update(tmp_path: Path, controls: list[FakeControl]) -> None:
     controls[0].body = {"order_id": "order-1", "version": 5, "confirmed": True}
     result = await put(tmp_path, controls[0].url)
     assert result.exit_code == 0, result.output
     assert "confirmed as version 5" in result.output
-    (order,) = controls[0].orders
-    assert order["order_id"] == "order-1"
-    assert order["base_version"] == 4
-    assert order["configuration"]["services"][0]["name"] == "stock"
+    (update,) = controls[0].updates
+    assert update["order_id"] == "order-1"
+    assert update["base_version"] == 4
+    assert update["configuration"]["services"][0]["name"] == "stock"
 
 
-async def test_new_order_id_is_printed(tmp_path: Path, controls: list[FakeControl]) -> None:
+async def test_new_update_id_is_printed(tmp_path: Path, controls: list[FakeControl]) -> None:
     controls[0].body = {"order_id": "any", "version": 1, "confirmed": True}
     file = configuration_file(tmp_path)
     result = await run("config", "put", file, "--base", "0", ORCHIDPATH_CONTROL=controls[0].url)
     assert result.exit_code == 0, result.output
-    assert f"order id: {controls[0].orders[0]['order_id']}" in result.output
+    assert f"order id: {controls[0].updates[0]['order_id']}" in result.output
 
 
-async def test_taken_but_not_confirmed_says_how_to_ask(
+async def test_accepted_update_that_is_not_confirmed_explains_how_to_query_it(
     tmp_path: Path, controls: list[FakeControl]
 ) -> None:
     controls[0].status = 202
@@ -102,42 +102,42 @@
     assert "--order-id order-1" in result.output
 
 
-async def test_lost_answer_moves_on_with_the_same_order(
+async def test_lost_reply_is_retried_elsewhere_with_the_same_update(
     tmp_path: Path, controls: list[FakeControl]
 ) -> None:
-    controls[0].cut = True
+    controls[0].aborts = True
     controls[1].body = {"order_id": "order-1", "version": 5, "confirmed": True}
     result = await put(tmp_path, unused_url(), controls[0].url, controls[1].url)
     assert result.exit_code == 0, result.output
     # The HTTP client may repeat an idempotent request by itself, so the first may see it twice.
-    (order,) = controls[1].orders
-    assert order["order_id"] == "order-1"
-    assert controls[0].orders
-    assert all(repeated == order for repeated in controls[0].orders)
+    (update,) = controls[1].updates
+    assert update["order_id"] == "order-1"
+    assert controls[0].updates
+    assert all(repeated == update for repeated in controls[0].updates)
 
 
-async def test_lost_answer_everywhere_says_to_send_the_same_order_again(
+async def test_lost_reply_everywhere_explains_how_to_repeat_the_update(
     tmp_path: Path, controls: list[FakeControl]
 ) -> None:
-    controls[0].cut = True
+    controls[0].aborts = True
     result = await put(tmp_path, controls[0].url)
     assert result.exit_code == 1
     assert "may have been taken" in result.stderr
     assert "--base 4 --order-id order-1" in result.stderr
 
 
-@pytest.mark.parametrize(("taken", "word"), [("no", "not taken"), ("unknown", "may have been")])
-async def test_no_leader_is_told_apart_by_what_is_known(
-    tmp_path: Path, controls: list[FakeControl], taken: str, word: str
+@pytest.mark.parametrize(("accepted", "word"), [("no", "not taken"), ("unknown", "may have been")])
+async def test_without_a_leader_the_message_says_whether_the_update_was_accepted(
+    tmp_path: Path, controls: list[FakeControl], accepted: str, word: str
 ) -> None:
     controls[0].status = 503
-    controls[0].body = {"error": {"code": "no_leader", "message": "none", "taken": taken}}
+    controls[0].body = {"error": {"code": "no_leader", "message": "none", "taken": accepted}}
     result = await put(tmp_path, controls[0].url, unused_url())
     assert result.exit_code == 1
     assert word in result.stderr
 
 
-async def test_conflict_names_the_current_version_and_is_not_tried_elsewhere(
+async def test_conflict_reports_the_current_version_and_is_not_retried_elsewhere(
     tmp_path: Path, controls: list[FakeControl]
 ) -> None:
     controls[0].status = 409
@@ -147,7 +147,7 @@
     assert result.exit_code == 2
     assert "version_conflict" in result.stderr
     assert "current version: 9" in result.stderr
-    assert controls[1].orders == []
+    assert controls[1].updates == []
 
 
 async def test_problems_found_by_control_are_printed(
@@ -174,7 +174,7 @@
     assert msgspec.json.decode(result.stdout) == {"history": []}
 
 
-async def test_status_of_answering_and_lost_processes(controls: list[FakeControl]) -> None:
+async def test_status_of_reachable_and_unreachable_processes(controls: list[FakeControl]) -> None:
     controls[0].body = {
         "node_id": "control-1.ab",
         "role": "leader",
@@ -193,7 +193,7 @@
     assert msgspec.json.decode(result.stdout) == {lost: None}
 
 
-async def test_garbage_answers_are_no_traceback(
+async def test_undecodable_replies_cause_no_traceback(
     tmp_path: Path, controls: list[FakeControl]
 ) -> None:
     controls[0].body = {"unexpected": []}
--- a/tests/cli/test_cli_plan.py
+++ b/tests/cli/test_cli_plan.py
@@ -1,4 +1,4 @@
-"""``orchidpath plan`` against a control process that answers as told."""
+"""``orchidpath plan`` against a fake control process with scripted replies."""
 
 import asyncio
 import json
@@ -48,17 +48,17 @@
 
 
 class FakeControl:
-    """Answers as told and records the orders."""
+    """Answers with a scripted reply and records the plan actions."""
 
     def __init__(self) -> None:
         self.status = 200
         self.body: object = None
-        self.orders: list[tuple[str, dict[str, Any]]] = []
+        self.actions: list[tuple[str, dict[str, Any]]] = []
         self.url = ""
 
     async def handle(self, request: web.Request) -> web.Response:
         if request.method == "POST":
-            self.orders.append((request.path, await request.json()))
+            self.actions.append((request.path, await request.json()))
         return web.Response(body=msgspec.json.encode(self.body), status=self.status)
 
 
@@ -80,7 +80,7 @@
     return await asyncio.to_thread(CliRunner().invoke, orchidpath, command)
 
 
-async def test_show_tells_worker_by_worker_what_would_move(control: FakeControl) -> None:
+async def test_show_lists_each_worker_that_would_move(control: FakeControl) -> None:
     control.body = plan_body()
     result = await run(control, "show")
     assert result.exit_code == 0
@@ -96,15 +96,15 @@
 
 
 @pytest.mark.parametrize("action", ["confirm", "halt", "resume", "cancel"])
-async def test_orders_name_the_plan_and_their_id(control: FakeControl, action: str) -> None:
+async def test_actions_carry_the_plan_and_their_id(control: FakeControl, action: str) -> None:
     control.body = {"plan_id": "p", "order_id": "o", "action": action}
     result = await run(control, action, "p", "--order-id", "o", "--json")
     assert result.exit_code == 0
-    assert control.orders == [(f"/v1/plan/{action}", {"plan_id": "p", "order_id": "o"})]
+    assert control.actions == [(f"/v1/plan/{action}", {"plan_id": "p", "order_id": "o"})]
     assert json.loads(result.output)["action"] == action
 
 
-async def test_a_stale_plan_ends_with_the_new_one(control: FakeControl) -> None:
+async def test_a_stale_plan_is_rejected_and_the_current_one_printed(control: FakeControl) -> None:
     control.status = 409
     control.body = {
         "error": {"code": "plan_stale", "message": "not what would be done"},
@@ -116,7 +116,7 @@
     assert plan_body().preview.plan.plan_id in result.output
 
 
-async def test_after_an_unknown_outcome_the_same_order_is_to_be_sent_again(
+async def test_after_an_unknown_outcome_the_message_gives_the_command_to_repeat(
     control: FakeControl,
 ) -> None:
     control.status = 503
--- a/tests/cli/test_cli_replay.py
+++ b/tests/cli/test_cli_replay.py
@@ -79,7 +79,7 @@
     assert "2 decisions: 2 compared, 2 as the log's policy explains" in result.stdout
 
 
-def test_what_would_differ_is_shown_with_its_line(tmp_path: Path) -> None:
+def test_differences_are_printed_with_their_line(tmp_path: Path) -> None:
     result = run(tmp_path, b"", "--policy", policy_file(tmp_path))
     assert result.exit_code == 0
     assert "worker s1: circuit: log available, replay cooldown" in result.stdout
@@ -87,14 +87,14 @@
     assert any(line.startswith("line 4 ") and "replay plain=s2" in line for line in lines)
 
 
-def test_json_holds_everything(tmp_path: Path) -> None:
+def test_json_output_is_complete(tmp_path: Path) -> None:
     result = run(tmp_path, b"", "--json", "--policy", policy_file(tmp_path))
     value = json.loads(result.stdout)
     assert (value["decisions"], value["agreed"]) == (2, 2)
     assert [each["kind"] for each in value["differences"]] == ["circuit", "other_worker"]
 
 
-def test_damaged_lines_are_named_and_exit_with_one(tmp_path: Path) -> None:
+def test_damaged_lines_are_reported_and_exit_with_one(tmp_path: Path) -> None:
     result = run(tmp_path, b'{"type":"rep\n\xff\xfe\n' + b"[" * 50_000)
     assert result.exit_code == 1
     assert "Traceback" not in result.output
@@ -106,7 +106,7 @@
     assert "2 as the log's policy explains" in result.stdout
 
 
-def test_a_file_of_noise_is_all_damage(tmp_path: Path) -> None:
+def test_a_file_of_random_bytes_is_all_damage(tmp_path: Path) -> None:
     path = tmp_path / "noise"
     path.write_bytes(bytes(range(1, 256)) * 50)
     result = CliRunner().invoke(orchidpath, ["replay", str(path)])
--- a/tests/cli/test_report.py
+++ b/tests/cli/test_report.py
@@ -1,4 +1,4 @@
-"""``orchidpath report`` prints the path of figures from a journal."""
+"""``orchidpath report`` prints the history of measured figures from a journal."""
 
 import json
 import sys
@@ -51,7 +51,7 @@
     assert "2 days, 2 with a rule broken" in lines[2]
 
 
-def test_trials_are_left_out_unless_asked_for(tmp_path: Path) -> None:
+def test_trials_are_omitted_unless_requested(tmp_path: Path) -> None:
     write_entry(tmp_path, "a", why="trial: another weight")
     write_entry(tmp_path, "b", dirty=True)
     assert run_report(tmp_path) == (ExitCode.OK, "")
@@ -66,14 +66,14 @@
     assert "other" not in output
 
 
-def test_a_damaged_entry_is_named(tmp_path: Path) -> None:
+def test_a_damaged_entry_is_reported(tmp_path: Path) -> None:
     (tmp_path / "bad.json").write_text("{")
     exit_code, output = run_report(tmp_path)
     assert exit_code == ExitCode.FAILED
     assert "bad.json" in output
 
 
-def test_without_the_extra_a_plot_is_refused_with_a_hint(
+def test_without_the_extra_a_plot_is_rejected_with_a_hint(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(sys.modules, "matplotlib.figure", None)
@@ -88,7 +88,7 @@
     assert any(entry.command == "score" for entry in entries)
 
 
-def test_the_losses_of_a_run_are_a_table_with_the_dearest_reason_first(tmp_path: Path) -> None:
+def test_the_losses_of_a_run_are_a_table_with_the_largest_first(tmp_path: Path) -> None:
     day = {
         "G": 0.8,
         "name": "quiet-1",
@@ -111,7 +111,7 @@
     assert output.splitlines()[3].split()[-2:] == ["0.1250", "0.1250"]
 
 
-def test_an_unknown_run_is_named(tmp_path: Path) -> None:
+def test_an_unknown_run_is_reported(tmp_path: Path) -> None:
     write_entry(tmp_path, "a")
     exit_code, _ = run_report(tmp_path, "--losses", "b")
     assert exit_code != ExitCode.OK
--- a/tests/common/test_addresses.py
+++ b/tests/common/test_addresses.py
@@ -11,6 +11,6 @@
 @pytest.mark.parametrize(
     "address", ["", "127.0.0.1", "localhost:80", "127.0.0.1:", "1.2.3.4:65536", "1.2.3.4:8²"]
 )
-def test_other_addresses_are_refused(address: str) -> None:
+def test_other_addresses_are_rejected(address: str) -> None:
     with pytest.raises(AddressError):
         parse_address(address)
--- a/tests/common/test_daemon.py
+++ b/tests/common/test_daemon.py
@@ -76,7 +76,7 @@
         assert await run == ExitCode.STOPPED_HARD
 
 
-async def test_reload_takes_valid_settings_and_refuses_invalid_ones() -> None:
+async def test_reload_applies_valid_settings_and_rejects_invalid_ones() -> None:
     daemon, loader = RecordingDaemon(), Loader()
     run = asyncio.create_task(serve(daemon, loader))
     async with asyncio.timeout(BOUND_SECONDS):
--- a/tests/common/test_settings_file.py
+++ b/tests/common/test_settings_file.py
@@ -97,7 +97,7 @@
     }
 
 
-def test_two_roles_at_one_address_are_refused() -> None:
+def test_two_roles_at_one_address_are_rejected() -> None:
     table = {**ROUTER, "http_address": ROUTER["wire_address"]}
     assert problem_paths(table, RouterSettings) == {"http_address"}
 
@@ -143,7 +143,7 @@
 
 
 @given(noise=st.text(alphabet="[]{}=\"'.,:#\n ab01-_", max_size=200))
-def test_random_toml_like_text_is_refused(noise: str) -> None:
+def test_random_toml_like_text_is_rejected(noise: str) -> None:
     with pytest.raises(SettingsError):
         table = decode_table(Path("noise.toml"), noise.encode())
         convert_settings(table, "noise", RouterSettings)
@@ -157,7 +157,7 @@
 
 
 @given(field=st.sampled_from(sorted([*CONTROL, "target_voters", "log_level"])), value=JSON_VALUES)
-def test_a_random_value_is_taken_or_named(field: str, value: object) -> None:
+def test_a_random_value_is_accepted_or_reported(field: str, value: object) -> None:
     table = {**CONTROL, field: value}
     try:
         settings = convert_settings(table, "file", ControlSettings)
--- a/tests/common/test_typed_walk.py
+++ b/tests/common/test_typed_walk.py
@@ -1,4 +1,4 @@
-"""One walk reports every problem, in its order, and leaves a readable value."""
+"""One walk reports every problem, in order, and returns a value with placeholders."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -63,7 +63,7 @@
     }
 
 
-def test_a_settings_file_gets_the_texts_of_settings() -> None:
+def test_a_settings_file_gets_the_messages_of_settings() -> None:
     problems = find_mismatches({"inner": 1, "items": {}, "zone": 1}, Outer)
     assert problems == [
         Problem(path="zone", message="unknown setting; known are count, inner, items"),
--- a/tests/consensus/consensus_builders.py
+++ b/tests/consensus/consensus_builders.py
@@ -1,4 +1,4 @@
-"""A scripted replica group for the tests of single rules, each with its guard on or off."""
+"""A scripted replica group for tests of single rules, with a guard enabled or disabled."""
 
 import random
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 
 class Group:
-    """Replicas whose messages are delivered when the test says so."""
+    """Replicas whose messages are delivered by the test."""
 
     def __init__(self, voters: str = "abc", joining: str = "", off: Guard | None = None) -> None:
         self.guards = frozenset({off}) if off else frozenset()
@@ -81,7 +81,7 @@
         self.run(name, self.cores[name].tick(now))
 
     def deliver(self, now: float, allow: Filter = lambda *_: True, rounds: int = 50) -> int:
-        """Deliver until nothing is left; return the count of rounds."""
+        """Deliver until no message is left; return the count of rounds."""
         for done in range(rounds):
             if not self.outbox:
                 return done
@@ -95,7 +95,7 @@
         return self.cores[name].role
 
     def elect(self, name: str, now: float) -> RaftCore:
-        """Elect a replica; the caller leaves the others without a leader for long enough."""
+        """Elect a replica; the caller first lets the others time out."""
         self.cores[name]._replica.election_deadline = now
         self.tick(name, now)
         self.deliver(now)
--- a/tests/consensus/test_consensus_cluster.py
+++ b/tests/consensus/test_consensus_cluster.py
@@ -1,4 +1,4 @@
-"""Many seeds of faults, and the proof that the checks notice a missing safety rule."""
+"""Many seeds of faults, and tests that the checks detect a disabled guard."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("first", range(0, len(SEEDS), 10))
-def test_every_seed_keeps_the_invariants(first: int) -> None:
+def test_every_seed_satisfies_the_invariants(first: int) -> None:
     results = [run_seed(seed) for seed in SEEDS[first : first + 10]]
     assert [result for result in results if result.violation] == []
     assert min(result.committed_index for result in results) > 10
@@ -21,8 +21,8 @@
 
 
 # No seed tried so far provokes COMMIT_ONLY_CURRENT_TERM, START_ID_MATCH or LAST_LEADER_ANSWERS:
-# scripted tests in test_consensus_*.py show that they matter. So they do for PRE_VOTE and
-# CHECK_QUORUM, which protect availability and no invariant.
+# scripted tests in test_consensus_*.py cover them, and also PRE_VOTE and CHECK_QUORUM, which
+# protect availability and no invariant.
 @pytest.mark.parametrize(
     ("guard", "seeds"),
     [
@@ -35,7 +35,7 @@
         (Guard.SINGLE_MEMBERSHIP_CHANGE, range(14, 18)),
     ],
 )
-def test_the_checks_notice_a_missing_guard(guard: Guard, seeds: range) -> None:
+def test_the_checks_detect_a_disabled_guard(guard: Guard, seeds: range) -> None:
     off = frozenset({guard})
     provoking = next((seed for seed in seeds if run_seed(seed, off).violation), None)
     assert provoking is not None
--- a/tests/consensus/test_consensus_leadership.py
+++ b/tests/consensus/test_consensus_leadership.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("off", [None, Guard.WAKE_STEP_DOWN])
-def test_a_leader_that_wakes_takes_no_proposal(off: Guard | None) -> None:
+def test_a_leader_resumed_after_a_pause_accepts_no_proposal(off: Guard | None) -> None:
     group = Group(off=off)
     leader = group.elect("a", 2.0)
     assert leader.has_lease(2.2)
--- a/tests/consensus/test_consensus_replication.py
+++ b/tests/consensus/test_consensus_replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication: commit, pipelining and repetition."""
+"""The leader's side of replication: commit, pipelining and retransmission."""
 
 import msgspec
 import pytest
@@ -56,7 +56,7 @@
     assert leader.commit_index == 52
 
 
-def test_lost_appends_are_sent_again() -> None:
+def test_lost_appends_are_retransmitted() -> None:
     group = Group()
     leader = group.elect("a", 2.0)
     group.propose("a", 5, 2.1)
--- a/tests/consensus/test_consensus_restart_votes.py
+++ b/tests/consensus/test_consensus_restart_votes.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("off", [None, Guard.RESTART_VOTE_DELAY])
 def test_a_lease_outlives_the_restart_of_a_follower(off: Guard | None) -> None:
-    """The leader's lease rests on b; b restarts and is asked for its vote by c."""
+    """The leader's lease depends on b; b restarts and c requests its vote."""
     group = Group(off=off)
     leader = group.elect("a", 2.0)
     group.propose("a", 1, 3.0 - 0.9)
@@ -35,7 +35,7 @@
 
 
 def restart_all(group: Group, now: float) -> None:
-    """Lose every process at once, and whatever was on its way."""
+    """Lose every process at once, and all messages in transit."""
     group.outbox.clear()
     for name in tuple(group.cores):
         group.start(name, now)
@@ -65,7 +65,7 @@
     group.elect("b", 5.7)
 
 
-def test_restarted_followers_leave_a_living_leader_its_lease() -> None:
+def test_restarted_followers_do_not_break_the_lease_of_a_live_leader() -> None:
     group = Group()
     leader = group.elect("a", 2.0)
     group.tick("a", 2.2)
@@ -81,8 +81,8 @@
 
 
 @pytest.mark.parametrize("off", [None, Guard.START_ID_MATCH])
-def test_what_a_voter_said_to_an_earlier_run_counts_for_nothing(off: Guard | None) -> None:
-    """a tells c that it does not lead, is elected, and c restarts before it gets that word."""
+def test_replies_to_an_earlier_run_of_a_replica_do_not_count(off: Guard | None) -> None:
+    """a replies to c that it does not lead, is elected, and c restarts before that reply."""
     group = Group(off=off)
     group.elect("a", 2.0)
     group.deliver(2.1)
@@ -106,8 +106,8 @@
     assert (group.role("c") is Role.LEADER) is (off is not None)
 
 
-def test_an_answer_from_before_an_election_harms_no_lease() -> None:
-    """c has the word of all, a is elected meanwhile: whoever holds a's entry refuses c."""
+def test_a_reply_from_before_an_election_breaks_no_lease() -> None:
+    """c has replies of all, a is elected meanwhile: a replica with a's entry rejects c."""
     group = Group()
     group.elect("a", 2.0)
     group.deliver(2.1)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("off", [None, Guard.LAST_LEADER_ANSWERS])
-def test_a_leader_that_removed_itself_keeps_its_lease(off: Guard | None) -> None:
+def test_a_leader_that_removed_itself_retains_its_lease(off: Guard | None) -> None:
     """a's successors restart before a knows that its removal is committed."""
     group = Group(off=off)
     leader = group.elect("a", 2.0)
--- a/tests/consensus/test_consensus_storage.py
+++ b/tests/consensus/test_consensus_storage.py
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("cut", range(0, 60, 3))
-def test_a_torn_tail_is_cut(cut: int) -> None:
+def test_a_torn_tail_is_truncated(cut: int) -> None:
     files = SimulatedFiles()
     opened(files).persist_entries(None, [entry(1), entry(2)])
     torn = encode_record(EntriesRecord(None, [entry(3)]))
@@ -100,7 +100,7 @@
     file.write(torn[: min(cut, len(torn) - 1)])
     file.sync()
     assert reloaded(files).entries == [entry(1), entry(2)]
-    # The cut left a log that can be continued.
+    # The truncated log can be continued.
     again = FileLogStorage(FOLDER, files)
     files.crash(random.Random(0))
     again.load()
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("share", [0.0, 0.1, 0.3, 0.5, 0.7, 0.9])
-def test_damage_before_the_tail_is_refused(share: float) -> None:
+def test_damage_before_the_tail_is_rejected(share: float) -> None:
     files = SimulatedFiles()
     storage = opened(files)
     for index in range(1, 40):
@@ -186,7 +186,7 @@
     storage.close()
 
 
-def test_an_identity_without_its_log_is_refused() -> None:
+def test_an_identity_without_its_log_is_rejected() -> None:
     files = SimulatedFiles()
     opened(files)
     files.remove(LOG)
@@ -195,7 +195,7 @@
         reloaded(files)
 
 
-def test_a_log_under_another_identity_is_refused() -> None:
+def test_a_log_under_another_identity_is_rejected() -> None:
     files = SimulatedFiles()
     opened(files)
     files.remove("/data/identity")
--- a/tests/consensus/test_consensus_storage_fuzz.py
+++ b/tests/consensus/test_consensus_storage_fuzz.py
@@ -1,4 +1,4 @@
-"""Log files of any content: read back as they were, or refused; never anything in between."""
+"""Log files of any content: read back as they were written, or rejected."""
 
 import random
 from itertools import pairwise
@@ -80,27 +80,27 @@
     return load({**CONTENT, LOG: log})
 
 
-def test_the_files_as_they_were() -> None:
+def test_unchanged_files_are_read_back() -> None:
     assert load(CONTENT) == STATES[-1]
 
 
 @FUZZ
 @given(position=st.integers(0, SIZE * 8 - 1))
-def test_a_flipped_bit_is_found(position: int) -> None:
+def test_a_flipped_bit_is_detected(position: int) -> None:
     log = bytearray(CONTENT[LOG])
     log[position // 8] ^= 1 << (position % 8)
     try:
         state = load_log(bytes(log))
     except DamagedLogError:
         return
-    # Only the last mark, which carries nothing and is written without a sync, may be torn.
+    # Only the last mark, which has no content and is written without a sync, may be torn.
     assert state == STATES[-1]
 
 
 @FUZZ
 @given(size=st.integers(0, SIZE - 1))
-def test_a_rewritten_file_cut_short_holds_nothing_but_its_beginning(size: int) -> None:
-    # Only a hand from outside can cut it inside: it is synced whole before it gets its name.
+def test_a_truncated_rewritten_file_contains_only_its_beginning(size: int) -> None:
+    # A crash cannot truncate it: the file is synced completely before it gets its name.
     try:
         state = load_log(CONTENT[LOG][:size])
     except DamagedLogError:
@@ -114,7 +114,7 @@
 
 @FUZZ
 @given(size=st.integers(0, len(APPENDED[LOG]) - 1))
-def test_an_appended_file_cut_short_is_a_state_that_was_or_is_refused(size: int) -> None:
+def test_a_truncated_appended_file_is_an_earlier_state_or_is_rejected(size: int) -> None:
     try:
         state = load({**APPENDED, LOG: APPENDED[LOG][:size]})
     except DamagedLogError:
@@ -124,7 +124,7 @@
 
 @FUZZ
 @given(start=st.integers(0, SIZE - 1), length=st.integers(1, 40), noise=st.binary(max_size=40))
-def test_replaced_bytes_are_found(start: int, length: int, noise: bytes) -> None:
+def test_replaced_bytes_are_detected(start: int, length: int, noise: bytes) -> None:
     log = CONTENT[LOG]
     changed = log[:start] + noise + log[start + length :]
     try:
@@ -136,14 +136,14 @@
 
 @FUZZ
 @given(log=st.binary(max_size=300))
-def test_random_files_are_refused(log: bytes) -> None:
+def test_random_files_are_rejected(log: bytes) -> None:
     with pytest.raises(StorageError):
         load_log(log)
 
 
 @FUZZ
 @given(st.data())
-def test_whole_records_in_any_order_are_refused_or_make_a_log_without_holes(
+def test_complete_records_in_any_order_are_rejected_or_a_log_without_gaps(
     data: st.DataObject,
 ) -> None:
     ends = [0, *(found.end for found in read_records(CONTENT[LOG]))]
@@ -160,7 +160,7 @@
 
 @FUZZ
 @given(payload=st.binary(max_size=100))
-def test_unknown_records_with_a_good_checksum_are_refused(payload: bytes) -> None:
+def test_unknown_records_with_a_valid_checksum_are_rejected(payload: bytes) -> None:
     class Forged(msgspec.Struct):
         payload: bytes
 
@@ -171,14 +171,14 @@
 
 @FUZZ
 @given(identity=st.binary(max_size=40))
-def test_another_identity_is_refused(identity: bytes) -> None:
+def test_another_identity_is_rejected(identity: bytes) -> None:
     if identity == CONTENT[IDENTITY]:
         return
     with pytest.raises(DamagedLogError):
         load({**CONTENT, IDENTITY: identity})
 
 
-def test_a_missing_file_of_the_two_is_refused() -> None:
+def test_one_missing_file_of_the_two_is_rejected() -> None:
     with pytest.raises(DamagedLogError):
         load({LOG: CONTENT[LOG]})
     with pytest.raises(DamagedLogError):
--- a/tests/consensus/test_consensus_types.py
+++ b/tests/consensus/test_consensus_types.py
@@ -6,7 +6,7 @@
 from orchidpath.consensus.types import RaftSettings
 
 
-def test_settings_refuse_a_lease_that_outlives_the_promise() -> None:
+def test_settings_reject_a_lease_longer_than_the_vote_promise() -> None:
     with pytest.raises(InvalidSettingsError, match="leader_lease_seconds"):
         RaftSettings(leader_lease_seconds=0.58)
 
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -22,7 +22,7 @@
     )
 
 
-def test_a_fault_that_lasts_gives_its_end_in_the_order_of_times() -> None:
+def test_the_end_of_a_fault_is_scheduled_in_order_of_time() -> None:
     script = [
         fault("freeze", "leader", 5.0, for_seconds=20.0),
         fault("kill", "router-a", 6.0, for_seconds=1.0),
@@ -38,7 +38,7 @@
     ]
 
 
-def test_cuts_reach_the_processes_through_the_file(tmp_path: Path) -> None:
+def test_partitions_reach_the_processes_through_the_file(tmp_path: Path) -> None:
     path = tmp_path / "link-faults.json"
     faults = LinkFaults()
     reader = LinkFaultFileReader(path, faults)
@@ -74,7 +74,7 @@
 
 
 class RecordingChild(ChildProcess):
-    """Stands for a process: records what would be done to it."""
+    """Fake process that records the actions on it."""
 
     def __init__(self, name: str) -> None:
         super().__init__(name, (), Path())
@@ -101,7 +101,7 @@
     )
 
 
-async def test_the_end_of_a_fault_meets_the_process_of_its_begin(tmp_path: Path) -> None:
+async def test_the_end_of_a_fault_applies_to_the_process_of_its_start(tmp_path: Path) -> None:
     children = {name: RecordingChild(name) for name in ("control-a", "control-b")}
     leaders = iter(["control-a", "control-b"])
     layout = layout_of(tmp_path, control_plan("a", tmp_path), control_plan("b", tmp_path))
@@ -148,7 +148,7 @@
     assert not child.is_running
 
 
-async def test_a_process_that_ends_by_itself_is_noticed(tmp_path: Path) -> None:
+async def test_a_process_that_exits_by_itself_is_reported(tmp_path: Path) -> None:
     child = ChildProcess("broken", ("no-such-command",), tmp_path / "log")
     await child.start()
     assert await child.wait(BOUND_SECONDS)
--- a/tests/fleet/test_fleet_summary.py
+++ b/tests/fleet/test_fleet_summary.py
@@ -122,7 +122,7 @@
     ]
 
 
-def test_a_promise_of_not_run_is_held_against_the_executions() -> None:
+def test_a_not_executed_guarantee_is_compared_with_the_executions() -> None:
     promise = {"ran": "no", "retry_after_seconds": 1.0}
     results = [
         result(Outcome.REFUSED, request_id="r1", **promise),
@@ -135,13 +135,13 @@
     assert refused_but_ran(records, results, POLICY) == ["r1"]
 
 
-def test_torn_last_line_of_a_killed_process_is_dropped() -> None:
+def test_truncated_last_line_of_a_killed_process_is_dropped() -> None:
     line = msgspec.json.encode(execution("wine-1", "r1"))
     assert decode_lines(line + b"\n" + line[:20], ExecutionRecord) == [execution("wine-1", "r1")]
     assert decode_lines(b"", ExecutionRecord) == []
 
 
-def test_answers_and_honest_refusals_are_as_promised() -> None:
+def test_responses_and_true_rejections_are_no_failure() -> None:
     refused = result(Outcome.REFUSED, code="overloaded", ran="no", retry_after_seconds=1.0)
     outcomes = OutcomeCounts(answered=8, refused=1, abandoned=1)
     assert failures(outcomes, results=[refused]) == ()
@@ -170,7 +170,7 @@
         {"ran": "no", "retry_after_seconds": 1.0, "code": "unknown_route"},
     ],
 )
-def test_a_dishonest_refusal_fails_the_run(fields: dict[str, Any]) -> None:
+def test_a_false_rejection_fails_the_run(fields: dict[str, Any]) -> None:
     outcomes = OutcomeCounts(answered=9, refused=1)
     (failure,) = failures(outcomes, results=[result(Outcome.REFUSED, **fields)])
     assert failure.startswith("1 refusals")
@@ -189,7 +189,7 @@
     assert "r1" in failure or "router-a" in failure
 
 
-def test_of_two_leaders_the_higher_term_leads_and_versions_never_fall() -> None:
+def test_the_leader_of_the_higher_term_counts_and_versions_never_decrease() -> None:
     watch = ControlWatch(OperatorClient([]))
     old = StatusBody(node_id="control-a.1", role=Role.LEADER, term=3, configuration_version=4)
     new = StatusBody(node_id="control-b.2", role=Role.LEADER, term=4, configuration_version=6)
--- a/tests/tools/build_packages.py
+++ b/tests/tools/build_packages.py
@@ -1,4 +1,4 @@
-"""Which Debian packages the build and the run lines of `deploy/` need; read from their text."""
+"""Debian packages that the build and the run lines of `deploy/` need, derived from their text."""
 
 import re
 import shlex
@@ -19,7 +19,7 @@
 """Programs of packages that every Debian system has (`Essential: yes`)."""
 
 PROGRAM_PACKAGES = {"python3": ("python3",)}
-"""Packages that bring a program which is not essential."""
+"""Packages that provide a program which is not essential."""
 
 PYTHON_MODULE_PACKAGES = {
     "pip": ("python3-pip", "ca-certificates"),
@@ -36,15 +36,15 @@
 
 
 class UnknownProgramError(Exception):
-    """A line calls a program that no known package brings."""
+    """A line calls a program that no known package provides."""
 
 
 class UnknownPackageError(Exception):
-    """The deploy file lists a package that nothing here needs or knows."""
+    """The deploy file lists an unknown package."""
 
 
 class DeployFile(NamedTuple):
-    """What `deploy/system.toml` says of programs and packages."""
+    """The programs and packages of `deploy/system.toml`."""
 
     build: str
     run_lines: tuple[str, ...]
@@ -108,7 +108,7 @@
 
 
 def check_packages(deploy: DeployFile, build_script: str) -> set[str]:
-    """Return the packages that are called for and not listed.
+    """Return the packages that are needed and not listed.
 
     Raises
     ------
--- a/tests/tools/test_build_packages.py
+++ b/tests/tools/test_build_packages.py
@@ -19,20 +19,20 @@
 
 
 @pytest.mark.parametrize("package", read_deploy_file().packages)
-def test_a_package_left_out_is_noticed(package: str) -> None:
+def test_an_omitted_package_is_detected(package: str) -> None:
     deploy = read_deploy_file()
     remaining = tuple(one for one in deploy.packages if one != package)
     assert check_packages(deploy._replace(packages=remaining), BUILD_SCRIPT) == {package}
 
 
-def test_a_package_that_nobody_knows_is_refused_with_the_known_ones() -> None:
+def test_an_unknown_package_is_rejected_with_the_known_ones() -> None:
     deploy = read_deploy_file()._replace(packages=("python3", "pyhton3-pip"))
     with pytest.raises(UnknownPackageError, match=r"'pyhton3-pip' is none of .*python3-pip"):
         check_packages(deploy, BUILD_SCRIPT)
 
 
 @pytest.mark.parametrize("line", ["gcc -c x.c", "rm -f x && make deps", "python3 -m build"])
-def test_a_program_that_no_known_package_brings_is_refused_with_its_line(line: str) -> None:
+def test_a_program_of_no_known_package_is_rejected_with_its_line(line: str) -> None:
     script = BUILD_SCRIPT + line + "\n"
     with pytest.raises(UnknownProgramError, match=line.rsplit("&& ", maxsplit=1)[-1]):
         check_packages(read_deploy_file(), script)
--- a/tests/tools/test_hollow.py
+++ b/tests/tools/test_hollow.py
@@ -93,7 +93,7 @@
     assert listener.adopted_at(5) is None
 
 
-def test_hollow_workers_keep_the_share_that_reads_prompts() -> None:
+def test_hollow_workers_have_the_configured_prefill_share() -> None:
     size = HollowSize(routers=1, workers=1000)
     records = [worker_record(number, size) for number in range(size.workers)]
     assert sum(record.stage is Stage.PREFILL for record in records) == 290
--- a/tests/tools/test_measuring.py
+++ b/tests/tools/test_measuring.py
@@ -1,4 +1,4 @@
-"""Line fits, quantiles and the reading of processor time."""
+"""Line fits, quantiles and processor time."""
 
 import pytest
 
@@ -47,7 +47,7 @@
     assert (summary.count, summary.p50, summary.p99, summary.maximum) == (3, 2.0, 3.0, 3.0)
 
 
-def test_summary_of_nothing_is_refused() -> None:
+def test_summary_of_an_empty_list_is_rejected() -> None:
     with pytest.raises(ValueError, match="nothing was measured"):
         summarize([])
 
--- a/tests/tools/test_replay.py
+++ b/tests/tools/test_replay.py
@@ -1,4 +1,4 @@
-"""Logs made by the leader's own table, with a second router whose attempts are not logged."""
+"""Replay of logs written with the leader's table; a second router's attempts are not logged."""
 
 import random
 
@@ -34,7 +34,7 @@
 
 
 class LoggedLeader:
-    """A leader whose transitions are agreed at once, and the log of one of its routers."""
+    """A leader whose transitions are committed at once, and the log of one of its routers."""
 
     def __init__(self, policy: CircuitPolicy = POLICY, seed: int = 0) -> None:
         self.table = CircuitTable(policy, random.Random(seed), load_bound_factor=LOAD_BOUND)
@@ -211,7 +211,7 @@
 def test_more_allowed_failures_keep_it_closed() -> None:
     leader = LoggedLeader()
     fail_then_succeed(leader, failures=3)
-    leader.attempt(AttemptEffect.SUCCESS, 4.0, order=("s1",))  # denied by the leader
+    leader.attempt(AttemptEffect.SUCCESS, 4.0, order=("s1",))  # rejected by the leader
     result = leader.replay(CircuitPolicy(allowed_fails=9))
     assert kinds(result).count(DifferenceKind.OTHER_WORKER) == 5
     assert DifferenceKind.ALLOWED in kinds(result)
@@ -228,7 +228,7 @@
     assert leader.replay(CircuitPolicy(cooldown_seconds=8.0)).differences == []
 
 
-def test_failures_seen_by_another_router_are_taken_over() -> None:
+def test_failures_seen_by_another_router_are_adopted() -> None:
     leader = LoggedLeader()
     for number in range(3):
         leader.attempt(AttemptEffect.TRANSIENT, float(number), order=("s1",), log=False)
@@ -282,7 +282,7 @@
     assert (result.decisions, result.decided_by_router, result.compared) == (1, 1, 0)
 
 
-def test_another_process_starts_afresh() -> None:
+def test_another_incarnation_starts_with_a_closed_circuit() -> None:
     leader = LoggedLeader()
     fail_then_succeed(leader, failures=3)
     leader.lines.append(policy_line(POLICY, incarnation="2"))
@@ -293,7 +293,7 @@
 
 
 @pytest.mark.parametrize("position", range(4))
-def test_damaged_lines_are_named_and_the_rest_is_replayed(position: int) -> None:
+def test_damaged_lines_are_reported_and_the_others_are_replayed(position: int) -> None:
     leader = LoggedLeader()
     leader.attempt(AttemptEffect.SUCCESS, 1.0)
     lines = [encode_line(line) for line in leader.lines]
--- a/tests/tools/test_write_shapes.py
+++ b/tests/tools/test_write_shapes.py
@@ -1,4 +1,4 @@
-"""Site files derived from a given one, for deployments that nobody has sent."""
+"""Site files derived from a given one, for deployments without a file of their own."""
 
 import importlib.util
 import tomllib
@@ -31,7 +31,7 @@
     return tomllib.loads(SHAPES.derived_text(SITE, "odd", factors))
 
 
-def test_named_numbers_are_multiplied_wherever_they_stand() -> None:
+def test_named_numbers_are_multiplied_wherever_they_occur() -> None:
     site = derived(per_s=2.0, kv_tokens=0.2, slots=0.001)
     assert site["name"] == "a-site-odd"
     assert site["traffic"] == [{"per_s": 17.54}, {"per_s": 17.68}]
@@ -39,7 +39,7 @@
     assert site["servers"] == [{"slots": 1, "llm": llm}]
 
 
-def test_a_number_that_the_site_does_not_have_is_refused_with_the_known_ones() -> None:
+def test_a_number_absent_from_the_site_is_rejected_with_the_known_ones() -> None:
     with pytest.raises(SHAPES.UnknownNumberError, match=r"odd: 'slotz' is none of .*slots"):
         derived(slotz=2.0)
 
--- a/tests/wire/test_announcements.py
+++ b/tests/wire/test_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements are read the same by every process that takes them."""
+"""Decoding of announcements, common to every process that receives them."""
 
 import msgspec
 import pytest
@@ -20,7 +20,7 @@
     return msgspec.json.encode(Announcement(record=record, sequence=1))
 
 
-def test_a_good_announcement_is_read_back() -> None:
+def test_a_valid_announcement_is_decoded_as_it_was_encoded() -> None:
     assert decode_announcement(msgspec.json.encode(GOOD)) == GOOD
 
 
@@ -39,12 +39,12 @@
         msgspec.json.encode(Announcement(record=RECORD, sequence=-5)),
     ],
 )
-def test_others_are_refused(raw: bytes) -> None:
+def test_invalid_announcements_are_rejected(raw: bytes) -> None:
     with pytest.raises(InvalidAnnouncementError):
         decode_announcement(raw)
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_end_in_another_error(raw: bytes) -> None:
+def test_arbitrary_bytes_raise_only_the_typed_error(raw: bytes) -> None:
     with pytest.raises(InvalidAnnouncementError):
         decode_announcement(raw)
--- a/tests/wire/test_configuration_delta.py
+++ b/tests/wire/test_configuration_delta.py
@@ -1,4 +1,4 @@
-"""Deltas of configurations do what they say, alone and merged; large values are compressed."""
+"""Deltas of configurations, alone and merged; compression of large values."""
 
 import itertools
 from random import Random
@@ -68,13 +68,13 @@
     assert delta.removed_routes == ("r0",)
 
 
-def test_values_come_back_as_they_were() -> None:
+def test_values_are_decoded_as_they_were_encoded() -> None:
     for size in (0, 1, 100, 5_000, 300_000):
         value = b"\x85" + b"abc" * size
         assert decompressed(compressed(value), 10_000_000) == value
 
 
-def test_damaged_and_oversized_values_are_refused() -> None:
+def test_damaged_and_oversized_values_are_rejected() -> None:
     packed = compressed(b"\x85" + b"a" * 100_000)
     with pytest.raises(CompressionError):
         decompressed(packed, 1000)
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -71,7 +71,7 @@
     await listener.close()
 
 
-async def test_other_fleet_is_refused_with_typed_error() -> None:
+async def test_other_fleet_is_rejected_with_typed_error() -> None:
     connected: list[Connection] = []
     listener = Listener(LOOPBACK, hello("a", fleet="other"), connected.append)
     await listener.start()
@@ -104,7 +104,7 @@
     await listener.close()
 
 
-async def test_connect_to_nobody_and_to_a_name() -> None:
+async def test_connect_to_a_closed_port_and_to_a_host_name() -> None:
     listener = Listener(LOOPBACK, hello("a"))
     await listener.start()
     free_address = listener.address
@@ -114,7 +114,7 @@
             await connect(address, hello("b"), Inbox(), BOUND_SECONDS)
 
 
-async def test_silent_peer_fails_within_the_timeout() -> None:
+async def test_unresponsive_peer_fails_within_the_timeout() -> None:
     release = asyncio.Event()
 
     async def say_nothing(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -250,7 +250,7 @@
     connection.connection_lost(None)
 
 
-async def test_no_message_is_handed_over_after_close() -> None:
+async def test_no_message_is_delivered_after_close() -> None:
     received: list[Message] = []
 
     def close_on_first(connection: Connection, message: Message) -> None:
--- a/tests/wire/test_framing.py
+++ b/tests/wire/test_framing.py
@@ -68,7 +68,7 @@
         received = FrameDecoder().feed(bytes(encoded))
     except FrameError:
         return
-    assert received == []  # the length grew: the frame is not whole yet
+    assert received == []  # the length grew: the frame is still incomplete
 
 
 @given(st.binary(max_size=2000))
@@ -96,7 +96,7 @@
         max_leaves=8,
     )
 )
-def test_msgpack_of_no_message_is_unknown(value: object) -> None:
+def test_msgpack_of_another_type_is_an_unknown_message(value: object) -> None:
     with pytest.raises(UnknownMessageError):
         FrameDecoder().feed(frame(msgspec.msgpack.encode(value)))
 
@@ -106,7 +106,7 @@
         FrameDecoder().feed(frame(b"\x81\xa1x" + b"\x91" * 100_000 + b"\x00"))
 
 
-def test_too_large_is_refused_on_both_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_too_large_frames_are_rejected_on_both_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(framing, "MAX_FRAME_BYTES", 100)
     with pytest.raises(FrameTooLargeError):
         encode_frame(ConsensusMessage(payload=bytes(101)))
@@ -128,7 +128,7 @@
         FrameDecoder().feed(frame(msgspec.msgpack.encode({"type": "message_of_tomorrow"})))
 
 
-def test_a_large_message_sent_again_gives_the_same_frame_and_another_one_its_own() -> None:
+def test_a_large_message_is_encoded_once_and_another_one_separately() -> None:
     """One view goes to hundreds of routers; an equal message that is another object is encoded."""
     first, second = (ConsensusMessage(payload=Random(one).randbytes(5000)) for one in (1, 2))
     assert encode_frame(first) is encode_frame(first)
--- a/tests/wire/test_link_fault_file_fuzz.py
+++ b/tests/wire/test_link_fault_file_fuzz.py
@@ -1,4 +1,4 @@
-"""Fault files of any content: taken as they are, or refused while the faults in force stay."""
+"""Fault files of any content: applied, or rejected while the present faults remain."""
 
 import json
 from pathlib import Path
@@ -42,7 +42,7 @@
 
 
 def read(tmp_path: Path, content: bytes) -> tuple[bool, LinkFaults]:
-    """Read a file over a cut link; return whether it was taken."""
+    """Read a file while a link is partitioned; return whether it was accepted."""
     path = tmp_path / "faults.json"
     path.write_bytes(content)
     faults = LinkFaults()
@@ -58,17 +58,17 @@
 @FUZZ
 @given(content=st.binary(min_size=1, max_size=200))
 def test_random_bytes_are_rejected(tmp_path: Path, content: bytes) -> None:
-    taken, _ = read(tmp_path, content)
-    assert not taken
+    accepted, _ = read(tmp_path, content)
+    assert not accepted
 
 
 @FUZZ
 @given(links=st.lists(LINKS, max_size=3), seed=st.integers(-5, 5))
-def test_any_links_are_refused_or_make_sense(
+def test_any_links_are_rejected_or_valid(
     tmp_path: Path, links: list[dict[str, object]], seed: int
 ) -> None:
-    taken, faults = read(tmp_path, json.dumps({"seed": seed, "links": links}).encode())
-    if not taken:
+    accepted, faults = read(tmp_path, json.dumps({"seed": seed, "links": links}).encode())
+    if not accepted:
         return
     assert all("colour" not in link for link in links)
     verdict = faults.on_send("a", "b")
@@ -79,18 +79,18 @@
 @pytest.mark.parametrize(
     "field", ['"loss": 1.5', '"loss": -0.1', '"delay_seconds": -1', '"loss": NaN']
 )
-def test_out_of_range_is_refused(tmp_path: Path, field: str) -> None:
+def test_values_out_of_range_are_rejected(tmp_path: Path, field: str) -> None:
     content = f'{{"links": [{{"source": "a", "destination": "b", {field}}}]}}'
-    taken, _ = read(tmp_path, content.encode())
-    assert not taken
+    accepted, _ = read(tmp_path, content.encode())
+    assert not accepted
 
 
-def test_deep_nesting_is_refused(tmp_path: Path) -> None:
-    taken, _ = read(tmp_path, b'{"links":' + b"[" * 100_000)
-    assert not taken
+def test_deep_nesting_is_rejected(tmp_path: Path) -> None:
+    accepted, _ = read(tmp_path, b'{"links":' + b"[" * 100_000)
+    assert not accepted
 
 
-def test_a_folder_in_its_place_is_refused_and_a_missing_file_heals(tmp_path: Path) -> None:
+def test_a_folder_is_rejected_and_a_missing_file_ends_the_faults(tmp_path: Path) -> None:
     faults = LinkFaults()
     faults.set_faults(PARTITION)
     with pytest.raises(LinkFaultFileError):
--- a/tests/wire/test_link_faults.py
+++ b/tests/wire/test_link_faults.py
@@ -30,7 +30,7 @@
     assert not both.is_partitioned("b", "c")
 
 
-def test_a_process_name_also_means_its_replica_identity() -> None:
+def test_a_process_name_also_matches_its_replica_identity() -> None:
     faults = with_faults(LinkFault(source="control-1", destination="*", partitioned=True))
     assert faults.is_partitioned("control-1.3f2a", "router-1")
     assert not faults.is_partitioned("control-10", "router-1")
@@ -48,7 +48,7 @@
     assert with_faults(slow, slow).on_send("a", "b").delay_seconds == 0.5
 
 
-def test_file_is_read_on_change_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
+def test_the_file_is_read_on_change_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "faults.json"
     faults = LinkFaults()
     reader = LinkFaultFileReader(path, faults)
