--- a/tests/circuit/test_circuit_fallback.py
+++ b/tests/circuit/test_circuit_fallback.py
@@ -97,7 +97,7 @@
         assert choose(fallback, "next", "ab", wait) == "b"
         # Not even after its expiry, because it may still be running.
         expired = wait + POLICY.half_open_probe_seconds
-        assert choose(fallback, "lapsed", "ab", expired) == "b"
+        assert choose(fallback, "expired", "ab", expired) == "b"
         fallback.observe([report("probe", "a", AttemptEffect.SUCCESS)], expired)
         assert choose(fallback, "closed", "ab", expired) == "a"
     assert len(set(ready)) == 5
--- a/tests/circuit/test_circuit_throttle.py
+++ b/tests/circuit/test_circuit_throttle.py
@@ -79,9 +79,9 @@
     warm(detector, "ab", 0.0)
     for number, name in enumerate("aba"):
         assert detector.observe_delay(name, f"s-{number}", 2.0, 20.0) is None
-    refused = detector_of("a", "b")
-    warm(refused, "ab", 0.0)
-    assert len(reject(refused, "aba", 20.0)) == 1
+    rejecting = detector_of("a", "b")
+    warm(rejecting, "ab", 0.0)
+    assert len(reject(rejecting, "aba", 20.0)) == 1
 
 
 def test_old_evidence_expires() -> None:
@@ -98,7 +98,7 @@
     # Afterwards a further throttle needs complete evidence again.
     end = first.retry_after_seconds
     assert reject(detector, "ab", end, "single") == []
-    second = reject(detector, "aba", end, "anew")[0]
+    second = reject(detector, "aba", end, "again")[0]
     assert second.retry_after_seconds > 1.5 * first.retry_after_seconds
     # A quiet period resets the growth.
     calm = reject(detector, "aba", end + 100.0, "calm")[0]
--- a/tests/consensus/test_consensus_raft_core.py
+++ b/tests/consensus/test_consensus_raft_core.py
@@ -22,9 +22,9 @@
     assert leader.commit_index == 5
     assert group.applied["a"] == group.applied["b"] == group.applied["c"]
     assert [leader.match_index(n) for n in "abc"] == [5, 5, 5]
-    with pytest.raises(NotLeaderError) as refused:
+    with pytest.raises(NotLeaderError) as raised:
         group.cores["b"].propose([b"x"], 2.2)
-    assert refused.value.leader_id == "a"
+    assert raised.value.leader_id == "a"
 
 
 def test_one_voter_leads_alone_and_persists_before_it_applies() -> None:
--- a/tests/consensus/test_consensus_storage_fuzz.py
+++ b/tests/consensus/test_consensus_storage_fuzz.py
@@ -105,10 +105,10 @@
         state = load_log(CONTENT[LOG][:size])
     except DamagedLogError:
         return
-    whole = STATES[-1]
-    assert state.snapshot in (None, whole.snapshot)
-    assert state.hard_state in (HardState(), whole.hard_state)
-    assert state.entries == whole.entries[: len(state.entries)]
+    complete = STATES[-1]
+    assert state.snapshot in (None, complete.snapshot)
+    assert state.hard_state in (HardState(), complete.hard_state)
+    assert state.entries == complete.entries[: len(state.entries)]
     assert state.snapshot is not None or not state.entries
 
 
--- a/tests/emulators/test_attempt_registry.py
+++ b/tests/emulators/test_attempt_registry.py
@@ -27,23 +27,23 @@
 ) -> None:
     registry = AttemptRegistry()
     starts: dict[tuple[str, Phase], int] = {}
-    promised: set[tuple[str, Phase]] = set()
+    guaranteed: set[tuple[str, Phase]] = set()
     for now, (event, attempt_id, phase) in enumerate(events):
         key = (attempt_id, phase)
         if event == "admit":
             registry.admit("r", attempt_id, phase, now)
         elif event == "start":
             if registry.start(attempt_id, phase, now):
-                assert key not in promised
+                assert key not in guaranteed
                 starts[key] = starts.get(key, 0) + 1
         elif event == "finish":
             registry.finish(attempt_id, phase, now)
         elif event == "refuse" and registry.refuse(attempt_id, phase, now) is Ran.NO:
             assert key not in starts
-            promised.add(key)
+            guaranteed.add(key)
         elif event == "cancel" and registry.cancel(attempt_id, now) is Ran.NO:
             assert not any(started == attempt_id for started, _ in starts)
-            promised |= {(attempt_id, each) for each in Phase}
+            guaranteed |= {(attempt_id, each) for each in Phase}
     assert all(count == 1 for count in starts.values())
 
 
--- a/tests/emulators/test_caller.py
+++ b/tests/emulators/test_caller.py
@@ -50,7 +50,7 @@
     def __init__(self, chat: Chat, ready: bool = True) -> None:
         self.chat = chat
         self.ready = ready
-        self.refusals: list[web.Response] = []
+        self.rejections: list[web.Response] = []
         self.request_ids: list[str] = []
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
@@ -58,8 +58,8 @@
             return web.Response(status=200 if self.ready else 503)
         request_id = request.headers["x-request-id"]
         self.request_ids.append(request_id)
-        if self.refusals:
-            return self.refusals.pop()
+        if self.rejections:
+            return self.rejections.pop()
         if request.method == "GET":
             return web.Response(body=expected_call_body(request_id, "GET", request.path))
         chat = msgspec.json.decode(await request.read(), type=ChatCompletionRequest)
@@ -121,7 +121,7 @@
     )
 
 
-def refusal(ran: str, retry_after: str) -> web.Response:
+def rejection(ran: str, retry_after: str) -> web.Response:
     body = {"error": {"code": "overloaded", "message": "", "ran": ran}}
     headers = {"retry-after": retry_after}
     return web.Response(status=503, body=msgspec.json.encode(body), headers=headers)
@@ -181,7 +181,7 @@
 
 async def test_a_rejected_caller_retries_under_the_same_request_id() -> None:
     router = FakeRouter(complete_response)
-    router.refusals = [refusal("no", "0")]
+    router.rejections = [rejection("no", "0")]
     async with router.running() as url:
         # A caller retries only while the load runs, which is far longer than these retries take.
         summary = await call_routers([url], for_seconds=8.0)
@@ -192,7 +192,7 @@
 
 async def test_a_call_that_may_have_executed_is_not_retried() -> None:
     router = FakeRouter(complete_response)
-    router.refusals = [refusal("unknown", "0")]
+    router.rejections = [rejection("unknown", "0")]
     async with router.running() as url:
         summary = await call_routers([url])
     assert (summary.outcomes.refused, summary.returns) == (1, 0)
--- a/tests/fleet/test_fleet_summary.py
+++ b/tests/fleet/test_fleet_summary.py
@@ -85,7 +85,7 @@
         plain_call=NONE,
         examples=(),
     )
-    whole = RunEvidence(
+    evidence = RunEvidence(
         fleet="small",
         callers=callers,
         results=[],
@@ -97,7 +97,7 @@
         unexpected_exits=[],
         log_folder="logs",
     )
-    return msgspec.structs.replace(whole, **fields)
+    return msgspec.structs.replace(evidence, **fields)
 
 
 def failures(outcomes: OutcomeCounts, **fields: Any) -> tuple[str, ...]:
@@ -123,10 +123,10 @@
 
 
 def test_a_not_executed_guarantee_is_compared_with_the_executions() -> None:
-    promise = {"ran": "no", "retry_after_seconds": 1.0}
+    guarantee = {"ran": "no", "retry_after_seconds": 1.0}
     results = [
-        result(Outcome.REFUSED, request_id="r1", **promise),
-        result(Outcome.REFUSED, request_id="r2", **promise),
+        result(Outcome.REFUSED, request_id="r1", **guarantee),
+        result(Outcome.REFUSED, request_id="r2", **guarantee),
         result(Outcome.REFUSED, request_id="r3", ran="unknown"),
         result(Outcome.ANSWERED, request_id="r4"),
     ]
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -299,28 +299,26 @@
     check_ended_cleanly(world)
 
 
-@pytest.mark.parametrize("phase", [StepPhase.CORDONING, StepPhase.DRAINING])
-def test_cancel_returns_a_worker_whose_stage_was_not_changed(phase: StepPhase) -> None:
+def run_and_cancel_in(phase: StepPhase) -> PlanWorld:
+    """Cancel a plan when its first step is in a phase, and run the plan to its end."""
     world = build_world()
     world.start_plan()
     run_to(world, phase)
     world.apply(CancelPlan(order_id="cancel", plan_id=world.plan.plan.plan_id))
     world.run()
     assert world.status() is PlanStatus.CANCELLED
-    assert not world.switched
     check_ended_cleanly(world)
+    return world
+
+
+@pytest.mark.parametrize("phase", [StepPhase.CORDONING, StepPhase.DRAINING])
+def test_cancel_returns_a_worker_whose_stage_was_not_changed(phase: StepPhase) -> None:
+    assert not run_and_cancel_in(phase).switched
 
 
 @pytest.mark.parametrize("phase", [StepPhase.SWITCHING, StepPhase.RESUMING])
 def test_cancel_completes_a_stage_change_in_progress(phase: StepPhase) -> None:
-    world = build_world()
-    world.start_plan()
-    run_to(world, phase)
-    world.apply(CancelPlan(order_id="cancel", plan_id=world.plan.plan.plan_id))
-    world.run()
-    assert world.status() is PlanStatus.CANCELLED
-    assert len(world.switched) == 1
-    check_ended_cleanly(world)
+    assert len(run_and_cancel_in(phase).switched) == 1
 
 
 def test_halt_leaves_no_worker_cordoned_and_resume_continues() -> None:
--- a/tests/routing/test_request_machine.py
+++ b/tests/routing/test_request_machine.py
@@ -409,23 +409,23 @@
     def test_router_with_an_expired_lease_dispatches_nothing(self) -> None:
         # A router that is not fresh answers at once.
         driver = calling()
-        refused = events.SendRefused(
+        rejected = events.SendRefused(
             attempt_id=driver.attempt_id,
             refusal=events.SendRefusal.NOT_FRESH,
             retry_after_seconds=1.5,
         )
-        driver.feed(refused)
+        driver.feed(rejected)
         assert (driver.rejected().code, driver.rejected().ran) == (ErrorCode.NOT_FRESH, Ran.NO)
         assert driver.reports("s1") == [AttemptEffect.GATEWAY]
 
     def test_unavailable_worker_is_neutral_and_another_decision_is_requested(self) -> None:
         driver = calling()
-        refused = events.SendRefused(
+        rejected = events.SendRefused(
             attempt_id=driver.attempt_id,
             refusal=events.SendRefusal.WORKER_UNAVAILABLE,
             retry_after_seconds=1.0,
         )
-        driver.feed(refused)
+        driver.feed(rejected)
         assert isinstance(driver.last[-1], events.RequestDecision)
         assert driver.reports("s1") == [AttemptEffect.GATEWAY]
 
