--- a/tests/placement/test_stage_allocation.py
+++ b/tests/placement/test_stage_allocation.py
@@ -1,5 +1,6 @@
 """The automatic split into prefill and decode workers, and which workers are moved."""
 
+import msgspec
 import pytest
 
 from orchidpath.placement.stage_allocation import desired_decode_workers, next_moves
@@ -94,3 +95,12 @@
         for worker in workers(4, 5)
     ]
     assert all(move.stage is Stage.DECODE for move in next_moves(service(), drained, {}, {}))
+
+
+def test_a_cordoned_worker_is_not_moved() -> None:
+    cordoned = [
+        msgspec.structs.replace(worker, cordoned=worker.stage is Stage.DECODE)
+        for worker in workers(4, 5)
+    ]
+    assert next_moves(service(), cordoned, {}, {}) == []
+    assert next_moves(service(), workers(4, 5), {}, {}) != []
