--- a/src/orchidpath/circuit/__init__.py
+++ b/src/orchidpath/circuit/__init__.py
@@ -1,1 +1,1 @@
-"""Per-worker state: failure classes, breaker, probe, health window and capacity circuit."""
+"""Circuit state of each worker: failure classes, breaker, probes, health and capacity circuits."""
--- a/src/orchidpath/circuit/breaker.py
+++ b/src/orchidpath/circuit/breaker.py
@@ -1,11 +1,13 @@
-"""The circuit breaker's transitions: one table, and a pure function that proposes from it.
+"""State machine of the circuit breaker: a table of transitions and a pure function that reads it.
 
-Sources: paper, "Circuit breakers and bounded retries"; design page. An event that the table has
-no row for proposes nothing: that is how a late failure on an open circuit never extends it.
+An event without a row for the current status causes no transition. A late failure therefore never
+extends the opening of a circuit that is already open.
 
-``allowed_fails`` is the number of transient failures that opens a circuit: with the default of 3
-the third one does. Every transition makes a new generation, which is the fencing token of the
-probe that it grants.
+``allowed_fails`` is the number of transient failures that opens a circuit: with the default of 3,
+the third failure opens it. Every transition creates a new generation, which is the fencing token
+of the probe that the transition grants.
+
+Sources: paper, "Circuit breakers and bounded retries"; design page.
 """
 
 import random
@@ -18,14 +20,17 @@
 from orchidpath.wire.records import CircuitRecord, CircuitStatus
 
 COOLDOWN_GROWTH = 2.0
-"""Each reopening multiplies the cooldown by this."""
+"""Factor by which each reopening multiplies the cooldown."""
 
 COOLDOWN_JITTER = 0.2
-"""A growing cooldown is spread by this share to both sides; small enough that it still grows."""
+"""Largest relative deviation of a growing cooldown from its nominal value, in both directions.
+
+It is small enough that each cooldown is still longer than the one before.
+"""
 
 
 class BreakerEvent(StrEnum):
-    """What happened to a circuit."""
+    """Event that may cause a transition of a circuit."""
 
     FAILURES_REACHED = "failures_reached"
     MISCONFIGURED = "misconfigured"
@@ -34,11 +39,11 @@
     PROBE_FAILED = "probe_failed"
     PROBE_MISCONFIGURED = "probe_misconfigured"
     PROBE_RETURNED = "probe_returned"
-    """The probe said nothing about the worker; the next request may probe."""
+    """The probe gave no evidence about the worker; the next request may probe it."""
 
 
 class Duration(Enum):
-    """How long the status after a transition lasts."""
+    """Rule that determines how long the status after a transition lasts."""
 
     NONE = "none"
     FIRST_COOLDOWN = "first_cooldown"
@@ -48,7 +53,7 @@
 
 
 class Reopenings(Enum):
-    """What a transition does to the count of reopenings."""
+    """Effect of a transition on the number of reopenings."""
 
     RESET = "reset"
     KEEP = "keep"
@@ -56,7 +61,7 @@
 
 
 class TransitionRule(msgspec.Struct, frozen=True):
-    """One row: in this status, this event leads to that one."""
+    """Row of the transition table: the status that follows when an event occurs in a status."""
 
     before: CircuitStatus
     event: BreakerEvent
@@ -93,7 +98,7 @@
                    Duration.NONE, Reopenings.KEEP),
 )
 # fmt: on
-"""Every transition there is. A quarantined worker is released by a probe like any other."""
+"""All transitions. A quarantined worker is released by a successful probe, as after a cooldown."""
 
 _RULES = {(rule.before, rule.event): rule for rule in TRANSITION_RULES}
 
@@ -106,25 +111,26 @@
     generator: random.Random,
     attempt_id: str = "",
 ) -> CircuitTransition | None:
-    """Propose the transition that an event causes.
+    """Return the transition that an event causes, to be committed through the log.
 
     Parameters
     ----------
     record
-        The circuit as agreed.
+        The agreed record of the circuit.
     event
-        What happened.
+        The event.
     policy
-        Durations.
+        Durations of cooldowns, quarantines and probes.
     generator
-        Source of the jitter, which the proposal carries so that every replica applies the same.
+        Random source of the jitter. The proposal contains the jittered duration, so that every
+        replica applies the same value.
     attempt_id
-        The attempt that is granted the probe.
+        The attempt that receives the probe when the event grants one.
 
     Returns
     -------
     CircuitTransition | None
-        The proposal; None when the event changes nothing in this status.
+        The proposal; None when the event causes no transition in the current status.
     """
     rule = _RULES.get((record.status, event))
     if rule is None:
@@ -144,23 +150,24 @@
 def growing_cooldown_seconds(
     reopenings: int, policy: CircuitPolicy, generator: random.Random
 ) -> float:
-    """Return a cooldown that grows exponentially with every reopening, with jitter and a cap.
+    """Return a cooldown that grows exponentially with the reopenings, with jitter and a cap.
 
     Parameters
     ----------
     reopenings
-        How many probes have failed since the circuit opened.
+        Number of probes that have failed since the circuit opened.
     policy
-        First and largest cooldown.
+        The first and the longest cooldown.
     generator
-        Source of the jitter.
+        Random source of the jitter.
 
     Returns
     -------
     float
         Seconds, at most ``max_cooldown_seconds``.
     """
-    # The exponent is bounded because a float overflows long after the cap has been reached.
+    # The exponent is limited to 64, because a larger one would eventually overflow a float. The
+    # cap is reached long before.
     grown = policy.cooldown_seconds * COOLDOWN_GROWTH ** min(reopenings, 64)
     spread = generator.uniform(1.0 - COOLDOWN_JITTER, 1.0 + COOLDOWN_JITTER)
     return min(policy.max_cooldown_seconds, grown * spread)
--- a/src/orchidpath/circuit/circuit_table.py
+++ b/src/orchidpath/circuit/circuit_table.py
@@ -1,10 +1,11 @@
-"""The control leader's circuits, which every decision reads as they are now.
+"""Circuit table of the control leader; every decision reads its current state.
 
-Hot counters (attempts in flight, health, transient failures) are soft state of the leader and are
-rebuilt from the routers' counters after a fail-over. Rare transitions are only proposed here; the
-caller commits them through the replicated log and applies the agreed record with
-:meth:`CircuitTable.apply_circuit` and :meth:`CircuitTable.apply_capacity`, in log order. That
-keeps transitions atomic and gives a probe one owner, also across a fail-over.
+Frequently updated counters (attempts in flight, health, transient failures) are soft state of the
+leader and are rebuilt from the routers' counters after a fail-over. Circuit transitions are rare.
+This module only proposes them: the caller commits a transition through the replicated log and
+applies the agreed record with :meth:`CircuitTable.apply_circuit` or
+:meth:`CircuitTable.apply_capacity`, in log order. Transitions are therefore atomic, and a probe
+has exactly one owner, also across a fail-over.
 
 Sources: paper, "How each metric is measured" and "Circuit breakers and bounded retries"; design
 page.
@@ -38,18 +39,19 @@
 
 
 class CircuitTable(DecidingCircuits):
-    """Authoritative circuits of one leadership; a new term needs a new table.
+    """Authoritative circuits of the leader for one term; each new term creates a new table.
 
     Parameters
     ----------
     policy
         Thresholds and durations of the circuits.
     generator
-        Source of the jitter that proposals carry.
+        Random source of the jitter that proposals contain.
     term
-        The leader's term, put into every reply.
+        The leader's term, which every reply contains.
     load_bound_factor
-        Factor of the load bound; see :mod:`orchidpath.circuit.selection`.
+        Multiple of the average number of attempts in flight that a worker may have; see
+        :mod:`orchidpath.circuit.selection`.
     """
 
     def __init__(
@@ -65,11 +67,10 @@
         self._rebuilt_from: set[str] = set()
 
     def decide(self, request: DecisionRequest, now: float) -> Decided | NeedsTransition:
-        """Decide one attempt from the circuits as they are now.
+        """Select the workers of one attempt from the current circuits.
 
-        The attempt is registered in flight when every stage has a choice.
-
-        A duplicate of a request whose attempt is in flight gets the same choices.
+        The attempt is registered as in flight when a worker could be chosen for every stage. A
+        duplicate of a request whose attempt is in flight receives the same choices.
 
         Parameters
         ----------
@@ -81,10 +82,10 @@
         Returns
         -------
         Decided | NeedsTransition
-            The reply, or the transition to commit before asking again.
+            The reply, or the transition that the caller must commit before it calls again.
         """
         self._counters.attempt_table.advance(now)
-        repeated = self._counters.repeated(request, self._term)
+        repeated = self._counters.repeated_reply(request, self._term)
         if repeated is not None:
             return Decided(repeated)
         per_stage = [
@@ -98,16 +99,18 @@
         return Decided(self._register(request, self._term, per_stage, selection, now))
 
     def in_flight(self, worker_id: str) -> int:
-        """Return the attempts in flight on a worker."""
+        """Return the number of attempts in flight on a worker."""
         return self._counters.attempt_table.in_flight.count(worker_id)
 
     def report(self, reports: Sequence[AttemptReport], now: float) -> list[CircuitTransition]:
-        """Count how attempts ended; a repeated report changes nothing.
+        """Record how attempts ended and propose the transitions that follow.
+
+        A repeated report changes nothing.
 
         Parameters
         ----------
         reports
-            One for each attempt and worker.
+            One report for each attempt and worker.
         now
             Monotonic time in seconds.
 
@@ -128,70 +131,78 @@
         return transitions
 
     def apply_circuit(self, record: CircuitRecord, now: float) -> None:
-        """Apply an agreed circuit. Records come in log order; a repeated one changes nothing.
+        """Apply a circuit record that the log has committed.
+
+        Records must be applied in log order. A repeated record changes nothing.
 
         Parameters
         ----------
         record
-            What :func:`~orchidpath.circuit.transitions.apply_circuit_transition` returned.
+            The result of :func:`~orchidpath.circuit.transitions.apply_circuit_transition`.
         now
             Monotonic time in seconds.
         """
         self._counters.registry.apply_circuit(record, now)
 
     def apply_capacity(self, record: CapacityRecord, now: float) -> None:
-        """Apply an agreed capacity circuit. Records come in log order; a repeat changes nothing.
+        """Apply a capacity circuit record that the log has committed.
+
+        Records must be applied in log order. A repeated record changes nothing.
 
         Parameters
         ----------
         record
-            What :func:`~orchidpath.circuit.transitions.apply_capacity_transition` returned.
+            The result of :func:`~orchidpath.circuit.transitions.apply_capacity_transition`.
         now
             Monotonic time in seconds.
         """
         self._counters.capacities.accept(record, now)
 
     def observe_capacity(self, observed: CapacityObserved, now: float) -> CapacityTransition | None:
-        """Propose to open the capacity circuit of a domain that a router derived a throttle for.
+        """Propose to open the capacity circuit of a failure domain that a router found throttled.
 
         Parameters
         ----------
         observed
-            The domain and the time after which it may be tried.
+            The failure domain and the time in seconds after which it may be tried again.
         now
             Monotonic time in seconds.
 
         Returns
         -------
         CapacityTransition | None
-            The transition to commit; None while the domain's circuit is open.
+            The transition to commit; None while the domain's capacity circuit is already open or
+            when the observed time is not finite and positive.
         """
         return self._counters.capacities.propose(
             observed, self._counters.policy.max_cooldown_seconds, now
         )
 
-    def forget_circuit(self, worker_id: str) -> None:
-        """Drop the agreed circuit of a worker, as the log does.
+    def remove_circuit(self, worker_id: str) -> None:
+        """Remove the agreed circuit of a worker after the log has removed its record.
+
+        The worker's next circuit starts at generation 0.
 
         Parameters
         ----------
         worker_id
-            The worker, whose next circuit starts at generation 0.
+            The worker.
         """
-        self._counters.registry.forget_circuit(worker_id)
+        self._counters.registry.remove_circuit(worker_id)
 
     def rebuild(self, router_id: str, counters: CounterReport, now: float) -> None:
-        """Merge a router's own counters into the soft state of a new leader, once for each router.
+        """Merge a router's counters into the soft state of a new leader, once for each router.
 
-        A tally must not cover reports that the router will still send. The transient counts of
-        several routers are not added up: a success between them would have cleared them.
+        A tally must not include attempts whose reports the router will still send, because these
+        would count twice. The transient failure counts of several routers are not added up (the
+        largest one applies): a success between the failures would have cleared the count.
 
         Parameters
         ----------
         router_id
             The router.
         counters
-            Its counters; a report for an earlier term is ignored.
+            The router's counters; a report for an earlier term is ignored.
         now
             Monotonic time in seconds.
         """
@@ -206,7 +217,7 @@
             self._merge_tally(tally, now)
 
     def view(self, now: float) -> tuple[WorkerCircuitView, ...]:
-        """Return every worker's circuit for operators.
+        """Return the circuit of every worker, as shown to operators.
 
         Parameters
         ----------
@@ -216,7 +227,7 @@
         Returns
         -------
         tuple[WorkerCircuitView, ...]
-            Sorted by worker.
+            One view for each worker, sorted by worker id.
         """
         self._counters.attempt_table.advance(now)
         views = [self._counters.view(worker, now) for worker in self._counters.registry]
@@ -225,21 +236,21 @@
     def circuits_view(
         self, now: float, *, term: int | None = None, sequence: int = 0
     ) -> CircuitsView:
-        """Return the agreed circuits with what remains of their durations, for the routers.
+        """Return the agreed circuits with their remaining durations, to push to the routers.
 
         Parameters
         ----------
         now
             Monotonic time in seconds.
         term
-            Term to send it under; the table's own by default.
+            Term of the view; the table's own term by default.
         sequence
-            Increases with every view that a leader sends.
+            Sequence number of the view, which increases with every view that a leader sends.
 
         Returns
         -------
         CircuitsView
-            Circuits that have had a transition, and open capacity circuits.
+            The circuits that have had at least one transition, and the open capacity circuits.
         """
         circuits = tuple(
             worker.circuit.remaining(now)
@@ -256,13 +267,13 @@
     def _needed_transition(
         self, attempt_id: str, per_stage: Sequence[StageCircuits], selection: Selection
     ) -> CircuitTransition | None:
-        """Return the transition that must be committed before this selection may be sent."""
+        """Return the transition to commit before the selection may be sent, or None."""
         chosen = {choice.candidate.worker_id for choice in selection.choices}
         for stage_candidates in per_stage:
             for candidate in stage_candidates.candidates:
                 is_unused = candidate.worker_id not in chosen
                 if candidate.admission is Admission.PROBE_OWNED and is_unused:
-                    # Returned, or nobody could probe the worker until the grant runs out.
+                    # Without the return, no attempt could probe the worker until the grant expires.
                     return self._propose(candidate.worker_id, BreakerEvent.PROBE_RETURNED)
         for choice in selection.choices:
             if choice.candidate.admission is Admission.PROBE_READY:
@@ -274,7 +285,8 @@
         worker = self._counters.registry.get(tally.worker_id)
         if worker is None:
             return
-        # The tally's attempts ended anywhere in the window: its middle is their mean age.
+        # The attempts of the tally ended at unknown times within the window, so their mean age is
+        # estimated as half the window.
         ended_at = now - self._counters.policy.health_window_seconds / 2
         worker.health.add(tally.successes, tally.failures, ended_at)
         if worker.circuit.record.status is CircuitStatus.AVAILABLE:
--- a/src/orchidpath/circuit/classification.py
+++ b/src/orchidpath/circuit/classification.py
@@ -1,7 +1,8 @@
-"""The one place that classifies how an attempt on a worker ended.
+"""Classification of the outcomes of attempts on workers.
 
-Failures are classified by effect and not by a broad class of "upstream error" (paper, "Circuit
-breakers and bounded retries"). Consequences of each effect:
+All outcomes are classified in this module. A failure is classified by its effect and not as a
+general "upstream error" (paper, "Circuit breakers and bounded retries"). Each effect has these
+consequences:
 
 ========================  ======  ==================  ====================================
 effect                    health  transient count     circuit
@@ -27,7 +28,7 @@
 
 
 class Observed(StrEnum):
-    """What a router saw of one attempt on one worker."""
+    """Outcome of one attempt on one worker as the router observed it."""
 
     SUCCESS = "success"
     CONNECT_FAILED = "connect_failed"
@@ -39,22 +40,25 @@
     MISSING_TERMINAL = "missing_terminal"
     SEQUENCE_GAP = "sequence_gap"
     HTTP_STATUS = "http_status"
-    """An error status without an error body; ``http_status`` decides."""
+    """An error status without an error body; ``http_status`` determines the effect."""
     REFUSED = "refused"
-    """An error body; ``error_code`` decides."""
+    """A response with an error body; ``error_code`` determines the effect."""
     KV_TRANSFER_CHARGED = "hand_over_charged"
-    """The KV transfer failed and the evidence points at this worker."""
+    """The KV transfer failed, and the evidence attributes the failure to this worker."""
     KV_TRANSFER_UNDECIDED = "hand_over_undecided"
-    """The KV transfer failed and the evidence points at the link, or not at this worker."""
+    """The KV transfer failed, and the evidence does not attribute the failure to this worker.
+
+    The evidence may point to the link between the workers.
+    """
     HANDLE_EXPIRED = "handle_lapsed"
     DEADLINE_BEFORE_SEND = "deadline_before_send"
-    """The request's deadline was used up before anything was sent to the worker."""
+    """The request's deadline expired before anything was sent to the worker."""
     CLIENT_CANCELLED = "client_cancelled"
     GATEWAY_FAULT = "gateway_fault"
 
 
 class AttemptObservation(msgspec.Struct, frozen=True, kw_only=True):
-    """An observation with the detail that its kind needs."""
+    """An observed outcome, with the status or error code for the outcomes that require one."""
 
     observed: Observed
     http_status: int | None = None
@@ -64,7 +68,8 @@
 OBSERVED_EFFECTS = MappingProxyType(
     {
         Observed.SUCCESS: AttemptEffect.SUCCESS,
-        # Transient: timeouts, network failures, malformed protocol, a missing terminal (paper).
+        # Transient (paper): timeouts, network failures, malformed protocol, a missing terminal
+        # event.
         Observed.CONNECT_FAILED: AttemptEffect.TRANSIENT,
         Observed.CONNECTION_RESET: AttemptEffect.TRANSIENT,
         Observed.TIMED_OUT: AttemptEffect.TRANSIENT,
@@ -73,17 +78,18 @@
         Observed.WRONG_ATTEMPT_ECHO: AttemptEffect.TRANSIENT,
         Observed.MISSING_TERMINAL: AttemptEffect.TRANSIENT,
         Observed.SEQUENCE_GAP: AttemptEffect.TRANSIENT,
-        # A failed KV transfer charges a side only on evidence; otherwise it is neutral for both.
+        # A failed KV transfer counts against a worker only on evidence; otherwise it is neutral
+        # for both workers.
         Observed.KV_TRANSFER_CHARGED: AttemptEffect.TRANSIENT,
         Observed.KV_TRANSFER_UNDECIDED: AttemptEffect.GATEWAY,
-        # Neutral: the worker did nothing wrong (paper, "Gateway/request-scoped failures").
+        # Neutral: the worker did not cause these (paper, "Gateway/request-scoped failures").
         Observed.HANDLE_EXPIRED: AttemptEffect.GATEWAY,
         Observed.DEADLINE_BEFORE_SEND: AttemptEffect.GATEWAY,
         Observed.CLIENT_CANCELLED: AttemptEffect.GATEWAY,
         Observed.GATEWAY_FAULT: AttemptEffect.GATEWAY,
     }
 )
-"""Effect of every observation that needs no further detail."""
+"""Effect of every observed outcome that is classified without a status or an error code."""
 
 ERROR_CODE_EFFECTS = MappingProxyType(
     {
@@ -96,23 +102,24 @@
         ErrorCode.INTERNAL: AttemptEffect.TRANSIENT,
         ErrorCode.STREAM_BROKEN: AttemptEffect.TRANSIENT,
         ErrorCode.DEADLINE_EXCEEDED: AttemptEffect.TRANSIENT,
-        # A decode worker reports a failed KV transfer: the pairing charges a side on evidence.
+        # A decode worker reports a failed KV transfer. The evidence about the pair of workers
+        # determines which worker the failure counts against.
         ErrorCode.UPSTREAM_FAILED: AttemptEffect.GATEWAY,
         ErrorCode.UPSTREAM_REFUSED: AttemptEffect.GATEWAY,
-        # The worker was right to refuse what the fleet sent.
+        # The worker was right to reject these requests of the fleet.
         ErrorCode.DRAINING: AttemptEffect.GATEWAY,
         ErrorCode.HANDLE_EXPIRED: AttemptEffect.GATEWAY,
         ErrorCode.HANDLE_MISMATCH: AttemptEffect.GATEWAY,
         ErrorCode.ATTEMPT_REFUSED: AttemptEffect.GATEWAY,
         ErrorCode.STALE_ORDER: AttemptEffect.GATEWAY,
-        # Codes of the routers themselves; no worker is to blame for them.
+        # Error codes that only routers send; no worker causes them.
         ErrorCode.NOT_FRESH: AttemptEffect.GATEWAY,
         ErrorCode.ALL_CIRCUITS_OPEN: AttemptEffect.GATEWAY,
         ErrorCode.NO_WORKER: AttemptEffect.GATEWAY,
         ErrorCode.RETRY_BUDGET_SPENT: AttemptEffect.GATEWAY,
     }
 )
-"""Effect of a refusal, by its error code."""
+"""Effect of a rejection, by its error code."""
 
 STATUS_EFFECTS = MappingProxyType(
     {
@@ -123,24 +130,25 @@
         429: AttemptEffect.THROTTLE,
     }
 )
-"""Effect of single HTTP statuses; the others go by their class."""
+"""Effect of individual HTTP statuses; all others are classified by their status class."""
 
 CLIENT_ERROR_STATUSES = range(400, 500)
-"""Other 400-class statuses, unknown ones included, are the request's fault (paper)."""
+"""All other 4xx statuses, including unknown ones, are caused by the request (paper)."""
 
 
 def classify(observation: AttemptObservation) -> AttemptEffect:
-    """Classify one attempt on one worker by its effect.
+    """Return the effect of one attempt on one worker.
 
     Parameters
     ----------
     observation
-        What the router saw.
+        The outcome that the router observed.
 
     Returns
     -------
     AttemptEffect
-        The effect; a refusal without a code or a status without a number is a malformed answer.
+        The effect. A rejection without an error code and an HTTP status without a number are
+        classified as a malformed response.
     """
     if observation.observed is Observed.REFUSED:
         return _classify_refusal(observation.error_code)
@@ -162,5 +170,6 @@
         return STATUS_EFFECTS[http_status]
     if http_status in CLIENT_ERROR_STATUSES:
         return AttemptEffect.REQUEST
-    # 500-class, and any other status without a body that belongs to it: a malformed answer.
+    # A 5xx status is transient. Any other status without its expected body is a malformed
+    # response, which is transient, too.
     return AttemptEffect.TRANSIENT
--- a/src/orchidpath/circuit/counters.py
+++ b/src/orchidpath/circuit/counters.py
@@ -57,7 +57,7 @@
         self.attempt_table.in_flight.ttl_seconds = policy.in_flight_ttl_seconds
         self.registry.set_health_window(policy.health_window_seconds)
 
-    def repeated(self, request: DecisionRequest, term: int) -> DecisionReply | None:
+    def repeated_reply(self, request: DecisionRequest, term: int) -> DecisionReply | None:
         """Answer a duplicate without registering the attempt a second time.
 
         Parameters
@@ -216,7 +216,7 @@
             charged_before=self.attempt_table.is_charged(report),
         )
         failures_before = worker.circuit.transient_failures
-        event = worker.circuit.judge(outcome, self.policy.allowed_fails, now)
+        event = worker.circuit.record_outcome(outcome, self.policy.allowed_fails, now)
         if worker.circuit.transient_failures > failures_before:
             self.attempt_table.charge(report)
         return event
--- a/src/orchidpath/circuit/fallback.py
+++ b/src/orchidpath/circuit/fallback.py
@@ -1,23 +1,22 @@
-"""Decisions of a router while the control tier is slow or lost.
-
-A router requests every decision from the leader and waits a bounded time. Without a reply it
-decides here, from the circuits of the last view and from its own observations: attempts that it
-started itself, failures that it counted itself, throttles that it derived itself. Its own circuits
-open by the same table of transitions as the agreed ones, and a newer agreed circuit replaces what
-the router had made of it.
-
-One rule of the ordinary path doesn't hold here, and this is the exception in full. The ordinary
-path gives a worker's recovery probe to one request of the whole fleet. Cut off from the tier that
-grants it, a router lets a probe of its own through, or a worker that has recovered would stay
-unused for as long as the tier is lost. The exception is bounded: at most one probe for each
-worker in flight from each router, and only after a cooldown of the router's own, of at least
-``cooldown_seconds``, stretched by a random share of up to ``PROBE_JITTER`` so that the routers'
-probes don't arrive together. A local probe carries no fencing token, so that its report can
-close or reopen nothing at the leader.
-
-When the leader's reply arrives after the router has decided here, the router reports each worker
-of that late reply that it did not use with the effect ``GATEWAY`` and the reply's probe
-generation: that frees the in-flight mark and gives a granted probe back.
+"""Local decisions of a router while the control tier is slow or unavailable.
+
+A router requests every decision from the leader and waits a bounded time. Without a reply, it
+decides locally from the circuits of the last view and from its own observations: the attempts that
+it started, the failures that it counted and the throttles that it derived. Local circuits open by
+the same transition table as the agreed circuits. A newer agreed circuit replaces the local one.
+
+One rule of the leader's decisions does not apply here. The leader grants the recovery probe of a
+worker to only one request of the fleet. A router that cannot reach the leader grants a probe
+itself; otherwise a recovered worker would remain unused for as long as the control tier is
+unavailable. This exception is bounded: each router has at most one probe in flight on each worker,
+and only after a local cooldown. The local cooldown lasts at least ``cooldown_seconds`` and is
+stretched by a random share of up to ``PROBE_JITTER``, so that the probes of different routers do
+not arrive together. A local probe has no fencing token, so its report can neither close nor reopen
+a circuit at the leader.
+
+The leader's reply may arrive after the router has decided locally. The router then reports each
+worker of the late reply that it did not use, with the effect ``GATEWAY`` and the probe generation
+of the reply. The report frees the in-flight mark and returns a granted probe.
 """
 
 import random
@@ -56,38 +55,39 @@
 from orchidpath.wire.records import CircuitRecord, CircuitStatus
 
 PROBE_JITTER = 1.0
-"""A router's own cooldown is stretched by a random share of up to this."""
+"""Largest random share by which a router's local cooldown is stretched."""
 
 
 class ViewVersion(NamedTuple):
-    """Order of the leaders' views: by term, then by sequence within the term."""
+    """Version of a leader's view, ordered by term and then by sequence within the term."""
 
     term: int
     sequence: int
 
 
 NO_VIEW = ViewVersion(term=-1, sequence=-1)
-"""Older than every view."""
+"""Version that is older than every view."""
 
 
 class StageSelection(NamedTuple):
-    """Candidates as they were read, and what was selected of them."""
+    """Candidates of each stage at the time of the decision, and the selection from them."""
 
     per_stage: list[StageCircuits]
     selection: Selection
 
 
 class FallbackCircuits(DecidingCircuits):
-    """Last known circuits and a router's own observations.
+    """Circuits from the last view of the leader, with a router's own observations.
 
     Parameters
     ----------
     policy
         Thresholds and durations of the circuits.
     generator
-        Source of the jitter.
+        Random source of the jitter.
     load_bound_factor
-        Factor of the load bound, here on the router's own attempts in flight.
+        Multiple of the average load that a worker may have; the load counts only the router's own
+        attempts in flight.
     """
 
     def __init__(
@@ -103,60 +103,60 @@
         self._own_probes = OwnProbes(self._counters.attempt_table.in_flight)
 
     def accept_view(self, view: CircuitsView, now: float) -> bool:
-        """Apply the agreed circuits that the leader pushed.
+        """Apply a view of the agreed circuits that the leader has pushed.
 
         Parameters
         ----------
         view
-            Circuits with what remained of their durations.
+            The agreed circuits with their remaining durations.
         now
             Monotonic time in seconds.
 
         Returns
         -------
         bool
-            False when this view or a newer one has been applied; nothing changes then.
+            False when this view or a newer one has already been applied; nothing changes then.
         """
         version = ViewVersion(view.term, view.sequence)
         if version <= self._newest_view:
             return False
         self._newest_view = version
         for record in view.circuits:
-            self._adopt(record, now)
+            self._apply_agreed_circuit(record, now)
         for capacity in view.capacities:
             self._counters.capacities.accept(capacity, now)
         return True
 
     def decide(self, request: DecisionRequest, now: float) -> DecisionReply:
-        """Decide one attempt without the control tier, and register it in flight.
+        """Select the workers of one attempt without the leader and register the attempt in flight.
 
         Parameters
         ----------
         request
-            The request that the leader did not answer.
+            The decision request that the leader did not answer in time.
         now
             Monotonic time in seconds.
 
         Returns
         -------
         DecisionReply
-            Choices or a rejection; no choice carries a probe generation.
+            Choices or a rejection; no choice contains a probe generation.
         """
         self._counters.attempt_table.advance(now)
         term = max(self._newest_view.term, 0)
-        repeated = self._counters.repeated(request, term)
+        repeated = self._counters.repeated_reply(request, term)
         if repeated is not None:
             return _without_probes(repeated)
-        per_stage, selection = self._select_bounded(request, now)
+        per_stage, selection = self._select_with_probe_limit(request, now)
         if self._grant_probes(request.attempt_id, selection, now):
-            per_stage, selection = self._select_bounded(request, now)
+            per_stage, selection = self._select_with_probe_limit(request, now)
         reply = self._register(request, term, per_stage, selection, now)
         return _without_probes(reply)
 
     def register_decided(
         self, request_id: str, attempt_id: str, choices: Sequence[Choice], now: float
     ) -> None:
-        """Register an attempt that the leader decided.
+        """Register an attempt in flight whose workers the leader selected.
 
         Parameters
         ----------
@@ -185,12 +185,14 @@
                 self._own_probes.start(choice.worker_id, attempt_id, choice.probe_generation)
 
     def observe(self, reports: Sequence[AttemptReport], now: float) -> None:
-        """Count the ends of the router's own attempts, whoever decided them.
+        """Record how the router's own attempts ended.
+
+        Attempts decided by the leader and attempts decided locally are both recorded.
 
         Parameters
         ----------
         reports
-            The same reports that go to the leader.
+            The reports, which are also sent to the leader.
         now
             Monotonic time in seconds.
         """
@@ -201,15 +203,15 @@
                 generation = report.probe_generation
             event = self._counters.count(report, now, probe_generation=generation)
             if event is not None:
-                self._change(report.worker_id, event, now)
+                self._apply_local_transition(report.worker_id, event, now)
 
     def observe_capacity(self, observed: CapacityObserved, now: float) -> None:
-        """Apply a throttle that the router derived itself, before it is agreed.
+        """Apply a throttle that the router derived, before the log has agreed it.
 
         Parameters
         ----------
         observed
-            The domain and the time after which it may be tried.
+            The failure domain and the time in seconds after which it may be tried again.
         now
             Monotonic time in seconds.
         """
@@ -229,12 +231,12 @@
         now
             Monotonic time in seconds.
         unacknowledged
-            Reports that will still be sent: they are left out, or they would count twice.
+            Reports that will still be sent. They are excluded, because they would count twice.
 
         Returns
         -------
         CounterReport
-            Attempts in flight and a tally for each worker.
+            The attempts in flight and a tally for each worker.
         """
         self._counters.attempt_table.advance(now)
         pending = Counter((report.worker_id, report.effect) for report in unacknowledged)
@@ -244,24 +246,24 @@
             tallies=tuple(self._tally(worker, pending, now) for worker in self._counters.registry),
         )
 
-    def _select_bounded(self, request: DecisionRequest, now: float) -> StageSelection:
-        """Select from the candidates, without the workers that a probe of this router occupies."""
+    def _select_with_probe_limit(self, request: DecisionRequest, now: float) -> StageSelection:
+        """Read the candidates, block workers with a probe of this router in flight, and select."""
         per_stage = [
-            self._bound_probes(
+            self._limit_probes(
                 self._counters.read_stage_candidates(stage_candidates, request.attempt_id, now)
             )
             for stage_candidates in request.per_stage
         ]
         return StageSelection(per_stage, self._select(per_stage))
 
-    def _bound_probes(self, stage_candidates: StageCircuits) -> StageCircuits:
+    def _limit_probes(self, stage_candidates: StageCircuits) -> StageCircuits:
         candidates = tuple(
-            self._bound_probe(candidate) for candidate in stage_candidates.candidates
+            self._limit_probe(candidate) for candidate in stage_candidates.candidates
         )
         return StageCircuits(stage_candidates.stage, candidates)
 
-    def _bound_probe(self, candidate: Candidate) -> Candidate:
-        """Block a worker whose last probe of this router is still in flight."""
+    def _limit_probe(self, candidate: Candidate) -> Candidate:
+        """Return the candidate, blocked if a probe of this router is still in flight on it."""
         is_ready = candidate.admission is Admission.PROBE_READY
         if not is_ready or not self._own_probes.is_in_flight(candidate.worker_id):
             return candidate
@@ -272,45 +274,50 @@
         )
 
     def _grant_probes(self, attempt_id: str, selection: Selection, now: float) -> bool:
-        """Grant the probes that the selection needs, as the leader can't be reached."""
+        """Grant the probes that the selection needs, and return whether any was granted."""
         granted = False
         for choice in selection.choices:
             worker_id = choice.candidate.worker_id
             if choice.candidate.admission is not Admission.PROBE_READY:
                 continue
-            self._change(worker_id, BreakerEvent.PROBE_GRANTED, now, attempt_id)
+            self._apply_local_transition(worker_id, BreakerEvent.PROBE_GRANTED, now, attempt_id)
             generation = self._counters.generation(worker_id)
             if generation is not None:
                 self._own_probes.start(worker_id, attempt_id, generation)
             granted = True
         return granted
 
-    def _adopt(self, record: CircuitRecord, now: float) -> None:
-        """Apply an agreed circuit, unless local transitions were made on this very generation."""
+    def _apply_agreed_circuit(self, record: CircuitRecord, now: float) -> None:
+        """Apply an agreed circuit; one of a generation already applied changes nothing.
+
+        Local transitions since that generation are therefore retained, and its timer continues.
+        """
         if self._agreed_generations.get(record.worker_id) == record.generation:
             return
         self._agreed_generations[record.worker_id] = record.generation
         is_closed = record.status is CircuitStatus.AVAILABLE
-        duration_seconds = 0.0 if is_closed else self._own_cooldown(record.duration_seconds)
+        duration_seconds = (
+            0.0 if is_closed else self._local_cooldown_seconds(record.duration_seconds)
+        )
         stretched = msgspec.structs.replace(record, duration_seconds=duration_seconds)
         self._counters.registry.circuit(record.worker_id).replace(stretched, now)
 
-    def _own_cooldown(self, duration_seconds: float) -> float:
+    def _local_cooldown_seconds(self, duration_seconds: float) -> float:
         shortest = self._counters.policy.cooldown_seconds
         stretch = 1.0 + self._generator.uniform(0.0, PROBE_JITTER)
         return max(duration_seconds, shortest) * stretch
 
-    def _change(
+    def _apply_local_transition(
         self, worker_id: str, event: BreakerEvent, now: float, attempt_id: str = ""
     ) -> None:
-        """Apply a transition of the router's own, without the log."""
+        """Apply the transition that an event causes to the local circuit, without the log."""
         transition = self._propose(worker_id, event, attempt_id)
         if transition is None:
             return
         circuit = self._counters.registry.circuit(worker_id)
         record = apply_circuit_transition(circuit.record, transition)
         if record.status in {CircuitStatus.COOLDOWN, CircuitStatus.QUARANTINED}:
-            duration_seconds = self._own_cooldown(record.duration_seconds)
+            duration_seconds = self._local_cooldown_seconds(record.duration_seconds)
             record = msgspec.structs.replace(record, duration_seconds=duration_seconds)
         circuit.accept(record, now)
 
@@ -333,7 +340,7 @@
 
 
 def _without_probes(reply: DecisionReply) -> DecisionReply:
-    """Return the reply without fencing tokens: the leader never issued a local one."""
+    """Return the reply without fencing tokens, because only the leader may issue a token."""
     choices = tuple(
         msgspec.structs.replace(choice, probe_generation=None) for choice in reply.choices
     )
--- a/src/orchidpath/circuit/registry.py
+++ b/src/orchidpath/circuit/registry.py
@@ -32,7 +32,7 @@
     """Workers by id; before the membership is known, any worker that is looked up.
 
     The agreed circuit is retained for a worker that was removed: its generation is compared with
-    the agreed one when the worker registers again. The log drops it with :meth:`forget_circuit`.
+    the agreed one when the worker registers again. The log drops it with :meth:`remove_circuit`.
 
     Parameters
     ----------
@@ -95,7 +95,7 @@
             return self._tracked(worker_id).circuit
         return self._retired.setdefault(worker_id, WorkerCircuit(worker_id))
 
-    def forget_circuit(self, worker_id: str) -> None:
+    def remove_circuit(self, worker_id: str) -> None:
         """Drop the agreed circuit of a worker, as the log does.
 
         Parameters
--- a/src/orchidpath/circuit/selection.py
+++ b/src/orchidpath/circuit/selection.py
@@ -1,15 +1,16 @@
-"""Chooses a worker for every stage of a decision, in preference order; pure.
+"""Selection of a worker for every stage of a decision, in preference order; pure functions.
 
 Rules (paper, "Circuit breakers and bounded retries"; design page):
 
-- each eligible worker is tried once before any reuse;
-- a worker whose circuit or whose failure domain's capacity circuit is open is skipped;
-- ring order holds unless a worker is overloaded: one with as many attempts in flight as the bound
-  is passed over. The bound is the average of the closed candidates times a factor, and at least
-  one attempt above the average, so there always is a candidate below it;
-- a probe is granted to a request only when the worker is the next in preference order and an
-  untried closed candidate remains for a retry, or when no closed candidate exists. A request
-  takes at most one probe unless a stage has no other candidate.
+- Each eligible worker is tried once before any worker is reused.
+- A worker is skipped while its circuit or the capacity circuit of its failure domain is open.
+- Ring order is kept unless a worker is overloaded: a worker that has at least as many attempts in
+  flight as the load bound is skipped. The bound is the average of the closed candidates times a
+  factor, and at least one attempt above the average, so at least one candidate is always below
+  the bound.
+- A probe is granted to a request only when the worker is the next in preference order and an
+  untried closed candidate remains for a retry, or when no closed candidate exists. A request runs
+  at most one probe unless a stage has no other candidate.
 """
 
 from collections.abc import Sequence
@@ -21,14 +22,17 @@
 from orchidpath.wire.records import Stage
 
 DEFAULT_LOAD_BOUND_FACTOR = 1.25
-"""A worker may hold this many times the average number of attempts in flight."""
+"""Multiple of the average number of attempts in flight that a worker may have."""
 
 MINIMUM_LOAD_ABOVE_AVERAGE = 1.0
-"""A worker may always hold this many attempts more than the average."""
+"""Number of attempts in flight above the average that a worker may always have."""
 
 
 class Candidate(msgspec.Struct, frozen=True, kw_only=True):
-    """A candidate as it was read for this decision."""
+    """State of a candidate at the time of the decision.
+
+    ``tried`` is True when the request has already been tried on the worker.
+    """
 
     worker_id: str
     admission: Admission
@@ -39,17 +43,17 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether it may be tried without a probe."""
+        """Whether the worker may be tried without a probe."""
         return self.admission is Admission.CLOSED and self.capacity_wait_seconds <= 0
 
     @property
     def is_usable(self) -> bool:
-        """Whether it may be tried, as a probe or not."""
+        """Whether the worker may be tried, with or without a probe."""
         return self.admission is not Admission.BLOCKED and self.capacity_wait_seconds <= 0
 
     @property
     def owns_probe(self) -> bool:
-        """Whether the asking attempt owns its probe and may use it."""
+        """Whether the requesting attempt owns the worker's probe and may use it."""
         return self.admission is Admission.PROBE_OWNED and self.capacity_wait_seconds <= 0
 
 
@@ -76,21 +80,21 @@
 
 
 class LoadBound(msgspec.Struct, frozen=True):
-    """How many attempts in flight one worker may hold, relative to the average.
+    """Limit of the attempts in flight on one worker, relative to the average.
 
     Attributes
     ----------
     factor
-        It may hold this many times the average.
+        Multiple of the average that a worker may have.
     minimum
-        It may always hold this many more than the average.
+        Number of attempts above the average that a worker may always have.
     """
 
     factor: float = DEFAULT_LOAD_BOUND_FACTOR
     minimum: float = MINIMUM_LOAD_ABOVE_AVERAGE
 
-    def of(self, average: float) -> float:
-        """Return the bound at an average load."""
+    def for_average(self, average: float) -> float:
+        """Return the bound, in attempts in flight, for an average number of attempts."""
         return max(average * self.factor, average + self.minimum)
 
 
@@ -99,21 +103,21 @@
     load_bound_factor: float,
     load_bound_minimum: float = MINIMUM_LOAD_ABOVE_AVERAGE,
 ) -> Selection:
-    """Choose a worker for every stage.
+    """Select a worker for every stage.
 
     Parameters
     ----------
     per_stage
         The candidates of each stage.
     load_bound_factor
-        A worker may hold this many times the average number of attempts in flight.
+        Multiple of the average number of attempts in flight that a worker may have.
     load_bound_minimum
-        A worker may always hold this many attempts more than the average.
+        Number of attempts in flight above the average that a worker may always have.
 
     Returns
     -------
     Selection
-        Choices for all stages, or a rejection when any stage has none.
+        Choices for all stages, or a rejection when a stage has no usable candidate.
     """
     load_bound = LoadBound(load_bound_factor, load_bound_minimum)
     may_probe = not any(
@@ -131,7 +135,7 @@
         may_probe = may_probe and candidate.is_closed
         choices.append(StageChoice(stage_candidates.stage, candidate))
     if blocked:
-        # The request can proceed only when every blocked stage can: the longest wait counts.
+        # The request can proceed only when no stage is blocked, so the longest wait applies.
         return max(blocked, key=lambda rejection: rejection.retry_after_seconds)
     return Selection(choices=tuple(choices))
 
@@ -157,7 +161,11 @@
     load_bound: LoadBound,
     may_probe: bool,
 ) -> Candidate:
-    """Return the first untried candidate; a probe keeps its place, since a retry remains."""
+    """Return the first untried candidate below the load bound.
+
+    A worker that needs a probe is returned if it comes before that candidate, because the closed
+    candidate remains for a retry.
+    """
     closed_choice = _first_below_bound(untried_closed, load_bound)
     if not may_probe:
         return closed_choice
@@ -171,13 +179,14 @@
 
 def _first_below_bound(closed: Sequence[Candidate], load_bound: LoadBound) -> Candidate:
     average = sum(candidate.in_flight for candidate in closed) / len(closed)
-    bound = load_bound.of(average)
-    # The smallest is never above the average, so the bound always leaves one.
+    bound = load_bound.for_average(average)
+    # The smallest load is never above the average and the bound is always above the average, so
+    # at least one candidate is below the bound.
     return next(candidate for candidate in closed if candidate.in_flight < bound)
 
 
 def _first_probe(candidates: Sequence[Candidate]) -> Candidate | None:
-    """Return the first worker that may be probed, an untried one before a reuse."""
+    """Return the first candidate that may be probed; untried candidates come first."""
     usable = [candidate for candidate in candidates if candidate.is_usable]
     untried = [candidate for candidate in usable if not candidate.tried]
     return next(iter(untried or usable), None)
--- a/src/orchidpath/circuit/transitions.py
+++ b/src/orchidpath/circuit/transitions.py
@@ -1,9 +1,9 @@
-"""Changes of the agreed circuit state, as they are proposed to and applied by the replicated log.
+"""Transitions of the agreed circuit state, proposed to and applied by the replicated log.
 
-A transition names the generation that it was decided on. Applying it is a compare-and-swap: it
-takes effect only on that generation and makes the next one. Two proposals made on the same
-generation therefore never both take effect, and every replica computes the same record; any
-jitter was chosen by the proposer and is carried in ``duration_seconds``.
+A transition contains the generation that it was proposed on. Applying a transition is a
+compare-and-swap: it takes effect only on that generation and creates the next generation. Two
+proposals on the same generation therefore never both take effect. Every replica computes the same
+record, because the proposer applies any jitter and stores the result in ``duration_seconds``.
 """
 
 import msgspec
@@ -12,9 +12,9 @@
 
 
 class CircuitTransition(msgspec.Struct, frozen=True, kw_only=True, tag="circuit_transition"):
-    """Proposes the next record of one worker's circuit.
+    """Proposal of the next record of one worker's circuit.
 
-    ``incarnation`` is the worker's process that the evidence is about.
+    ``incarnation`` identifies the worker's process that the evidence was observed on.
     """
 
     worker_id: str
@@ -27,7 +27,7 @@
 
 
 class CapacityTransition(msgspec.Struct, frozen=True, kw_only=True, tag="capacity_transition"):
-    """Proposes to open the shared capacity circuit of one failure domain."""
+    """Proposal to open the shared capacity circuit of one failure domain."""
 
     failure_domain: str
     expected_generation: int
@@ -35,14 +35,14 @@
 
 
 def initial_circuit(worker_id: str, incarnation: str = "") -> CircuitRecord:
-    """Return the circuit of a worker that nothing has been decided about: closed, generation 0.
+    """Return the circuit of a worker without any transition: closed, at generation 0.
 
     Parameters
     ----------
     worker_id
         The worker.
     incarnation
-        The worker's process, if known.
+        The worker's process; empty when unknown.
 
     Returns
     -------
@@ -58,12 +58,14 @@
 
 
 def initial_capacity(failure_domain: str) -> CapacityRecord:
-    """Return the capacity circuit of a domain that never opened: generation 0, no duration.
+    """Return the capacity circuit of a failure domain that was never throttled.
+
+    The circuit is closed: generation 0 and no duration.
 
     Parameters
     ----------
     failure_domain
-        The domain.
+        The failure domain.
 
     Returns
     -------
@@ -76,19 +78,19 @@
 def apply_circuit_transition(
     current: CircuitRecord | None, transition: CircuitTransition
 ) -> CircuitRecord:
-    """Apply a transition to the agreed circuit, if it was decided on that very generation.
+    """Apply a transition to the agreed circuit if it was proposed on the circuit's generation.
 
     Parameters
     ----------
     current
-        The agreed record; None when there has been no transition yet.
+        The agreed record; None when the worker's circuit has had no transition.
     transition
         The committed proposal.
 
     Returns
     -------
     CircuitRecord
-        The next generation, or the current record unchanged when the proposal is outdated.
+        The record of the next generation, or the current record when the proposal is outdated.
     """
     agreed = current if current is not None else initial_circuit(transition.worker_id)
     if transition.expected_generation != agreed.generation:
@@ -107,19 +109,19 @@
 def apply_capacity_transition(
     current: CapacityRecord | None, transition: CapacityTransition
 ) -> CapacityRecord:
-    """Apply a transition to the agreed capacity circuit, if decided on that very generation.
+    """Apply a transition to the agreed capacity circuit if it was proposed on its generation.
 
     Parameters
     ----------
     current
-        The agreed record; None when the domain's circuit never opened.
+        The agreed record; None when the domain's circuit has never opened.
     transition
         The committed proposal.
 
     Returns
     -------
     CapacityRecord
-        The next generation, or the current record unchanged when the proposal is outdated.
+        The record of the next generation, or the current record when the proposal is outdated.
     """
     agreed = current if current is not None else initial_capacity(transition.failure_domain)
     if transition.expected_generation != agreed.generation:
--- a/src/orchidpath/circuit/worker_circuit.py
+++ b/src/orchidpath/circuit/worker_circuit.py
@@ -1,8 +1,8 @@
-"""One worker's circuit with its timer and its count of transient failures.
+"""Circuit of one worker with its timer and its count of transient failures.
 
-The agreed record says what the circuit is; this module says what that means at a given time: may
-the worker be tried, and which event does the outcome of an attempt cause. The leader's table and
-the routers' fallback both judge here.
+The agreed record holds the status of the circuit. This module evaluates the record at a given
+time: whether the worker may be tried, and which event the outcome of an attempt causes. Both the
+leader's circuit table and the routers' fallback use it.
 """
 
 import random
@@ -24,26 +24,26 @@
         AttemptEffect.CONFIGURATION: BreakerEvent.PROBE_MISCONFIGURED,
     }
 )
-"""What a probe's failure does to its circuit; any other effect but a success returns the probe."""
+"""Event that a failed probe causes; any effect other than these and a success returns the probe."""
 
 
 class Admission(Enum):
-    """Whether a worker may be tried."""
+    """Whether and how an attempt may use a worker."""
 
     CLOSED = "closed"
     PROBE_OWNED = "probe_owned"
-    """The asking attempt owns the probe."""
+    """The requesting attempt owns the probe."""
     PROBE_READY = "probe_ready"
-    """The cooldown, or another attempt's probe, has run out: a probe may be granted."""
+    """The cooldown or the last granted probe has expired, so a probe may be granted."""
     BLOCKED = "blocked"
 
 
 class AttemptOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """How an attempt ended, with what is known of its start.
+    """Outcome of an attempt on one worker, with the data of its start that is available.
 
-    ``started_generation`` is the circuit's generation when the attempt was registered, None when
-    that isn't known. ``charged_before`` says that the same request has already been charged with
-    a transient failure on this worker.
+    ``started_generation`` is the circuit's generation when the attempt was registered, or None
+    when the generation is unknown. ``charged_before`` is True when a transient failure of the same
+    request has already been counted on this worker.
     """
 
     attempt_id: str
@@ -54,14 +54,14 @@
 
 
 class WorkerCircuit(TimedRecord[CircuitRecord]):
-    """A circuit as one process knows it.
+    """Circuit of a worker as tracked by one process, the leader or a router.
 
     Parameters
     ----------
     worker_id
         The worker.
     incarnation
-        Its process, empty when not known yet.
+        The worker's process; empty while it is unknown.
     """
 
     __slots__ = ("incarnation", "transient_failures")
@@ -72,22 +72,23 @@
         self.transient_failures = 0
 
     def replace(self, record: CircuitRecord, now: float) -> None:
-        """Apply a record whatever its generation is, and start its timer.
+        """Apply a record regardless of its generation, and start its timer.
 
         Parameters
         ----------
         record
             The record.
         now
-            Monotonic time in seconds, from which its duration counts.
+            Monotonic time in seconds at which the record's duration starts.
         """
         super().replace(self._for_current_process(record), now)
         self.transient_failures = 0
 
     def set_incarnation(self, incarnation: str) -> bool:
-        """Set the worker's process; a new one starts with a closed circuit.
+        """Set the worker's process; a new process starts with a closed circuit.
 
-        The generation stays, because the agreed record's next transition is compared with it.
+        The generation is retained, because the next transition of the agreed record is compared
+        with it.
 
         Parameters
         ----------
@@ -97,7 +98,7 @@
         Returns
         -------
         bool
-            Whether a process known before has been replaced.
+            True when the new process replaces a different one.
         """
         replaced = self.incarnation not in {"", incarnation}
         self.incarnation = incarnation
@@ -107,19 +108,19 @@
         return replaced
 
     def admission(self, attempt_id: str, now: float) -> Admission:
-        """Return whether this attempt may try the worker.
+        """Return whether and how an attempt may use the worker.
 
         Parameters
         ----------
         attempt_id
-            The asking attempt.
+            The requesting attempt.
         now
             Monotonic time in seconds.
 
         Returns
         -------
         Admission
-            The answer.
+            ``CLOSED`` when no probe is needed, otherwise the state of the probe.
         """
         if self.record.status is CircuitStatus.AVAILABLE:
             return Admission.CLOSED
@@ -140,7 +141,7 @@
         Returns
         -------
         bool
-            True also after the probe's time has run out, until another attempt is granted one.
+            Remains True after the probe has expired, until another attempt is granted a probe.
         """
         is_half_open = self.record.status is CircuitStatus.HALF_OPEN
         return is_half_open and self.record.probe_owner == attempt_id
@@ -163,7 +164,9 @@
         return self.remaining_seconds(now)
 
     def status(self, now: float) -> CircuitStatus:
-        """Return the status that operators see: a cooldown that has passed is half-open.
+        """Return the status shown to operators.
+
+        A cooldown or quarantine that has expired is shown as half-open.
 
         Parameters
         ----------
@@ -181,7 +184,7 @@
         return self.record.status
 
     def remaining(self, now: float) -> CircuitRecord:
-        """Return the record with the duration that is left of it.
+        """Return the record with its remaining duration.
 
         Parameters
         ----------
@@ -195,29 +198,31 @@
         """
         return msgspec.structs.replace(self.record, duration_seconds=self.wait_seconds(now))
 
-    def judge(self, outcome: AttemptOutcome, allowed_fails: int, now: float) -> BreakerEvent | None:
-        """Count an outcome and return the event that it causes.
+    def record_outcome(
+        self, outcome: AttemptOutcome, allowed_fails: int, now: float
+    ) -> BreakerEvent | None:
+        """Record the outcome of an attempt and return the event that it causes.
 
         Parameters
         ----------
         outcome
-            How an attempt ended.
+            The outcome of the attempt.
         allowed_fails
-            The number of transient failures that opens the circuit.
+            Number of transient failures that opens the circuit.
         now
             Monotonic time in seconds.
 
         Returns
         -------
         BreakerEvent | None
-            None when the circuit stays as it is.
+            None when the outcome causes no transition.
         """
         if self.record.status is CircuitStatus.AVAILABLE:
-            return self._judge_closed(outcome, allowed_fails)
+            return self._record_while_closed(outcome, allowed_fails)
         if self._is_current_probe(outcome):
-            return self._judge_probe(outcome, now)
-        # A late outcome of an attempt started before the circuit opened: it never extends the
-        # opening, and only the probe may end it.
+            return self._probe_event(outcome, now)
+        # This is a late outcome of an attempt that started before the circuit opened. It never
+        # extends the opening, and only the probe may end the opening.
         return None
 
     def propose(
@@ -227,23 +232,23 @@
         generator: random.Random,
         attempt_id: str = "",
     ) -> CircuitTransition | None:
-        """Propose the transition that an event causes, for the worker's current process.
+        """Return the transition that an event causes for the worker's current process.
 
         Parameters
         ----------
         event
-            What happened.
+            The event.
         policy
-            Durations.
+            Durations of cooldowns, quarantines and probes.
         generator
-            Source of the jitter.
+            Random source of the jitter.
         attempt_id
-            The attempt that is granted the probe.
+            The attempt that receives the probe when the event grants one.
 
         Returns
         -------
         CircuitTransition | None
-            The proposal; None when the event changes nothing in this status.
+            The proposal; None when the event causes no transition in the current status.
         """
         transition = propose(
             self.record, event, policy=policy, generator=generator, attempt_id=attempt_id
@@ -252,12 +257,14 @@
             return None
         return msgspec.structs.replace(transition, incarnation=self.incarnation)
 
-    def _judge_closed(self, outcome: AttemptOutcome, allowed_fails: int) -> BreakerEvent | None:
+    def _record_while_closed(
+        self, outcome: AttemptOutcome, allowed_fails: int
+    ) -> BreakerEvent | None:
         if outcome.effect is AttemptEffect.SUCCESS:
             self.transient_failures = 0
             return None
-        # A failure of an attempt started on an earlier generation is late: it belongs to a
-        # failure that an earlier transition has already answered.
+        # The attempt started on an earlier generation, so its failure is late: an earlier
+        # transition has already handled the fault that it belongs to.
         if outcome.started_generation not in {None, self.record.generation}:
             return None
         if outcome.effect is AttemptEffect.CONFIGURATION:
@@ -273,9 +280,9 @@
         is_fenced = outcome.probe_generation == self.record.generation
         return is_fenced and self.owns_probe(outcome.attempt_id)
 
-    def _judge_probe(self, outcome: AttemptOutcome, now: float) -> BreakerEvent | None:
-        # A probe that outlives its time and then succeeds still proves that the worker works, as
-        # long as nobody else has been granted one: a long stream may take that long.
+    def _probe_event(self, outcome: AttemptOutcome, now: float) -> BreakerEvent | None:
+        # A probe that succeeds after its time has expired still proves that the worker works, as
+        # long as no other attempt has been granted a probe: a long stream may take that long.
         if outcome.effect is AttemptEffect.SUCCESS:
             return BreakerEvent.PROBE_SUCCEEDED
         if now >= self.expires_at:
@@ -283,7 +290,7 @@
         return PROBE_FAILURE_EVENTS.get(outcome.effect, BreakerEvent.PROBE_RETURNED)
 
     def _for_current_process(self, record: CircuitRecord) -> CircuitRecord:
-        """Return the record as it holds for the worker's current process."""
+        """Return the record, or a closed circuit if the record is of an earlier process."""
         is_of_other_process = record.incarnation not in {"", self.incarnation}
         if not self.incarnation or not is_of_other_process:
             return record
--- a/tests/circuit/test_circuit_worker_circuit.py
+++ b/tests/circuit/test_circuit_worker_circuit.py
@@ -24,7 +24,7 @@
 def test_the_third_transient_failure_opens_the_circuit_for_ten_seconds() -> None:
     # Design page: "After allowedFails 3 a circuit opens"; "cooldownSeconds 10".
     circuit = WorkerCircuit("w")
-    events = [circuit.judge(outcome(AttemptEffect.TRANSIENT), 3, 0.0) for _ in range(3)]
+    events = [circuit.record_outcome(outcome(AttemptEffect.TRANSIENT), 3, 0.0) for _ in range(3)]
     assert events == [None, None, BreakerEvent.FAILURES_REACHED]
     transition = circuit.propose(BreakerEvent.FAILURES_REACHED, POLICY, RANDOM)
     assert transition is not None
@@ -35,7 +35,7 @@
 def test_a_success_while_closed_clears_the_transient_count() -> None:
     circuit = WorkerCircuit("w")
     for effect in (AttemptEffect.TRANSIENT, AttemptEffect.TRANSIENT, AttemptEffect.SUCCESS):
-        circuit.judge(outcome(effect), 3, 0.0)
+        circuit.record_outcome(outcome(effect), 3, 0.0)
     assert circuit.transient_failures == 0
 
 
@@ -44,20 +44,20 @@
 )
 def test_neutral_effects_count_towards_no_circuit(effect: AttemptEffect) -> None:
     circuit = WorkerCircuit("w")
-    assert [circuit.judge(outcome(effect), 1, 0.0) for _ in range(5)] == [None] * 5
+    assert [circuit.record_outcome(outcome(effect), 1, 0.0) for _ in range(5)] == [None] * 5
     assert circuit.transient_failures == 0
 
 
 def test_a_request_charged_before_counts_no_second_failure() -> None:
     circuit = WorkerCircuit("w")
     again = AttemptOutcome(attempt_id="a", effect=AttemptEffect.TRANSIENT, charged_before=True)
-    assert circuit.judge(again, 1, 0.0) is None
+    assert circuit.record_outcome(again, 1, 0.0) is None
 
 
 def test_a_configuration_failure_quarantines_at_once() -> None:
     # Paper: "quarantine that deployment immediately"; configurationCooldownSeconds 300.
     circuit = WorkerCircuit("w")
-    event = circuit.judge(outcome(AttemptEffect.CONFIGURATION), 3, 0.0)
+    event = circuit.record_outcome(outcome(AttemptEffect.CONFIGURATION), 3, 0.0)
     assert event is BreakerEvent.MISCONFIGURED
     transition = circuit.propose(event, POLICY, RANDOM)
     assert transition is not None
@@ -74,17 +74,17 @@
 ) -> None:
     # Paper: "late in-flight failures cannot extend it"; only the probe may close it.
     circuit = circuit_in(status)
-    assert circuit.judge(outcome(effect, "late"), 1, 5.0) is None
+    assert circuit.record_outcome(outcome(effect, "late"), 1, 5.0) is None
 
 
 def test_a_late_failure_of_an_earlier_generation_is_not_counted_on_a_closed_circuit() -> None:
     circuit = circuit_in(CircuitStatus.AVAILABLE)
     late = AttemptOutcome(attempt_id="a", effect=AttemptEffect.TRANSIENT, started_generation=6)
-    assert circuit.judge(late, 1, 0.0) is None
+    assert circuit.record_outcome(late, 1, 0.0) is None
     misconfigured = AttemptOutcome(
         attempt_id="a", effect=AttemptEffect.CONFIGURATION, started_generation=6
     )
-    assert circuit.judge(misconfigured, 1, 0.0) is None
+    assert circuit.record_outcome(misconfigured, 1, 0.0) is None
 
 
 @pytest.mark.parametrize(
@@ -102,15 +102,15 @@
     effect: AttemptEffect, event: BreakerEvent
 ) -> None:
     circuit = circuit_in(CircuitStatus.HALF_OPEN)
-    assert circuit.judge(outcome(effect, "owner", 6), 3, 1.0) is None
-    assert circuit.judge(outcome(effect, "other", 7), 3, 1.0) is None
-    assert circuit.judge(outcome(effect, "owner", 7), 3, 1.0) is event
+    assert circuit.record_outcome(outcome(effect, "owner", 6), 3, 1.0) is None
+    assert circuit.record_outcome(outcome(effect, "other", 7), 3, 1.0) is None
+    assert circuit.record_outcome(outcome(effect, "owner", 7), 3, 1.0) is event
 
 
 def test_a_probe_past_its_time_cannot_reopen_but_can_close() -> None:
     circuit = circuit_in(CircuitStatus.HALF_OPEN)
-    assert circuit.judge(outcome(AttemptEffect.TRANSIENT, "owner", 7), 3, 10.0) is None
-    success = circuit.judge(outcome(AttemptEffect.SUCCESS, "owner", 7), 3, 10.0)
+    assert circuit.record_outcome(outcome(AttemptEffect.TRANSIENT, "owner", 7), 3, 10.0) is None
+    success = circuit.record_outcome(outcome(AttemptEffect.SUCCESS, "owner", 7), 3, 10.0)
     assert success is BreakerEvent.PROBE_SUCCEEDED
 
 
