--- a/tests/circuit/circuit_builders.py
+++ b/tests/circuit/circuit_builders.py
@@ -1,4 +1,4 @@
-"""Builders for the circuit tests, and a table whose proposals are committed at once."""
+"""Builders for the circuit tests, and a circuit table whose proposals are committed at once."""
 
 import random
 from collections.abc import Sequence
@@ -77,7 +77,7 @@
 
 
 def circuit_in(status: CircuitStatus, duration_seconds: float = 10.0) -> WorkerCircuit:
-    """Return the circuit of worker "w" in a status, at generation 7 after two reopenings."""
+    """Return the circuit of worker "w" in a status, at generation 7 and after two reopenings."""
     circuit = WorkerCircuit("w")
     record = CircuitRecord(
         worker_id="w",
@@ -92,7 +92,7 @@
 
 
 class AgreedTable:
-    """A circuit table with the agreed records of a log that commits every proposal at once."""
+    """Circuit table with the agreed records of a log that commits every proposal at once."""
 
     def __init__(self, workers: Sequence[WorkerRecord], policy: CircuitPolicy = POLICY) -> None:
         self.table = CircuitTable(policy, random.Random(1), term=1)
@@ -129,7 +129,7 @@
     def attempt(
         self, worker_id: str, effect: AttemptEffect, now: float, request_id: str = ""
     ) -> int:
-        """Run one complete attempt on one worker; return the number of its transitions."""
+        """Run one attempt on one worker to its end; return the number of transitions it caused."""
         self.attempts += 1
         attempt_id = f"attempt-{self.attempts}"
         decision = request(attempt_id, stage_candidates([worker_id]), request_id=request_id)
--- a/tests/circuit/test_circuit_breaker.py
+++ b/tests/circuit/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Transitions of a circuit (paper, "Circuit breakers and bounded retries"; design page)."""
+"""Transition table of a circuit (paper, "Circuit breakers and bounded retries"; design page)."""
 
 import random
 
@@ -31,9 +31,9 @@
 def test_cooldown_grows_exponentially_with_jitter_up_to_the_cap() -> None:
     # Design page: "a growing jittered cooldown capped at maxCooldownSeconds 300".
     generator = random.Random(3)
-    drawn = [growing_cooldown_seconds(n, POLICY, generator) for n in range(5)]
-    assert drawn == sorted(drawn)
-    for reopenings, seconds in enumerate(drawn):
+    cooldowns = [growing_cooldown_seconds(n, POLICY, generator) for n in range(5)]
+    assert cooldowns == sorted(cooldowns)
+    for reopenings, seconds in enumerate(cooldowns):
         expected = POLICY.cooldown_seconds * 2.0**reopenings
         assert abs(seconds - expected) <= COOLDOWN_JITTER * expected
     assert len({growing_cooldown_seconds(1, POLICY, generator) for _ in range(9)}) == 9
--- a/tests/circuit/test_circuit_classification.py
+++ b/tests/circuit/test_circuit_classification.py
@@ -1,4 +1,4 @@
-"""Classes of failure (paper, "Circuit breakers and bounded retries"; design page)."""
+"""Classification of outcomes (paper, "Circuit breakers and bounded retries"; design page)."""
 
 import pytest
 
@@ -36,7 +36,7 @@
         (Observed.DEADLINE_BEFORE_SEND, AttemptEffect.GATEWAY),
         (Observed.GATEWAY_FAULT, AttemptEffect.GATEWAY),
         (Observed.HANDLE_EXPIRED, AttemptEffect.GATEWAY),
-        # A failed KV transfer is charged to one side, by evidence.
+        # A failed KV transfer counts against a worker only on evidence.
         (Observed.KV_TRANSFER_CHARGED, AttemptEffect.TRANSIENT),
         (Observed.KV_TRANSFER_UNDECIDED, AttemptEffect.GATEWAY),
         (Observed.SUCCESS, AttemptEffect.SUCCESS),
--- a/tests/circuit/test_circuit_expiring.py
+++ b/tests/circuit/test_circuit_expiring.py
@@ -1,4 +1,4 @@
-"""A set whose keys expire."""
+"""Set whose keys expire a fixed time after they were added."""
 
 from orchidpath.circuit.expiring import ExpiringSet
 
--- a/tests/circuit/test_circuit_fallback.py
+++ b/tests/circuit/test_circuit_fallback.py
@@ -1,4 +1,4 @@
-"""Decisions of a router without the control tier while the leader is slow or lost."""
+"""Local decisions of a router while the leader is slow or unavailable."""
 
 import random
 
@@ -33,7 +33,7 @@
     return CircuitsView(term=1, sequence=sequence, circuits=(record,), capacities=())
 
 
-def cooling(generation: int, duration_seconds: float = 20.0) -> CircuitRecord:
+def cooldown_record(generation: int, duration_seconds: float = 20.0) -> CircuitRecord:
     return CircuitRecord(
         worker_id="a",
         status=CircuitStatus.COOLDOWN,
@@ -42,7 +42,8 @@
     )
 
 
-def fail(fallback: FallbackCircuits, now: float) -> None:
+def open_circuit(fallback: FallbackCircuits, now: float) -> None:
+    """Open the local circuit of worker "a" by transient failures of the router's attempts."""
     for number in range(POLICY.allowed_fails):
         attempt_id = f"fail-{now}-{number}"
         choose(fallback, attempt_id, "a", now)
@@ -51,7 +52,7 @@
 
 def test_the_last_known_circuits_apply() -> None:
     fallback = fallback_of("a", "b")
-    assert fallback.accept_view(view_of(cooling(1), 1), 0.0)
+    assert fallback.accept_view(view_of(cooldown_record(1), 1), 0.0)
     assert choose(fallback, "1", "ab", 19.0) == "b"
     reply = fallback.decide(request("2", stage_candidates(["a"])), 1.0)
     assert reply.rejection is Rejection.CIRCUITS_OPEN
@@ -60,42 +61,43 @@
 
 def test_a_late_or_repeated_view_changes_nothing() -> None:
     fallback = fallback_of("a", "b")
-    assert fallback.accept_view(view_of(cooling(2), 2), 0.0)
-    closed = msgspec.structs.replace(cooling(1), status=CircuitStatus.AVAILABLE)
+    assert fallback.accept_view(view_of(cooldown_record(2), 2), 0.0)
+    closed = msgspec.structs.replace(cooldown_record(1), status=CircuitStatus.AVAILABLE)
     assert not fallback.accept_view(view_of(closed, 1), 1.0)
-    assert not fallback.accept_view(view_of(cooling(2), 2), 1.0)
+    assert not fallback.accept_view(view_of(cooldown_record(2), 2), 1.0)
     assert choose(fallback, "1", "ab", 2.0) == "b"
 
 
 def test_a_newer_view_of_the_same_generation_restarts_no_timer() -> None:
     fallback = fallback_of("a", "b")
     for sequence in range(1, 30):
-        fallback.accept_view(view_of(cooling(1), sequence), float(sequence))
+        fallback.accept_view(view_of(cooldown_record(1), sequence), float(sequence))
     assert choose(fallback, "1", "ab", 42.0) == "a"
 
 
 def test_own_failures_open_an_own_circuit_which_a_newer_agreed_one_replaces() -> None:
     fallback = fallback_of("a", "b")
-    fail(fallback, 0.0)
+    open_circuit(fallback, 0.0)
     assert choose(fallback, "1", "ab", 9.0) == "b"
-    closed = msgspec.structs.replace(cooling(5, 0.0), status=CircuitStatus.AVAILABLE)
+    closed = msgspec.structs.replace(cooldown_record(5, 0.0), status=CircuitStatus.AVAILABLE)
     fallback.accept_view(view_of(closed, 1), 9.0)
     assert choose(fallback, "2", "ab", 9.0) == "a"
 
 
 def test_own_probes_wait_longer_and_one_is_in_flight_at_most() -> None:
-    # The documented exception: a bounded, jittered share instead of the one agreed probe.
+    # Without the leader, each router may run one probe on a worker, after a jittered cooldown of
+    # its own. With the leader, only one probe is granted in the fleet.
     ready: list[float] = []
     for seed in range(5):
         fallback = FallbackCircuits(POLICY, random.Random(seed))
         fallback.set_workers([worker("a"), worker("b")])
-        fail(fallback, 0.0)
+        open_circuit(fallback, 0.0)
         wait = fallback.decide(request("w", stage_candidates(["a"])), 0.0).retry_after_seconds
         assert POLICY.cooldown_seconds <= wait <= 2 * POLICY.cooldown_seconds
         ready.append(wait)
         assert choose(fallback, "probe", "ab", wait) == "a"
         assert choose(fallback, "next", "ab", wait) == "b"
-        # Not even after its expiry, because it may still be running.
+        # No further probe is granted after the first one has expired, because it may still run.
         expired = wait + POLICY.half_open_probe_seconds
         assert choose(fallback, "expired", "ab", expired) == "b"
         fallback.observe([report("probe", "a", AttemptEffect.SUCCESS)], expired)
@@ -105,15 +107,15 @@
 
 def test_a_failed_own_probe_reopens_the_own_circuit() -> None:
     fallback = fallback_of("a", "b")
-    fail(fallback, 0.0)
+    open_circuit(fallback, 0.0)
     assert choose(fallback, "probe", "ab", 20.0) == "a"
     fallback.observe([report("probe", "a", TRANSIENT)], 21.0)
     assert choose(fallback, "next", "ab", 36.9) == "b"
 
 
-def test_an_own_probe_carries_no_fencing_number() -> None:
+def test_an_own_probe_has_no_fencing_token() -> None:
     fallback = fallback_of("a")
-    fail(fallback, 0.0)
+    open_circuit(fallback, 0.0)
     for _ in range(2):
         reply = fallback.decide(request("probe", stage_candidates(["a"])), 20.0)
         assert reply.choices == (Choice(stage=Stage.PLAIN, worker_id="a"),)
@@ -128,7 +130,7 @@
     fallback = fallback_of("a", "b")
     granted = Choice(stage=Stage.PLAIN, worker_id="a", probe_generation=2)
     fallback.register_decided("r", "leader's", [granted], 0.0)
-    fallback.accept_view(view_of(cooling(1), 1), 0.0)
+    fallback.accept_view(view_of(cooldown_record(1), 1), 0.0)
     assert choose(fallback, "1", "ab", 60.0) == "b"
     ended = report("leader's", "a", AttemptEffect.GATEWAY, probe_generation=2)
     fallback.observe([ended], 60.0)
@@ -137,7 +139,7 @@
 
 def test_a_request_takes_one_own_probe_while_the_other_stage_has_a_closed_worker() -> None:
     fallback = fallback_of("a", "b", "c", "d")
-    both = (cooling(1), msgspec.structs.replace(cooling(1), worker_id="c"))
+    both = (cooldown_record(1), msgspec.structs.replace(cooldown_record(1), worker_id="c"))
     fallback.accept_view(CircuitsView(term=1, sequence=1, circuits=both, capacities=()), 0.0)
     per_stage = (
         stage_candidates(["a", "b"], stage=Stage.PREFILL),
@@ -162,9 +164,9 @@
     assert choose(fallback, "3", "a", 10.0) == "a"
 
 
-def test_the_circuit_of_a_worker_not_known_yet_is_retained() -> None:
+def test_the_circuit_of_an_unregistered_worker_is_retained() -> None:
     fallback = fallback_of("b")
-    fallback.accept_view(view_of(cooling(1), 1), 0.0)
+    fallback.accept_view(view_of(cooldown_record(1), 1), 0.0)
     fallback.set_workers([worker("a"), worker("b")])
     assert choose(fallback, "1", "ab", 1.0) == "b"
 
@@ -178,7 +180,7 @@
     tally = counters.tallies[0]
     assert (tally.successes, tally.failures, tally.consecutive_transients) == (1, 0, 0)
     assert [(mark.attempt_id, mark.age_seconds) for mark in counters.in_flight] == [("3", 5.0)]
-    # The leader then counts the report once.
+    # The leader then counts the unacknowledged report once.
     leader = AgreedTable([worker("a")])
     leader.table.rebuild("router", msgspec.structs.replace(counters, term=1), 5.0)
     leader.report(ends[1], 5.0)
--- a/tests/circuit/test_circuit_in_flight.py
+++ b/tests/circuit/test_circuit_in_flight.py
@@ -1,4 +1,4 @@
-"""Attempts in flight (paper, "How each metric is measured")."""
+"""Register of attempts in flight (paper, "How each metric is measured")."""
 
 from orchidpath.circuit.in_flight import InFlightRegister, Registration
 from orchidpath.wire.messages import Choice
--- a/tests/circuit/test_circuit_own_probes.py
+++ b/tests/circuit/test_circuit_own_probes.py
@@ -1,4 +1,4 @@
-"""Probes that run in a router's own attempts."""
+"""Probes that are run by a router's own attempts."""
 
 import pytest
 
--- a/tests/circuit/test_circuit_properties.py
+++ b/tests/circuit/test_circuit_properties.py
@@ -18,14 +18,14 @@
 
 WORKERS = ("a", "b")
 SENSITIVE_POLICY = msgspec.structs.replace(POLICY, allowed_fails=2)
-REMEMBERED_SECONDS = 600.0
+RETENTION_SECONDS = 600.0
 OPEN = {CircuitStatus.COOLDOWN, CircuitStatus.QUARANTINED}
 ORDERS = st.sampled_from([("a",), ("a", "b"), ("b", "a")])
 EFFECTS = st.sampled_from([AttemptEffect.TRANSIENT] * 4 + list(AttemptEffect))
 
 
 class Attempt:
-    """An attempt as recorded by the model."""
+    """Attempt as recorded by the model."""
 
     def __init__(self, request_id: str, attempt_id: str, worker_id: str, at: float) -> None:
         self.request_id = request_id
@@ -35,7 +35,7 @@
         self.probe_generation: int | None = None
         self.started_generation = 0
 
-    def ends(self, effect: AttemptEffect) -> AttemptReport:
+    def end_report(self, effect: AttemptEffect) -> AttemptReport:
         return report_of(
             self.attempt_id,
             self.worker_id,
@@ -46,7 +46,10 @@
 
 
 class TableMachine(RuleBasedStateMachine):
-    """Checks the rules against a model that records only requests and committed transitions."""
+    """State machine that checks the table against a model.
+
+    The model records only requests and committed transitions.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -68,11 +71,13 @@
         self.number += not same_request
         self.attempts += 1
         attempt_id = f"attempt-{self.attempts}"
-        self.ask(request(attempt_id, stage_candidates(order), request_id=f"request-{self.number}"))
+        self.request_decision(
+            request(attempt_id, stage_candidates(order), request_id=f"request-{self.number}")
+        )
 
     @rule(order=ORDERS)
     def race(self, order: Sequence[str]) -> None:
-        """Two requests decide before the transition of either is committed."""
+        """Let two attempts request a decision before the transition of either is committed."""
         self.number += 1
         self.attempts += 2
         decisions = [
@@ -86,11 +91,14 @@
             if isinstance(answer, NeedsTransition):
                 self.commit(answer)
         for decision in decisions:
-            self.ask(decision)
+            self.request_decision(decision)
 
     @rule(order=ORDERS)
     def lose_grant(self, order: Sequence[str]) -> None:
-        """A probe is granted and its owner never reports."""
+        """Commit the transition that a decision needs; the attempt never repeats its request.
+
+        If the transition grants a probe, the owner of the probe never reports.
+        """
         self.attempts += 1
         answer = self.agreed.table.decide(
             request(f"attempt-{self.attempts}", stage_candidates(order)), self.now
@@ -100,7 +108,7 @@
         else:
             self.start(request(f"attempt-{self.attempts}", stage_candidates(order)), answer)
 
-    def ask(self, decision: DecisionRequest) -> None:
+    def request_decision(self, decision: DecisionRequest) -> None:
         answer = self.agreed.table.decide(decision, self.now)
         if isinstance(answer, NeedsTransition):
             self.commit(answer)
@@ -123,7 +131,7 @@
             self.take_probe(worker_id, record)
 
     def take_probe(self, worker_id: str, record: CircuitRecord) -> None:
-        """Never two owners at once: a grant before the expiry of another is a fault."""
+        """Record a granted probe and check that no other probe of the worker is still valid."""
         for generation, until in self.probes[worker_id]:
             assert generation < record.generation
             assert until <= self.now
@@ -164,12 +172,13 @@
 
     def finish(self, attempt: Attempt, effect: AttemptEffect) -> None:
         self.running.remove(attempt)
-        self.ended.append(attempt.ends(effect))
+        self.ended.append(attempt.end_report(effect))
         before = self.agreed.circuits.get(attempt.worker_id)
         is_counted = self.count(self.ended[-1], repeated=False)
-        is_remembered = attempt.started_at + POLICY.in_flight_ttl_seconds > self.now
-        if is_counted and is_remembered:
-            # A failure begun on an earlier generation is late.
+        is_registered = attempt.started_at + POLICY.in_flight_ttl_seconds > self.now
+        if is_counted and is_registered:
+            # A failure of an attempt that started on an earlier generation is late and must not be
+            # counted.
             assert attempt.started_generation == (before.generation if before is not None else 0)
 
     @precondition(lambda self: self.ended)
@@ -178,7 +187,7 @@
         self.count(data.draw(st.sampled_from(self.ended)), repeated=True)
 
     def count(self, ended: AttemptReport, *, repeated: bool) -> bool:
-        """Report an end; return whether it was counted as a failure of a closed circuit."""
+        """Report an attempt; return whether it was counted as a failure of a closed circuit."""
         worker_id = ended.worker_id
         before = self.agreed.circuits.get(worker_id)
         failures_before = self.failures(worker_id)
@@ -189,21 +198,22 @@
             assert count == 0
             assert self.agreed.table.view(self.now) == view_before
         if before is not None and before.status in OPEN:
-            # Late failures never extend, and late successes never close.
+            # A late failure never extends the opening, and a late success never closes the circuit.
             assert after == before
         if before is not None and before.status is CircuitStatus.HALF_OPEN and after != before:
             assert before.probe_owner == ended.attempt_id
-            is_lapsed = self.probes[worker_id][-1][1] <= self.now
-            assert ended.effect is AttemptEffect.SUCCESS or not is_lapsed
+            has_expired = self.probes[worker_id][-1][1] <= self.now
+            assert ended.effect is AttemptEffect.SUCCESS or not has_expired
             self.release_probe(worker_id, before.generation)
         is_closed = before is None or before.status is CircuitStatus.AVAILABLE
         is_failure = ended.effect is AttemptEffect.TRANSIENT
         has_opened = is_closed and is_failure and count == 1
         is_counted = has_opened or self.failures(worker_id) > failures_before
         if is_counted:
-            # Counted at most once for each request and worker, as long as that is remembered.
+            # A failure is counted at most once for each request and worker within the retention
+            # time.
             key = (ended.request_id, worker_id)
-            assert self.now - self.charged_at.get(key, -math.inf) >= REMEMBERED_SECONDS
+            assert self.now - self.charged_at.get(key, -math.inf) >= RETENTION_SECONDS
             self.charged_at[key] = self.now
         return is_counted
 
@@ -218,13 +228,13 @@
 
     @invariant()
     def in_flight_never_leaks(self) -> None:
-        alive = [
+        unexpired = [
             attempt.worker_id
             for attempt in self.running
             if attempt.started_at + POLICY.in_flight_ttl_seconds > self.now
         ]
         for name in WORKERS:
-            assert self.agreed.in_flight(name, self.now) == alive.count(name)
+            assert self.agreed.in_flight(name, self.now) == unexpired.count(name)
 
     @invariant()
     def health_is_a_share(self) -> None:
--- a/tests/circuit/test_circuit_table.py
+++ b/tests/circuit/test_circuit_table.py
@@ -1,4 +1,4 @@
-"""Decisions of the control leader (paper, "Circuit breakers and bounded retries"; design page)."""
+"""Circuit table of the leader (paper, "Circuit breakers and bounded retries"; design page)."""
 
 import msgspec
 import pytest
@@ -36,7 +36,7 @@
         assert table.decide(attempt, 0.0).choices[0].worker_id == expected
 
 
-def test_a_busy_untried_worker_still_comes_before_a_reuse() -> None:
+def test_a_loaded_untried_worker_still_comes_before_a_reuse() -> None:
     table = table_of("a", "b")
     for number in range(5):
         table.choose(f"busy-{number}", ["b"], 0.0)
@@ -113,12 +113,13 @@
 def test_a_probe_follows_preference_order_and_needs_a_remaining_retry() -> None:
     table = table_of("a", "b", "c")
     table.open("b", 0.0)
-    # Not the next in preference order.
+    # Worker b is not the next in preference order, so it is not probed.
     assert table.choose("1", ["a", "b", "c"], 10.0) == "a"
-    # The next one, but no untried closed worker would remain: the closed one is reused.
+    # Worker b is the next one, but no untried closed worker would remain for a retry. The closed
+    # worker is reused.
     no_retry = request("2", stage_candidates(["b", "a"], ["a"]))
     assert table.decide(no_retry, 10.0).choices[0].worker_id == "a"
-    # The next one, and a closed worker remains.
+    # Worker b is the next one, and a closed worker remains for a retry.
     assert table.choose("3", ["b", "a"], 10.0) == "b"
 
 
@@ -182,7 +183,7 @@
     assert table.choose("2", ["b", "a"], 10.0) == "a"
 
 
-def test_a_capacity_circuit_covers_its_whole_domain_and_nothing_else() -> None:
+def test_a_capacity_circuit_covers_all_workers_of_its_domain_and_no_others() -> None:
     # Paper: "A provider 429 opens one capacity circuit for every deployment with the same value".
     table = AgreedTable([worker("a", domain="d"), worker("b", domain="d"), worker("c")])
     assert table.throttle("d", 5.0, 0.0)
@@ -223,8 +224,8 @@
     table = table_of("a")
     ended = [report(str(number), "a", TRANSIENT) for number in range(2)]
     for _ in range(3):
-        for each in ended:
-            assert table.report(each, 0.0) == 0
+        for ended_report in ended:
+            assert table.report(ended_report, 0.0) == 0
     assert table.table.view(0.0)[0].transient_failures == 2
     assert table.health("a", 0.0) == 0.0
 
@@ -238,7 +239,7 @@
     for number in range(2):
         assert table.report(report(f"late-{number}", "a", effect), 5.0) == 0
     assert table.attempt("a", SUCCESS, 10.0) == 1
-    # Nor do they count once the circuit has closed again.
+    # They do not count after the circuit has closed again, either.
     for number in range(2, 4):
         assert table.report(report(f"late-{number}", "a", effect), 11.0) == 0
     assert table.table.view(11.0)[0].transient_failures == 0
@@ -260,7 +261,7 @@
     assert (table.in_flight("a", 1.0), table.in_flight("b", 1.0)) == (1, 0)
     table.report(report("1", "a", SUCCESS), 2.0)
     assert table.in_flight("a", 2.0) == 0
-    # A duplicate that arrives after the end registers nothing.
+    # A duplicate that arrives after the attempt has ended registers nothing.
     assert table.decide(request("1", stage_candidates(["a"])), 3.0).choices == ()
     assert table.in_flight("a", 3.0) == 0
     table.choose("2", ["a"], 3.0)
@@ -280,7 +281,7 @@
 
 
 def test_a_new_incarnation_starts_with_a_closed_circuit_without_earlier_charges() -> None:
-    # A failure must not be charged to another incarnation.
+    # A failure of the former process must not count against the new one.
     table = table_of("a")
     table.choose("old", ["a"], 0.0)
     table.open("a", 0.0)
@@ -289,7 +290,7 @@
     assert (table.health("a", 1.0), table.in_flight("a", 1.0)) == (0.5, 0)
     assert table.report(report("old", "a", AttemptEffect.CONFIGURATION), 1.0) == 0
     assert table.health("a", 1.0) == 0.5
-    # The generation continues, so that the log accepts the next opening.
+    # The generation continues, so the log accepts the next opening.
     table.open("a", 2.0)
     assert table.status("a", 2.0) == "cooldown"
 
@@ -303,7 +304,7 @@
     assert table.status("a", 5.0) == "cooldown"
 
 
-def test_an_agreed_circuit_of_a_worker_that_is_not_there_shows_no_worker() -> None:
+def test_an_agreed_circuit_of_an_unregistered_worker_is_not_in_the_view() -> None:
     table = table_of("a", "b")
     table.open("a", 0.0)
     later = table_of("b")
@@ -352,9 +353,9 @@
     table.throttle("d", 5.0, 0.0)
     view = table.table.circuits_view(4.0, sequence=3)
     assert (view.term, view.sequence) == (1, 3)
-    assert [(each.worker_id, each.duration_seconds) for each in view.circuits] == [("b", 6.0)]
-    assert [each.duration_seconds for each in view.capacities] == [1.0]
-    waits = [each.retry_after_ms for each in table.table.view(4.0)]
+    assert [(record.worker_id, record.duration_seconds) for record in view.circuits] == [("b", 6.0)]
+    assert [record.duration_seconds for record in view.capacities] == [1.0]
+    waits = [worker_view.retry_after_ms for worker_view in table.table.view(4.0)]
     assert waits == [1000, 6000]
     assert table.status("b", 10.0) == "half_open"
 
--- a/tests/circuit/test_circuit_throttle.py
+++ b/tests/circuit/test_circuit_throttle.py
@@ -1,4 +1,4 @@
-"""Throttles derived from rejections and delays."""
+"""Throttles of failure domains, derived from rejections and delays."""
 
 import random
 
@@ -19,7 +19,10 @@
 def reject(
     detector: ThrottleDetector, worker_ids: str, now: float, prefix: str = "r"
 ) -> list[CapacityObserved]:
-    """Reject one distinct request on each worker named by a letter, in turn."""
+    """Record the rejection of a distinct request by each worker in turn.
+
+    Each letter of ``worker_ids`` names a worker. Returns the throttles that were derived.
+    """
     derived = [
         detector.observe_refusal(name, f"{prefix}-{number}", now)
         for number, name in enumerate(worker_ids)
@@ -27,7 +30,7 @@
     return [observed for observed in derived if observed is not None]
 
 
-def warm(detector: ThrottleDetector, worker_ids: str, now: float) -> None:
+def warm_up_baseline(detector: ThrottleDetector, worker_ids: str, now: float) -> None:
     for number in range(2 * BASELINE_SAMPLES_MINIMUM):
         for name in worker_ids:
             assert detector.observe_delay(name, f"warm-{number}", 0.1, now) is None
@@ -48,14 +51,14 @@
     assert len(reject(detector_of("a"), "aaa", 0.0)) == 1
 
 
-def test_one_rejection_elsewhere_does_not_make_a_slow_worker_a_full_domain() -> None:
+def test_one_rejection_by_another_worker_does_not_throttle_the_domain_of_a_slow_worker() -> None:
     detector = detector_of("a", "b")
     for number in range(10):
         assert detector.observe_delay("b", f"fine-{number}", 0.1, 0.0) is None
     assert reject(detector, "aaaaaab", 0.0) == []
 
 
-def test_retries_of_one_request_prove_nothing() -> None:
+def test_retries_of_one_request_are_not_enough_evidence() -> None:
     detector = detector_of("a", "b", "c")
     for name in "abcabcabc":
         assert detector.observe_refusal(name, "same", 0.0) is None
@@ -63,12 +66,12 @@
 
 def test_delays_count_against_the_domains_own_baseline() -> None:
     detector = detector_of("a", "b")
-    warm(detector, "ab", 0.0)
+    warm_up_baseline(detector, "ab", 0.0)
     delays = [detector.observe_delay(name, f"s-{i}", 2.0, 20.0) for i, name in enumerate("abab")]
     assert delays == [None] * 4
     more = [detector.observe_delay(name, f"t-{i}", 2.0, 20.0) for i, name in enumerate("ab")]
     assert more[1] is not None
-    # The same delay is no evidence where it is the baseline.
+    # The same delay is no evidence in a domain whose baseline it is.
     slow = detector_of("a", "b")
     for number in range(60):
         assert slow.observe_delay("ab"[number % 2], f"r-{number}", 2.0, 0.0) is None
@@ -76,11 +79,11 @@
 
 def test_a_rejection_has_more_weight_than_a_delay() -> None:
     detector = detector_of("a", "b")
-    warm(detector, "ab", 0.0)
+    warm_up_baseline(detector, "ab", 0.0)
     for number, name in enumerate("aba"):
         assert detector.observe_delay(name, f"s-{number}", 2.0, 20.0) is None
     rejecting = detector_of("a", "b")
-    warm(rejecting, "ab", 0.0)
+    warm_up_baseline(rejecting, "ab", 0.0)
     assert len(reject(rejecting, "aba", 20.0)) == 1
 
 
@@ -93,14 +96,14 @@
 def test_a_throttle_does_not_oscillate() -> None:
     detector = detector_of("a", "b")
     first = reject(detector, "aba", 0.0)[0]
-    # Evidence before the retry time belongs to the same throttle.
+    # Rejections before the retry time has passed belong to the same throttle.
     assert reject(detector, "abababab", first.retry_after_seconds - 0.1, "late") == []
-    # Afterwards a further throttle needs complete evidence again.
+    # After that, a further throttle requires complete evidence again.
     end = first.retry_after_seconds
     assert reject(detector, "ab", end, "single") == []
     second = reject(detector, "aba", end, "again")[0]
     assert second.retry_after_seconds > 1.5 * first.retry_after_seconds
-    # A quiet period resets the growth.
+    # A quiet period resets the growth of the retry time.
     calm = reject(detector, "aba", end + 100.0, "calm")[0]
     assert calm.retry_after_seconds <= POLICY.throttle_cooldown_seconds * 1.25
 
--- a/tests/circuit/test_circuit_timed_record.py
+++ b/tests/circuit/test_circuit_timed_record.py
@@ -1,4 +1,4 @@
-"""The timer of an agreed record."""
+"""Timer of an agreed record."""
 
 import pytest
 
--- a/tests/circuit/test_circuit_transitions.py
+++ b/tests/circuit/test_circuit_transitions.py
@@ -1,4 +1,4 @@
-"""Applying transitions of the replicated log."""
+"""Application of the transitions that the replicated log has committed."""
 
 from orchidpath.circuit.transitions import (
     CapacityTransition,
--- a/tests/circuit/test_circuit_worker_circuit.py
+++ b/tests/circuit/test_circuit_worker_circuit.py
@@ -1,4 +1,4 @@
-"""The circuit of one worker: admission, outcomes and timer."""
+"""Circuit of one worker: admission, outcomes and timer."""
 
 import random
 
@@ -98,7 +98,7 @@
         (AttemptEffect.GATEWAY, BreakerEvent.PROBE_RETURNED),
     ],
 )
-def test_only_the_owner_under_its_fencing_number_decides_the_probe(
+def test_only_the_owner_with_its_fencing_token_decides_the_probe(
     effect: AttemptEffect, event: BreakerEvent
 ) -> None:
     circuit = circuit_in(CircuitStatus.HALF_OPEN)
@@ -127,7 +127,7 @@
     assert circuit_in(CircuitStatus.AVAILABLE).admission("a", 0.0) is Admission.CLOSED
 
 
-def test_a_record_adopted_again_restarts_no_timer() -> None:
+def test_a_record_applied_again_restarts_no_timer() -> None:
     circuit = circuit_in(CircuitStatus.COOLDOWN)
     assert not circuit.accept(circuit.record, 9.0)
     assert circuit.wait_seconds(10.0) == 0.0
@@ -146,7 +146,8 @@
     assert circuit.set_incarnation("new")
     assert circuit.admission("a", 1.0) is Admission.CLOSED
     assert circuit.record.generation == 4
-    # A new leader that learns the record after the process agrees.
+    # The result is the same when a new leader receives the record after the new process has
+    # registered.
     later = WorkerCircuit("w", "new")
     later.accept(opened, 0.0)
     assert later.admission("a", 1.0) is Admission.CLOSED
