--- a/src/orchidpath/circuit/capacity.py
+++ b/src/orchidpath/circuit/capacity.py
@@ -75,9 +75,9 @@
         bool
             True when the record was new.
         """
-        known = self._openings.get(record.failure_domain)
-        if known is not None:
-            return known.accept(record, now)
+        current = self._openings.get(record.failure_domain)
+        if current is not None:
+            return current.accept(record, now)
         opening = TimedRecord(record, now + record.duration_seconds)
         self._openings[record.failure_domain] = opening
         return True
@@ -96,11 +96,11 @@
         now
             Monotonic time in seconds.
         """
-        known = self._openings.get(failure_domain)
-        if known is None:
-            known = TimedRecord(initial_capacity(failure_domain), now)
-            self._openings[failure_domain] = known
-        known.expires_at = max(known.expires_at, now + retry_after_seconds)
+        current = self._openings.get(failure_domain)
+        if current is None:
+            current = TimedRecord(initial_capacity(failure_domain), now)
+            self._openings[failure_domain] = current
+        current.expires_at = max(current.expires_at, now + retry_after_seconds)
 
     def wait_seconds(self, failure_domain: str, now: float) -> float:
         """Return the time until the workers of a domain may be tried.
@@ -149,8 +149,8 @@
         is_usable = math.isfinite(retry_after_seconds) and retry_after_seconds > 0
         if not is_usable or self.wait_seconds(observed.failure_domain, now) > 0:
             return None
-        known = self._openings.get(observed.failure_domain)
-        generation = known.record.generation if known is not None else 0
+        current = self._openings.get(observed.failure_domain)
+        generation = current.record.generation if current is not None else 0
         return CapacityTransition(
             failure_domain=observed.failure_domain,
             expected_generation=generation,
--- a/src/orchidpath/circuit/classification.py
+++ b/src/orchidpath/circuit/classification.py
@@ -68,8 +68,7 @@
 OBSERVED_EFFECTS = MappingProxyType(
     {
         Observed.SUCCESS: AttemptEffect.SUCCESS,
-        # Transient (paper): timeouts, network failures, malformed protocol, a missing terminal
-        # event.
+        # Transient (paper): timeouts, network failures, malformed protocol, no terminal event.
         Observed.CONNECT_FAILED: AttemptEffect.TRANSIENT,
         Observed.CONNECTION_RESET: AttemptEffect.TRANSIENT,
         Observed.TIMED_OUT: AttemptEffect.TRANSIENT,
--- a/src/orchidpath/circuit/deciding_circuits.py
+++ b/src/orchidpath/circuit/deciding_circuits.py
@@ -105,7 +105,7 @@
     def _propose(
         self, worker_id: str, event: BreakerEvent, attempt_id: str = ""
     ) -> CircuitTransition | None:
-        """Return the transition that an event causes; None if there is none or no such worker."""
+        """Return the transition that an event causes, or None, also for an unknown worker."""
         worker = self._counters.registry.get(worker_id)
         if worker is None:
             return None
--- a/src/orchidpath/circuit/expiring.py
+++ b/src/orchidpath/circuit/expiring.py
@@ -1,8 +1,8 @@
 """Set whose keys expire a fixed time after they were added.
 
-All tables of this package whose keys have the same time to live use it. Two similar structures do
-not use it: :mod:`orchidpath.circuit.in_flight`, whose deadlines come in any order and require a
-heap, and the sliding windows of :mod:`orchidpath.circuit.worker_health` and
+All tables of this package whose keys have the same time to live use this set. Two similar
+structures do not: :mod:`orchidpath.circuit.in_flight`, whose deadlines come in any order and
+require a heap, and the sliding windows of :mod:`orchidpath.circuit.worker_health` and
 :mod:`orchidpath.circuit.throttle`, which are only summed and need no lookup by key.
 """
 
--- a/src/orchidpath/circuit/fallback.py
+++ b/src/orchidpath/circuit/fallback.py
@@ -206,7 +206,7 @@
                 self._apply_local_transition(report.worker_id, event, now)
 
     def observe_capacity(self, observed: CapacityObserved, now: float) -> None:
-        """Apply a throttle that the router derived, before the log has agreed it.
+        """Apply a throttle that the router derived, before it is committed through the log.
 
         Parameters
         ----------
@@ -288,9 +288,9 @@
         return granted
 
     def _apply_agreed_circuit(self, record: CircuitRecord, now: float) -> None:
-        """Apply an agreed circuit; one of a generation already applied changes nothing.
+        """Apply an agreed circuit, unless its generation is the one that was applied last.
 
-        Local transitions since that generation are therefore retained, and its timer continues.
+        Local transitions made since then are therefore retained, and running timers continue.
         """
         if self._agreed_generations.get(record.worker_id) == record.generation:
             return
@@ -340,7 +340,7 @@
 
 
 def _without_probes(reply: DecisionReply) -> DecisionReply:
-    """Return the reply without fencing tokens, because only the leader may issue a token."""
+    """Return the reply without fencing tokens, because only the leader issues valid tokens."""
     choices = tuple(
         msgspec.structs.replace(choice, probe_generation=None) for choice in reply.choices
     )
--- a/src/orchidpath/circuit/throttle_evidence.py
+++ b/src/orchidpath/circuit/throttle_evidence.py
@@ -176,12 +176,12 @@
 
     A request counts once on each worker, with the largest weight of its samples.
     """
-    heaviest: dict[RequestWorker, int] = {}
+    largest_weights: dict[RequestWorker, int] = {}
     for sample in samples:
         key = RequestWorker(sample.request_id, sample.worker_id)
-        heaviest[key] = max(heaviest.get(key, 0), sample.weight)
+        largest_weights[key] = max(largest_weights.get(key, 0), sample.weight)
     by_worker: dict[str, _WorkerEvidence] = {}
-    for key, weight in heaviest.items():
+    for key, weight in largest_weights.items():
         evidence = by_worker.setdefault(key.worker_id, _WorkerEvidence())
         evidence.observed += 1
         evidence.weight += weight
--- a/tests/circuit/test_circuit_properties.py
+++ b/tests/circuit/test_circuit_properties.py
@@ -177,8 +177,7 @@
         is_counted = self.count(self.ended[-1], repeated=False)
         is_registered = attempt.started_at + POLICY.in_flight_ttl_seconds > self.now
         if is_counted and is_registered:
-            # A failure of an attempt that started on an earlier generation is late and must not be
-            # counted.
+            # The failure of an attempt started on an earlier generation is late and not counted.
             assert attempt.started_generation == (before.generation if before is not None else 0)
 
     @precondition(lambda self: self.ended)
@@ -210,8 +209,7 @@
         has_opened = is_closed and is_failure and count == 1
         is_counted = has_opened or self.failures(worker_id) > failures_before
         if is_counted:
-            # A failure is counted at most once for each request and worker within the retention
-            # time.
+            # A failure counts at most once for each request and worker in the retention time.
             key = (ended.request_id, worker_id)
             assert self.now - self.charged_at.get(key, -math.inf) >= RETENTION_SECONDS
             self.charged_at[key] = self.now
--- a/tests/circuit/test_circuit_worker_circuit.py
+++ b/tests/circuit/test_circuit_worker_circuit.py
@@ -146,8 +146,7 @@
     assert circuit.set_incarnation("new")
     assert circuit.admission("a", 1.0) is Admission.CLOSED
     assert circuit.record.generation == 4
-    # The result is the same when a new leader receives the record after the new process has
-    # registered.
+    # A new leader that receives the record after the process gets the same result.
     later = WorkerCircuit("w", "new")
     later.accept(opened, 0.0)
     assert later.admission("a", 1.0) is Admission.CLOSED
