--- a/src/orchidpath/control/leadership/attempt_decisions.py
+++ b/src/orchidpath/control/leadership/attempt_decisions.py
@@ -80,7 +80,9 @@
         self.refresh_workers()
         router = self._state.find_router(router_id)
         router_zone = router.zone if router is not None else ""
-        request = self._prefill_placement.order(request, self._circuits.in_flight, now, router_zone)
+        request = self._prefill_placement.order_candidates(
+            request, self._circuits.in_flight, now, router_zone
+        )
         postponed_seconds = self._prefill_placement.postponed_seconds(request, now)
         if postponed_seconds > 0:
             self._output.send(router_id, self._postponed_reply(request, postponed_seconds))
@@ -94,7 +96,7 @@
     def receive_reports(self, router_id: str, reports: AttemptReports, now: float) -> None:
         """Count reports, propose the transitions they cause, and acknowledge them."""
         self.refresh_workers()
-        self._prefill_placement.reported(reports.reports, now)
+        self._prefill_placement.record_reports(reports.reports, now)
         for transition in self._circuits.report(reports.reports, now):
             self._output.propose(CircuitChanged(transition=transition))
         self._output.send(
@@ -190,7 +192,9 @@
             decision.reply,
             correlation=request.correlation,
             term=self._term,
-            expected_read_seconds=self._prefill_placement.decided(request, decision.reply, now),
+            expected_read_seconds=self._prefill_placement.record_decision(
+                request, decision.reply, now
+            ),
         )
 
     def _await_transition(
--- a/src/orchidpath/placement/prefill_placement.py
+++ b/src/orchidpath/placement/prefill_placement.py
@@ -108,8 +108,8 @@
 
     Notes
     -----
-    ``order``, ``postponed_seconds`` and ``decided`` are called in this order for each decision
-    request, ``reported`` for each batch of reports.
+    ``order_candidates``, ``postponed_seconds`` and ``record_decision`` are called in this order
+    for each decision request, ``record_reports`` for each batch of reports.
     """
 
     def __init__(self) -> None:
@@ -145,7 +145,7 @@
         """Return the tokens that a worker has queued for prefill, as far as is known."""
         return self._queues.waiting_tokens(worker_id)
 
-    def order(
+    def order_candidates(
         self,
         request: DecisionRequest,
         in_flight: Callable[[str], int],
@@ -189,7 +189,7 @@
         pair_cost = self._pair_cost(prefill, prompt, in_flight)
         return msgspec.structs.replace(request, per_stage=(prefill, _sorted(decode, pair_cost)))
 
-    def decided(self, request: DecisionRequest, reply: DecisionReply, now: float) -> float:
+    def record_decision(self, request: DecisionRequest, reply: DecisionReply, now: float) -> float:
         """Record where a prompt is going to be prefilled, and which workers will cache it.
 
         Returns
@@ -228,7 +228,7 @@
         Parameters
         ----------
         request
-            A request in the order of :meth:`order`.
+            A request in the order of :meth:`order_candidates`.
         now
             Monotonic seconds.
         """
@@ -249,7 +249,7 @@
         remaining_seconds = min(expected_end - now, MAX_POSTPONEMENT_SECONDS)
         return max(remaining_seconds, MIN_POSTPONEMENT_SECONDS)
 
-    def reported(self, reports: Sequence[AttemptReport], now: float) -> None:
+    def record_reports(self, reports: Sequence[AttemptReport], now: float) -> None:
         """Record prefills that have ended."""
         for report in reports:
             attempt_id = report.attempt_id.removesuffix(PREFILL_DONE_SUFFIX)
--- a/tests/placement/test_prefill_placement.py
+++ b/tests/placement/test_prefill_placement.py
@@ -59,12 +59,12 @@
     in_flight: Callable[[str], int] = idle,
 ) -> dict[Stage, str]:
     """Choose the first candidate of each stage, as with closed circuits."""
-    ordered = placement.order(decision_request, in_flight, now)
+    ordered = placement.order_candidates(decision_request, in_flight, now)
     choices = tuple(
         Choice(stage=stage_candidates.stage, worker_id=stage_candidates.candidates[0])
         for stage_candidates in ordered.per_stage
     )
-    placement.decided(ordered, DecisionReply(correlation=0, term=1, choices=choices), now)
+    placement.record_decision(ordered, DecisionReply(correlation=0, term=1, choices=choices), now)
     return {choice.stage: choice.worker_id for choice in choices}
 
 
@@ -77,7 +77,7 @@
         worker_id=worker_id,
         effect=AttemptEffect.GATEWAY,
     )
-    placement.reported([report], now)
+    placement.record_reports([report], now)
 
 
 def test_a_new_leader_follows_the_ring() -> None:
@@ -229,7 +229,7 @@
     may_wait: bool = True,
 ) -> float:
     decision_request = msgspec.structs.replace(decision_request, may_wait=may_wait)
-    return placement.postponed_seconds(placement.order(decision_request, idle, now), now)
+    return placement.postponed_seconds(placement.order_candidates(decision_request, idle, now), now)
 
 
 def test_a_second_prompt_is_postponed_while_its_prefix_is_being_prefilled() -> None:
@@ -258,7 +258,7 @@
         worker_id="p1",
         effect=AttemptEffect.TRANSIENT,
     )
-    placement.reported([failed], 0.2)
+    placement.record_reports([failed], 0.2)
     assert postponed_seconds(placement, request(2), 0.21) == 0.0
 
 
@@ -269,7 +269,7 @@
     assert postponed_seconds(placement, request(3), 0.01) > 0
     for number in range(10, 14):
         place(placement, request(number, prefix=number, own=60_000, ring=("p2",)))
-    ordered = placement.order(request(4), idle, 0.02)
+    ordered = placement.order_candidates(request(4), idle, 0.02)
     assert ordered.per_stage[0].candidates[0] == "p3"
 
 
@@ -325,7 +325,7 @@
 
     def first(decision_request: DecisionRequest, near_load: int = 0, zone: str = "z2") -> str:
         loads = {"near": near_load}
-        ordered = placement.order(
+        ordered = placement.order_candidates(
             decision_request, lambda worker_id: loads.get(worker_id, 0), 0.0, zone
         )
         return ordered.per_stage[0].candidates[0]
