--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -58,14 +58,14 @@
 class Unusable(msgspec.Struct, kw_only=True):
     """Since when an incarnation is to get no new order.
 
-    ``in_force_at`` is when a majority of the witnesses had adopted that: a leader that is
+    ``majority_adopted_at`` is when a majority of the witnesses had adopted that: a leader that is
     partitioned from them may have applied it long before, and the fleet's rule counts from here
     (docs/design/freshness.md).
     """
 
     applied_at: float
     revision: int
-    in_force_at: float | None = None
+    majority_adopted_at: float | None = None
 
 
 class RequestCounts(msgspec.Struct, kw_only=True):
@@ -199,13 +199,13 @@
             f"attempts; the budget allows {allowed:.1f}",
         )
 
-    def decided(self, attempt_id: str, choices: tuple[Choice, ...]) -> None:
+    def record_decision(self, attempt_id: str, choices: tuple[Choice, ...]) -> None:
         """Note which workers the leader granted as probes."""
         for choice in choices:
             if choice.probe_generation is not None:
                 self._probe_choices[attempt_id, choice.worker_id] = choice.probe_generation
 
-    def ordered(
+    def check_dispatch(
         self, submission: Submission, router: str, epoch: int, worker: WorkerRecord, attempt_id: str
     ) -> None:
         """Check an order at the moment at which its first byte leaves a router.
@@ -226,7 +226,7 @@
         )
         self._check_probe(worker, attempt_id)
 
-    def heard_draining(self, router: str, epoch: int, record: WorkerRecord) -> None:
+    def record_announcement(self, router: str, epoch: int, record: WorkerRecord) -> None:
         """Record what a worker told a router of itself."""
         key = (router, epoch, record.worker_id, record.incarnation)
         if record.status is WorkerStatus.READY:
@@ -234,7 +234,7 @@
         else:
             self._heard_draining.add(key)
 
-    def agreed(self, revision: int, workers: tuple[WorkerRecord, ...]) -> None:
+    def record_applied_view(self, revision: int, workers: tuple[WorkerRecord, ...]) -> None:
         """Note which workers may get orders, as the control tier has just applied it."""
         now = self._world.time
         usable = {
@@ -251,13 +251,13 @@
                 self._unusable.setdefault(key, Unusable(applied_at=now, revision=revision))
         self._agreed = present
 
-    def in_force(self, revision: int) -> None:
+    def record_majority_adoption(self, revision: int) -> None:
         """Record that a majority of the witnesses has adopted a revision."""
         for unusable in self._unusable.values():
-            if unusable.in_force_at is None and unusable.revision <= revision:
-                unusable.in_force_at = self._world.time
+            if unusable.majority_adopted_at is None and unusable.revision <= revision:
+                unusable.majority_adopted_at = self._world.time
 
-    def reported(self, submission: Submission, report: AttemptReport) -> None:
+    def check_report(self, submission: Submission, report: AttemptReport) -> None:
         """Check what a router is about to count against a worker."""
         if report.effect is not AttemptEffect.TRANSIENT:
             return
@@ -328,7 +328,7 @@
         unusable = self._unusable.get(key)
         if unusable is None:
             return
-        since = unusable.applied_at if self.witnesses_reachable else unusable.in_force_at
+        since = unusable.applied_at if self.witnesses_reachable else unusable.majority_adopted_at
         if since is None:
             return
         late = self._world.time - since
--- a/src/orchidpath/simulation/requests/served_request.py
+++ b/src/orchidpath/simulation/requests/served_request.py
@@ -151,7 +151,7 @@
             case events.StartTimer():
                 self._start_timer(instruction)
             case events.Report():
-                self._history.reported(self._submission, instruction.report)
+                self._history.check_report(self._submission, instruction.report)
                 entry = self._trace.ended(instruction)
                 self._router.decisions.report(instruction.report, entry)
             case _:
@@ -208,7 +208,7 @@
 
     def _decided(self, decided: events.DecisionMade | events.NoCandidates) -> None:
         if isinstance(decided, events.DecisionMade):
-            self._history.decided(decided.attempt_id, decided.reply.choices)
+            self._history.record_decision(decided.attempt_id, decided.reply.choices)
         self._router.after(0.0, lambda: self._post(decided))
 
     def _start_timer(self, instruction: events.StartTimer) -> None:
@@ -249,7 +249,7 @@
             return
         backend = open_server(exchange)
         assert isinstance(backend, SimulatedBackend)
-        self._history.ordered(
+        self._history.check_dispatch(
             self._submission,
             self._router.address,
             self._router.epoch,
--- a/src/orchidpath/simulation/requests/serving_fleet.py
+++ b/src/orchidpath/simulation/requests/serving_fleet.py
@@ -190,7 +190,7 @@
 
     def _record_agreed(self, view: FleetView) -> None:
         self._agreed_revision = view.revision
-        self.requests.agreed(view.revision, view.workers)
+        self.requests.record_applied_view(view.revision, view.workers)
         self._witnesses = view.witnesses
 
     def _check_in_force(self) -> None:
@@ -209,7 +209,7 @@
         in_force = min((_adopted_by_majority(one, revisions) for one in sets if one), default=0)
         if in_force > self._in_force_revision:
             self._in_force_revision = in_force
-            self.requests.in_force(in_force)
+            self.requests.record_majority_adoption(in_force)
 
 
 def _adopted_by_majority(witnesses: tuple[str, ...], revisions: dict[str, int]) -> int:
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -122,7 +122,7 @@
         if not self.alive or self.frozen:
             return
         if self.access.hear(announcement):
-            self.history.heard_draining(self.address, self.epoch, announcement.record)
+            self.history.record_announcement(self.address, self.epoch, announcement.record)
             super().announce(announcement)
 
     def on_view_adopted(self, view: FleetView) -> None:
--- a/tests/simulation/test_path_checks.py
+++ b/tests/simulation/test_path_checks.py
@@ -42,7 +42,7 @@
         self.submission = self.history.submitted(request)
 
     def dispatch(self, attempt_id: str = "a") -> None:
-        self.history.ordered(self.submission, "r0", 1, WORKER, attempt_id)
+        self.history.check_dispatch(self.submission, "r0", 1, WORKER, attempt_id)
 
 
 @pytest.fixture
@@ -102,9 +102,9 @@
 def test_a_dispatch_too_long_after_the_draining_or_removal_was_applied_is_detected(
     observed: ObservedSubmission, status: WorkerStatus
 ) -> None:
-    observed.history.agreed(1, (WORKER,))
+    observed.history.record_applied_view(1, (WORKER,))
     changed = msgspec.structs.replace(WORKER, status=status)
-    observed.history.agreed(2, () if status is WorkerStatus.GONE else (changed,))
+    observed.history.record_applied_view(2, () if status is WorkerStatus.GONE else (changed,))
     observed.world.run_until(1.9)
     observed.dispatch()
     observed.world.run_until(2.1)
@@ -113,10 +113,10 @@
 
 
 def test_a_worker_that_is_ready_again_may_get_dispatches(observed: ObservedSubmission) -> None:
-    observed.history.agreed(1, (WORKER,))
-    observed.history.agreed(2, ())
+    observed.history.record_applied_view(1, (WORKER,))
+    observed.history.record_applied_view(2, ())
     observed.world.run_until(5.0)
-    observed.history.agreed(3, (WORKER,))
+    observed.history.record_applied_view(3, (WORKER,))
     observed.dispatch()
 
 
@@ -124,11 +124,11 @@
     observed: ObservedSubmission,
 ) -> None:
     observed.history.witnesses_reachable = False
-    observed.history.agreed(1, (WORKER,))
-    observed.history.agreed(2, ())
+    observed.history.record_applied_view(1, (WORKER,))
+    observed.history.record_applied_view(2, ())
     observed.world.run_until(5.0)
     observed.dispatch()
-    observed.history.in_force(2)
+    observed.history.record_majority_adoption(2)
     observed.world.run_until(7.5)
     with pytest.raises(InvariantError, match=r"2\.500 s after"):
         observed.dispatch()
--- a/tests/simulation/test_request_simulation.py
+++ b/tests/simulation/test_request_simulation.py
@@ -135,8 +135,8 @@
     worker = view.workers[0]
     key = (worker.worker_id, worker.incarnation)
     removal_revision = view.revision + 1
-    fleet.requests.agreed(removal_revision, view.workers[1:])
-    fleet.requests.in_force(removal_revision)
+    fleet.requests.record_applied_view(removal_revision, view.workers[1:])
+    fleet.requests.record_majority_adoption(removal_revision)
     assert key in fleet.requests._unusable
     router.on_view_adopted(msgspec.structs.replace(view, revision=removal_revision + 1))
     assert key not in fleet.requests._unusable
