--- a/src/orchidpath/emulators/client/caller.py
+++ b/src/orchidpath/emulators/client/caller.py
@@ -164,12 +164,12 @@
         self, request: PlannedRequest, due_at: float, attempts: int
     ) -> RequestResult:
         assert self._client is not None
-        for router in self._selection.order(request.caller_id):
+        for router in self._selection.preferred_routers(request.caller_id):
             try:
                 result = await self._client.send(request, router, due_at)
             except RouterUnreachableError:
                 # Nothing was sent, so the next router may be tried with the same request.
-                self._selection.mark(router, ready=False)
+                self._selection.set_ready(router, ready=False)
                 continue
             return msgspec.structs.replace(result, attempts=attempts)
         unreachable = result_of(request, Outcome.UNREACHABLE)
@@ -218,6 +218,6 @@
                 asyncio.timeout(PROBE_TIMEOUT_SECONDS),
                 self._session.get(f"{router}/health/ready") as response,
             ):
-                self._selection.mark(router, response.status == 200)
+                self._selection.set_ready(router, response.status == 200)
         except (aiohttp.ClientError, TimeoutError, OSError):
-            self._selection.mark(router, ready=False)
+            self._selection.set_ready(router, ready=False)
--- a/src/orchidpath/emulators/client/router_selection.py
+++ b/src/orchidpath/emulators/client/router_selection.py
@@ -26,14 +26,14 @@
         """How many routers are ready."""
         return len(self._routers) - len(self._unready)
 
-    def mark(self, router: str, ready: bool) -> None:
+    def set_ready(self, router: str, ready: bool) -> None:
         """Take the result of a probe or of a failed connection."""
         if ready:
             self._unready.discard(router)
         else:
             self._unready.add(router)
 
-    def order(self, caller_id: str) -> list[str]:
+    def preferred_routers(self, caller_id: str) -> list[str]:
         """Return the routers to try for a caller, nearest first.
 
         Parameters
