--- a/src/orchidpath/router/fleet_link/announced_workers.py
+++ b/src/orchidpath/router/fleet_link/announced_workers.py
@@ -23,7 +23,7 @@
         self._announced: dict[str, _Announced] = {}
         self._listed: dict[str, str] = {}
 
-    def heard(self, announcement: Announcement) -> bool:
+    def record_announcement(self, announcement: Announcement) -> bool:
         """Take an announcement.
 
         Returns
--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -207,7 +207,7 @@
         """Take a worker's announcement and forward it to the leader."""
         record = announcement.record
         was_draining = self._announced.is_draining(record.worker_id)
-        if not self._announced.heard(announcement):
+        if not self._announced.record_announcement(announcement):
             return self._announcement_reply()
         self._announcements[record.worker_id] = announcement
         if was_draining != self._announced.is_draining(record.worker_id):
@@ -272,7 +272,7 @@
 
     def _learn_members(self, members: ControlMembers, now: float) -> None:
         known_leader = self._finder.leader_address
-        self._finder.learned(members)
+        self._finder.update_members(members)
         if self._finder.leader_address not in {"", known_leader}:
             self._execute(self._core.heartbeat(now))
 
@@ -314,7 +314,7 @@
         self._reports.add(self._late_decisions.answered(reply))
 
     def _heartbeat_answered(self, reply: RouterHeartbeatReply, now: float) -> None:
-        self._finder.leader_heard(now)
+        self._finder.record_leader_contact(now)
         self._execute(self._core.receive_heartbeat_reply(reply, now))
         if reply.term > self._term:
             self._term = reply.term
--- a/src/orchidpath/router/fleet_link/leader_finder.py
+++ b/src/orchidpath/router/fleet_link/leader_finder.py
@@ -28,7 +28,7 @@
     def __init__(self, seeds: Sequence[str], now: float) -> None:
         self._seeds = tuple(seeds)
         self._members = ControlMembers(term=0, leader_id="", members=())
-        self._leader_heard_at = now - LEADER_SILENT_SECONDS
+        self._leader_contact_at = now - LEADER_SILENT_SECONDS
         self._next_query_at = now
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
@@ -48,7 +48,7 @@
                 return member.address
         return ""
 
-    def learned(self, members: ControlMembers) -> bool:
+    def update_members(self, members: ControlMembers) -> bool:
         """Take an answer; one of a lower term, or that knows less, is ignored.
 
         Returns
@@ -65,13 +65,13 @@
         self._members = members
         return changed
 
-    def leader_heard(self, now: float) -> None:
+    def record_leader_contact(self, now: float) -> None:
         """Record a word of the leader."""
-        self._leader_heard_at = now
+        self._leader_contact_at = now
 
     def is_leader_silent(self, now: float) -> bool:
         """Whether the leader was not heard lately."""
-        return now - self._leader_heard_at >= LEADER_SILENT_SECONDS
+        return now - self._leader_contact_at >= LEADER_SILENT_SECONDS
 
     def should_query(self, now: float) -> bool:
         """Whether to ask everyone now who leads; at most once a period."""
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -165,7 +165,7 @@
 
     def hear(self, announcement: Announcement) -> bool:
         """Remember what a worker says of itself; false for one that is not newer."""
-        return self._announced.heard(announcement)
+        return self._announced.record_announcement(announcement)
 
     def locally_draining(self, worker_id: str) -> bool:
         """Return whether the worker itself told this router that it is draining."""
--- a/src/orchidpath/simulation/router_node.py
+++ b/src/orchidpath/simulation/router_node.py
@@ -104,11 +104,11 @@
         sender_address = sender_id.partition(".")[0]
         match message:
             case ControlMembers():
-                self._finder.learned(message)
+                self._finder.update_members(message)
             case WhoIsControl():
                 self.send(sender_address, self._finder.members)
             case RouterHeartbeatReply():
-                self._finder.leader_heard(self.now)
+                self._finder.record_leader_contact(self.now)
                 self._execute(core.receive_heartbeat_reply(message, self.now))
             case FleetUpdate():
                 self._execute(core.receive_update(message, self.now))
--- a/tests/router/test_announced_workers.py
+++ b/tests/router/test_announced_workers.py
@@ -28,12 +28,12 @@
 def test_a_view_older_than_an_announcement_does_not_undo_it() -> None:
     announced = AnnouncedWorkers()
     announced.view_adopted(view("first"))
-    assert announced.heard(announcement("second", 1, WorkerStatus.DRAINING))
+    assert announced.record_announcement(announcement("second", 1, WorkerStatus.DRAINING))
     announced.view_adopted(view("first"))
     assert announced.is_draining("w")
     announced.view_adopted(view("second"))
     assert announced.is_draining("w")
-    assert not announced.heard(announcement("second", 1, WorkerStatus.READY))
+    assert not announced.record_announcement(announcement("second", 1, WorkerStatus.READY))
     announced.view_adopted(view("third"))
     assert not announced.is_draining("w")
 
@@ -41,7 +41,7 @@
 def test_an_announcement_outlasts_the_absence_of_its_worker_from_a_view() -> None:
     announced = AnnouncedWorkers()
     announced.view_adopted(view("first"))
-    announced.heard(announcement("first", 2, WorkerStatus.DRAINING))
+    announced.record_announcement(announcement("first", 2, WorkerStatus.DRAINING))
     announced.view_adopted(view())
     announced.view_adopted(view("first"))
     assert announced.is_draining("w")
