--- a/bench/failover.py
+++ b/bench/failover.py
@@ -174,7 +174,7 @@
             await cluster.change(new_leader)
         confirmed_at = monotonic_seconds()
     served_at = max(
-        min(at for term, at in router.listener.leader_heard_at.items() if term > old_term)
+        min(at for term, at in router.listener.leader_contact_at.items() if term > old_term)
         for router in fleet.started()
     )
     return Outage(elected_at - started_at, served_at - started_at, confirmed_at - started_at)
--- a/src/orchidpath/control/leadership/liveness.py
+++ b/src/orchidpath/control/leadership/liveness.py
@@ -17,12 +17,12 @@
 """A removal that has not been applied is proposed again after this long."""
 
 
-class HeardWorker(msgspec.Struct):
+class WorkerContact(msgspec.Struct):
     """When a worker's announcement was last heard, and which one it was."""
 
     incarnation: str
     sequence: int
-    heard_at: float
+    last_contact_at: float
 
 
 class SilentWorker(NamedTuple):
@@ -51,11 +51,13 @@
     ) -> None:
         self._router_removal_seconds = router_removal_seconds
         self._worker_lease_seconds = worker_lease_seconds
-        self._workers: dict[str, HeardWorker] = {}
+        self._workers: dict[str, WorkerContact] = {}
         self._routers: dict[str, float] = {}
         self._proposed: dict[str, float] = {}
 
-    def worker_heard(self, worker_id: str, incarnation: str, sequence: int, now: float) -> bool:
+    def record_announcement(
+        self, worker_id: str, incarnation: str, sequence: int, now: float
+    ) -> bool:
         """Note an announcement.
 
         Returns
@@ -66,10 +68,10 @@
         known = self._workers.get(worker_id)
         if known is not None and known.incarnation == incarnation and known.sequence >= sequence:
             return False
-        self._workers[worker_id] = HeardWorker(incarnation, sequence, now)
+        self._workers[worker_id] = WorkerContact(incarnation, sequence, now)
         return True
 
-    def router_heard(self, router_id: str, now: float) -> None:
+    def record_router_contact(self, router_id: str, now: float) -> None:
         """Note a router's heartbeat."""
         self._routers[router_id] = now
 
@@ -91,9 +93,9 @@
         for worker_id, incarnation in workers.items():
             heard = self._workers.get(worker_id)
             if heard is None:
-                self._workers[worker_id] = HeardWorker(incarnation, 0, now)
+                self._workers[worker_id] = WorkerContact(incarnation, 0, now)
                 continue
-            expired = now - heard.heard_at > self._worker_lease_seconds
+            expired = now - heard.last_contact_at > self._worker_lease_seconds
             if expired and self._may_propose(worker_id, now):
                 silent.append(SilentWorker(worker_id, incarnation, heard.sequence))
         return silent
--- a/src/orchidpath/control/leadership/router_leases.py
+++ b/src/orchidpath/control/leadership/router_leases.py
@@ -51,7 +51,7 @@
         age_seconds = self._liveness.router_age_seconds(router_id, now)
         if not registered and age_seconds > REGISTRATION_RETRY_SECONDS:
             self._output.propose(RegisterRouter(record=heartbeat.record))
-        self._liveness.router_heard(router_id, now)
+        self._liveness.record_router_contact(router_id, now)
         self._adopted[router_id] = heartbeat.adopted_revision
         reply = RouterHeartbeatReply(
             term=self._term,
--- a/src/orchidpath/control/leadership/worker_liveness.py
+++ b/src/orchidpath/control/leadership/worker_liveness.py
@@ -53,7 +53,7 @@
 
     def _receive_announcement(self, announcement: Announcement, now: float) -> None:
         record = announcement.record
-        is_newest = self._liveness.worker_heard(
+        is_newest = self._liveness.record_announcement(
             record.worker_id, record.incarnation, announcement.sequence, now
         )
         if is_newest and self._differs(record):
--- a/src/orchidpath/tools/hollow.py
+++ b/src/orchidpath/tools/hollow.py
@@ -89,7 +89,7 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self.adoptions: list[Adoption] = []
-        self.leader_heard_at: dict[int, float] = {}
+        self.leader_contact_at: dict[int, float] = {}
 
     def view_adopted(self, view: FleetView) -> None:
         """Record the first adoption of each configuration version."""
@@ -101,7 +101,7 @@
 
     def counter_report(self, term: int, unacknowledged: tuple[AttemptReport, ...]) -> CounterReport:
         """Note when a new leader was first heard and report no counters."""
-        self.leader_heard_at[term] = self._clock()
+        self.leader_contact_at[term] = self._clock()
         return CounterReport(term=term, in_flight=(), tallies=())
 
     def adopted_at(self, version: int) -> float | None:
--- a/tests/control/test_liveness.py
+++ b/tests/control/test_liveness.py
@@ -14,14 +14,14 @@
 
 def test_a_late_announcement_does_not_renew_a_lease() -> None:
     one = LivenessTracker()
-    assert one.worker_heard("w", "first", 5, 10.0)
-    assert not one.worker_heard("w", "first", 4, 20.0)
+    assert one.record_announcement("w", "first", 5, 10.0)
+    assert not one.record_announcement("w", "first", 4, 20.0)
     assert one.silent_workers({"w": "first"}, 20.0) == [("w", "first", 5)]
 
 
 def test_a_removal_is_proposed_again_only_after_a_while() -> None:
     one = LivenessTracker()
-    one.router_heard("r", 0.0)
+    one.record_router_contact("r", 0.0)
     silent_at = ROUTER_REMOVAL_SECONDS + 0.1
     assert one.silent_routers(["r"], silent_at) == ["r"]
     assert one.silent_routers(["r"], silent_at + 0.5) == []
--- a/tests/tools/test_hollow.py
+++ b/tests/tools/test_hollow.py
@@ -68,7 +68,7 @@
             await leader.listener.close()
     assert traffic.received_by_kind["FleetUpdate"] == 2
     assert traffic.bytes_sent > 0
-    assert [1 in router.listener.leader_heard_at for router in fleet.routers] == [True, True]
+    assert [1 in router.listener.leader_contact_at for router in fleet.routers] == [True, True]
 
 
 async def test_counting_ends_with_its_context() -> None:
