--- a/src/orchidpath/state/circuits.py
+++ b/src/orchidpath/state/circuits.py
@@ -74,10 +74,10 @@
         self.sequence += 1
         return CapacityResult(effect=Effect.CHANGED, record=record)
 
-    def forget(self, known: Callable[[str], bool], limit: int = CIRCUIT_MEMORY) -> None:
+    def evict_unknown(self, is_known: Callable[[str], bool], limit: int = CIRCUIT_MEMORY) -> None:
         """Drop the circuits of workers that are no longer known, once there are many."""
         if len(self._circuits) <= limit:
             return
-        forgotten = [worker_id for worker_id in self._circuits if not known(worker_id)]
+        forgotten = [worker_id for worker_id in self._circuits if not is_known(worker_id)]
         for worker_id in forgotten:
             del self._circuits[worker_id]
--- a/src/orchidpath/state/fleet_state.py
+++ b/src/orchidpath/state/fleet_state.py
@@ -171,7 +171,7 @@
         return self._worker_changed(self._workers.cordon(command.worker_id, command.cordoned))
 
     def _change_circuit(self, transition: CircuitTransition) -> CircuitResult:
-        if not self._workers.known(transition.worker_id):
+        if not self._workers.is_known(transition.worker_id):
             return CircuitResult(effect=Effect.UNKNOWN)
         return self._circuits.change_circuit(transition)
 
@@ -208,7 +208,7 @@
         """Make the next revision if a change is visible in the view."""
         if change.record is not None:
             self._record_change(Change(revision=self._revision + 1, worker=change.record))
-            self._circuits.forget(self._workers.known)
+            self._circuits.evict_unknown(self._workers.is_known)
         return RecordResult(effect=change.effect)
 
     def _routers_changed(self, change: Change) -> None:
--- a/src/orchidpath/state/workers.py
+++ b/src/orchidpath/state/workers.py
@@ -84,7 +84,7 @@
         """Return the ids of the cordoned workers, sorted."""
         return sorted(self._cordoned)
 
-    def known(self, worker_id: str) -> bool:
+    def is_known(self, worker_id: str) -> bool:
         """Return whether a worker is in the view or one of its dead incarnations is remembered."""
         return worker_id in self._entries or any(key[0] == worker_id for key in self._dead)
 
@@ -125,7 +125,7 @@
         The cordon is stored outside the record, so that an announcement or a restart in the
         middle of a plan does not release the worker.
         """
-        if not self.known(worker_id):
+        if not self.is_known(worker_id):
             return WorkerChange(effect=Effect.UNKNOWN)
         if (worker_id in self._cordoned) == cordoned:
             return WorkerChange(effect=Effect.UNCHANGED)
@@ -164,5 +164,5 @@
         """Remember an incarnation as dead and forget the oldest ones beyond the limit."""
         key = (entry.record.worker_id, entry.record.incarnation)
         for forgotten_id, _ in insert_newest(self._dead, key, sequence, self._dead_limit):
-            if not self.known(forgotten_id):
+            if not self.is_known(forgotten_id):
                 self._cordoned.discard(forgotten_id)
