--- a/src/orchidpath/consensus/files.py
+++ b/src/orchidpath/consensus/files.py
@@ -228,7 +228,7 @@
             node.data = bytearray(node.durable + survived)
             node.durable = bytes(node.data)
 
-    def vanish(self, folder: str) -> None:
+    def remove_folder(self, folder: str) -> None:
         """Remove a folder's content while a program uses it."""
         for names in (self._current, self._durable):
             for path in [path for path in names if path.startswith(folder + "/")]:
--- a/src/orchidpath/simulation/raft/replica_machine.py
+++ b/src/orchidpath/simulation/raft/replica_machine.py
@@ -169,7 +169,7 @@
 
     def lose_disk(self) -> None:
         """Empty the data folder; the running replica finds out at its next sync."""
-        self.files.vanish(FOLDER)
+        self.files.remove_folder(FOLDER)
         # Whatever starts here next is another replica: the old one's promises are lost.
         self.identity = ""
 
--- a/tests/consensus/test_consensus_storage.py
+++ b/tests/consensus/test_consensus_storage.py
@@ -169,7 +169,7 @@
     files = SimulatedFiles()
     storage = opened(files)
     storage.persist_entries(None, [entry(1)])
-    files.vanish(FOLDER)
+    files.remove_folder(FOLDER)
     with pytest.raises(StorageFailedError):
         storage.persist_entries(None, [entry(2)])
     files.crash(random.Random(0))
