--- a/src/orchidpath/router/chat/backend_client.py
+++ b/src/orchidpath/router/chat/backend_client.py
@@ -23,7 +23,7 @@
     SendRefusedError,
     current_exchange,
     failed,
-    failed_as,
+    failed_by_exception,
     read_bounded,
     require_echo,
     require_success,
@@ -185,11 +185,11 @@
         except AttemptError as failure:
             return failed(exchange, failure.observation, str(failure), failure.error)
         except (msgspec.DecodeError, RecursionError, MalformedEventError) as problem:
-            return failed_as(exchange, Observed.MALFORMED_PROTOCOL, problem)
+            return failed_by_exception(exchange, Observed.MALFORMED_PROTOCOL, problem)
         except TimeoutError as problem:
-            return failed_as(exchange, Observed.TIMED_OUT, problem)
+            return failed_by_exception(exchange, Observed.TIMED_OUT, problem)
         except (aiohttp.ClientError, OSError) as problem:
-            return failed_as(exchange, Observed.CONNECTION_RESET, problem)
+            return failed_by_exception(exchange, Observed.CONNECTION_RESET, problem)
         finally:
             current_exchange.reset(token)
 
--- a/src/orchidpath/router/chat/backend_exchange.py
+++ b/src/orchidpath/router/chat/backend_exchange.py
@@ -135,7 +135,9 @@
     return AttemptError(observation, "the answer belongs to another attempt")
 
 
-def failed_as(exchange: Exchange, observed: Observed, problem: Exception) -> AttemptFailed:
+def failed_by_exception(
+    exchange: Exchange, observed: Observed, problem: Exception
+) -> AttemptFailed:
     """Return the event of an exchange that an exception ended."""
     if not exchange.dispatch_left:
         observed = Observed.CONNECT_FAILED
--- a/src/orchidpath/simulation/requests/response_reader.py
+++ b/src/orchidpath/simulation/requests/response_reader.py
@@ -14,7 +14,7 @@
     AttemptError,
     OrderTarget,
     failed,
-    failed_as,
+    failed_by_exception,
     require_echo,
     require_success,
 )
@@ -69,7 +69,7 @@
     def connect_failed(self) -> None:
         """Tell that no connection was made: the order never left."""
         if not self.is_over:
-            self._fail(failed_as(self._order, Observed.CONNECT_FAILED, ConnectionError()))
+            self._fail(failed_by_exception(self._order, Observed.CONNECT_FAILED, ConnectionError()))
 
     def read(self, exchange: Exchange) -> None:
         """Read the answer; the order leaves right after this."""
@@ -99,7 +99,9 @@
 
     def _broken(self) -> None:
         if not self.is_over:
-            self._fail(failed_as(self._order, Observed.CONNECTION_RESET, ConnectionError()))
+            self._fail(
+                failed_by_exception(self._order, Observed.CONNECTION_RESET, ConnectionError())
+            )
 
     def _fail(self, event: events.RequestEvent) -> None:
         self.abort()
