--- a/src/orchidpath/routing/request/core.py
+++ b/src/orchidpath/routing/request/core.py
@@ -125,7 +125,7 @@
         self._phase = Phase.DECIDING
         return [
             events.RequestDecision(
-                attempt_id=self._attempt_id, per_stage=self._retries.per_stage(now)
+                attempt_id=self._attempt_id, per_stage=self._retries.tried_per_stage(now)
             )
         ]
 
--- a/src/orchidpath/routing/request/retries.py
+++ b/src/orchidpath/routing/request/retries.py
@@ -42,7 +42,7 @@
         """Stages for which every attempt needs a worker."""
         return frozenset(self._tried)
 
-    def per_stage(self, now: float) -> tuple[StageTried, ...]:
+    def tried_per_stage(self, now: float) -> tuple[StageTried, ...]:
         """Return what a decision must know of the attempts so far."""
         waiting = {worker_id for worker_id, until in self._not_before.items() if until > now}
         excluded = tuple(sorted(self._excluded | waiting))
