--- a/bench/control_cluster.py
+++ b/bench/control_cluster.py
@@ -1,4 +1,4 @@
-"""Real control processes with hollow routers in front of them, shared by the measurements."""
+"""Real control processes with synthetic routers in front of them, shared by the measurements."""
 
 import asyncio
 import signal
@@ -22,7 +22,7 @@
 )
 from orchidpath.fleet.ports import LOOPBACK_HOST, choose_ports
 from orchidpath.fleet.processes import ChildProcess, stop_all
-from orchidpath.tools.hollow import MODEL, SERVICE
+from orchidpath.tools.synthetic_fleet import MODEL, SERVICE
 from orchidpath.wire.configuration import Configuration, Route, Service, ServiceKind
 
 FLEET = "hollow"
--- a/bench/hollow_control.py
+++ b/bench/control_load.py
@@ -1,7 +1,7 @@
 """Measures the cost of the control tier by routers, workers, decisions and changes.
 
-Starts real control processes (three voters and a standby) and a hollow fleet in this process, and
-prints one JSON line for each size that was measured, then the slopes. The figures are those of
+Starts real control processes (three voters and a standby) and a synthetic fleet in this process,
+and prints one JSON line for each size that was measured, then the slopes. The figures are those of
 docs/CAPACITY.md.
 """
 
@@ -17,9 +17,13 @@
 from control_cluster import FLEET, ControlCluster, end_on_sigterm, running_cluster
 from orchidpath.common.logs import configure_logs
 from orchidpath.fleet.ports import LOOPBACK_HOST, choose_ports
-from orchidpath.tools.hollow import HollowFleet, HollowFleetNotReadyError, HollowSize
 from orchidpath.tools.measuring import LinearFit, Point, Quantiles, fit_line, summarize
 from orchidpath.tools.process_usage import ProcessUsage, read_usage
+from orchidpath.tools.synthetic_fleet import (
+    SyntheticFleet,
+    SyntheticFleetNotReadyError,
+    SyntheticSize,
+)
 from orchidpath.tools.traffic_count import TrafficCount, count_traffic
 
 CONTROL_PROCESSES = 4
@@ -144,11 +148,11 @@
     """Measure a fleet that grows from run to run, and append what was measured."""
     routers = max(run.routers for run in runs)
     workers = max(run.workers for run in runs)
-    size = HollowSize(routers=routers, workers=workers, at_once=at_once)
+    size = SyntheticSize(routers=routers, workers=workers, at_once=at_once)
     async with running_cluster(CONTROL_PROCESSES) as cluster:
         ports = choose_ports(routers, SystemRandom())
         addresses = [f"{LOOPBACK_HOST}:{port}" for port in ports]
-        fleet = HollowFleet(size, FLEET, addresses, cluster.seeds[:3])
+        fleet = SyntheticFleet(size, FLEET, addresses, cluster.seeds[:3])
         memory_before = read_usage(os.getpid()).resident_bytes
         with count_traffic() as traffic:
             try:
@@ -162,7 +166,7 @@
 async def _measure_one(
     run: Run,
     cluster: ControlCluster,
-    fleet: HollowFleet,
+    fleet: SyntheticFleet,
     traffic: TrafficCount,
     memory_before: int,
 ) -> RunResult:
@@ -213,7 +217,7 @@
 async def _result(
     run: Run,
     cluster: ControlCluster,
-    fleet: HollowFleet,
+    fleet: SyntheticFleet,
     changes: list[Change],
     first: Readings,
     last: Readings,
@@ -267,7 +271,7 @@
 
 
 def _change_times(
-    fleet: HollowFleet, changes: list[Change]
+    fleet: SyntheticFleet, changes: list[Change]
 ) -> tuple[list[float], list[float], list[float]]:
     adopted: list[float] = []
     late: list[float] = []
@@ -351,7 +355,7 @@
     results: list[RunResult] = []
     try:
         asyncio.run(measure(runs, results))
-    except HollowFleetNotReadyError as error:
+    except SyntheticFleetNotReadyError as error:
         _print(Failure(run=runs[len(results)], reason=str(error)))
     for slope in slopes(results):
         _print(slope)
@@ -361,7 +365,7 @@
     for runs in at_once(seconds):
         try:
             asyncio.run(measure(runs, [], at_once=True))
-        except HollowFleetNotReadyError as error:
+        except SyntheticFleetNotReadyError as error:
             _print(Failure(run=runs[0], reason=str(error)))
 
 
--- a/bench/decision_path.py
+++ b/bench/decision_path.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from orchidpath.circuit.circuit_table import CircuitTable, Decided
-from orchidpath.tools.hollow import HollowSize, worker_record
 from orchidpath.tools.measuring import LinearFit, Point, fit_line
+from orchidpath.tools.synthetic_fleet import SyntheticSize, worker_record
 from orchidpath.wire.configuration import CircuitPolicy
 from orchidpath.wire.framing import FrameDecoder, encode_frame
 from orchidpath.wire.messages import (
@@ -56,14 +56,14 @@
 def make_table(workers: int) -> CircuitTable:
     """Return a leader's table of so many workers."""
     table = CircuitTable(CircuitPolicy(), random.Random(1), term=1)
-    size = HollowSize(routers=1, workers=workers)
+    size = SyntheticSize(routers=1, workers=workers)
     table.set_workers([worker_record(number, size) for number in range(workers)])
     return table
 
 
 def make_request(number: int, workers: int) -> DecisionRequest:
     """Return a request whose candidates differ from one to the next."""
-    size = HollowSize(routers=1, workers=workers)
+    size = SyntheticSize(routers=1, workers=workers)
     records = [worker_record((number * 7 + each) % workers, size) for each in range(8 * CANDIDATES)]
     per_stage = []
     for stage in (Stage.PREFILL, Stage.DECODE):
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -1,8 +1,8 @@
 """Measures confirmed changes, the time without a leader, a full restart and the replay of a log.
 
-``changes``, ``kill`` and ``freeze`` run three voters on disk with ten hollow routers; ``restart``
-runs a whole fleet file with real routers and workers; ``replay`` reads a log of changes back.
-Prints one JSON line a part. The figures are those of docs/CAPACITY.md.
+``changes``, ``kill`` and ``freeze`` run three voters on disk with ten synthetic routers;
+``restart`` runs a whole fleet file with real routers and workers; ``replay`` reads a log of changes
+back. Prints one JSON line a part. The figures are those of docs/CAPACITY.md.
 """
 
 import argparse
@@ -37,8 +37,8 @@
 from orchidpath.fleet.startup import bring_into_service
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest, encode_command
 from orchidpath.state.fleet_state import FleetState
-from orchidpath.tools.hollow import HollowFleet, HollowSize
 from orchidpath.tools.measuring import Quantiles, summarize
+from orchidpath.tools.synthetic_fleet import SyntheticFleet, SyntheticSize
 
 ROUTERS = 10
 VOTERS = 3
@@ -143,15 +143,15 @@
     )
 
 
-async def _start_routers(cluster: ControlCluster) -> HollowFleet:
+async def _start_routers(cluster: ControlCluster) -> SyntheticFleet:
     addresses = [f"{LOOPBACK_HOST}:{port}" for port in choose_ports(ROUTERS, SystemRandom())]
-    fleet = HollowFleet(HollowSize(routers=ROUTERS), FLEET, addresses, cluster.seeds)
+    fleet = SyntheticFleet(SyntheticSize(routers=ROUTERS), FLEET, addresses, cluster.seeds)
     await fleet.grow(ROUTERS, 0, READY_TIMEOUT_SECONDS)
     return fleet
 
 
 async def _one_outage(
-    cluster: ControlCluster, fleet: HollowFleet, leader: ControlNode, fault: Fault
+    cluster: ControlCluster, fleet: SyntheticFleet, leader: ControlNode, fault: Fault
 ) -> Outage:
     others = [node for node in cluster.nodes if node is not leader]
     async with OperatorClient([node.http_address for node in others]) as client:
--- a/bench/router_overhead.py
+++ b/bench/router_overhead.py
@@ -32,9 +32,9 @@
 from orchidpath.common.settings import RouterSettings
 from orchidpath.fleet.ports import LOOPBACK_HOST, choose_ports
 from orchidpath.fleet.processes import stop_all
-from orchidpath.tools.hollow import MODEL, SERVICE
 from orchidpath.tools.measuring import LinearFit, Point, Quantiles, fit_line, summarize
 from orchidpath.tools.process_usage import read_usage
+from orchidpath.tools.synthetic_fleet import MODEL, SERVICE
 from orchidpath.wire.backend import ATTEMPT_HEADER, DecodeRequest, PrefillReply, PrefillRequest
 from orchidpath.wire.records import Stage
 
--- a/src/orchidpath/tools/hollow.py
+++ b/src/orchidpath/tools/synthetic_fleet.py
@@ -1,10 +1,10 @@
-"""Hollow routers, workers and callers: the real control protocol without anything behind it.
+"""Synthetic routers, workers and callers: the real control protocol without anything behind it.
 
-Hundreds share a process. A hollow router is the real
-:class:`~orchidpath.router.fleet_link.control_link.ControlLink` without an HTTP edge; hollow workers
-are announced through it as often as real ones; hollow callers ask for decisions and report how the
-attempts ended, open loop. Against real control processes that shows what control costs at sizes
-for which one machine has no room (docs/CAPACITY.md).
+Hundreds share a process. A synthetic router is the real
+:class:`~orchidpath.router.fleet_link.control_link.ControlLink` without an HTTP edge; synthetic
+workers are announced through it as often as real ones; synthetic callers ask for decisions and
+report how the attempts ended, open loop. Against real control processes that shows what
+control costs at sizes for which one machine has no room (docs/CAPACITY.md).
 """
 
 import asyncio
@@ -32,10 +32,10 @@
 from orchidpath.wire.records import FleetView, RouterRecord, Stage, WorkerRecord
 
 ANNOUNCE_TURN_SECONDS = 0.01
-"""Hollow workers that are due are announced this often."""
+"""Synthetic workers that are due are announced this often."""
 
 CALLER_TURN_SECONDS = 0.005
-"""Hollow callers that are due are sent this often."""
+"""Synthetic callers that are due are sent this often."""
 
 DECISION_TIMEOUT_SECONDS = 0.25
 """The default of the routers' ``decision_timeout_seconds``."""
@@ -55,12 +55,12 @@
 SERVICE = "hollow"
 
 
-class HollowFleetNotReadyError(OrchidpathError):
-    """Not every hollow router holds a lease in time."""
+class SyntheticFleetNotReadyError(OrchidpathError):
+    """Not every synthetic router holds a lease in time."""
 
 
-class HollowSize(msgspec.Struct, frozen=True, kw_only=True):
-    """Largest size of a hollow fleet.
+class SyntheticSize(msgspec.Struct, frozen=True, kw_only=True):
+    """Largest size of a synthetic fleet.
 
     ``candidates`` is how many workers each stage of a decision names; ``attempt_seconds`` how long
     an attempt counts as running before it is reported. With ``at_once`` everything starts together;
@@ -83,7 +83,7 @@
     at: float
 
 
-class HollowListener(FleetListener):
+class SyntheticListener(FleetListener):
     """Notes what a link learns, with its time."""
 
     def __init__(self, clock: Clock) -> None:
@@ -112,8 +112,8 @@
         return None
 
 
-class HollowRouter:
-    """One hollow router.
+class SyntheticRouter:
+    """One synthetic router.
 
     Parameters
     ----------
@@ -145,13 +145,13 @@
             address=address,
             fleet=fleet,
         )
-        self.listener = HollowListener(clock)
+        self.listener = SyntheticListener(clock)
         self.link = ControlLink(record, hello, seeds, clock, random_module.Random(number))
         self.link.set_listener(self.listener)
 
 
 class DecisionCounts(msgspec.Struct):
-    """How the hollow callers' decisions went."""
+    """How the synthetic callers' decisions went."""
 
     sent: int = 0
     chosen: int = 0
@@ -160,8 +160,8 @@
     seconds: list[float] = msgspec.field(default_factory=list)
 
 
-class HollowFleet:
-    """Hollow routers, workers and callers in this process.
+class SyntheticFleet:
+    """Synthetic routers, workers and callers in this process.
 
     Parameters
     ----------
@@ -179,7 +179,7 @@
 
     def __init__(
         self,
-        size: HollowSize,
+        size: SyntheticSize,
         fleet: str,
         addresses: Sequence[str],
         seeds: Sequence[str],
@@ -189,7 +189,7 @@
         self._clock = clock
         self._random = random_module.Random(1)
         self.routers = [
-            HollowRouter(number, fleet, f"zone-{number % size.zones}", address, seeds, clock)
+            SyntheticRouter(number, fleet, f"zone-{number % size.zones}", address, seeds, clock)
             for number, address in enumerate(addresses)
         ]
         self.workers = [worker_record(number, size) for number in range(size.workers)]
@@ -213,7 +213,7 @@
 
         Raises
         ------
-        HollowFleetNotReadyError
+        SyntheticFleetNotReadyError
             A group did not come into service in time.
         """
         router_group = len(self.routers) if self._size.at_once else ROUTER_GROUP
@@ -246,7 +246,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         await asyncio.gather(*(router.link.stop() for router in self.started()))
 
-    def started(self) -> list[HollowRouter]:
+    def started(self) -> list[SyntheticRouter]:
         """Return the routers that were started."""
         return self.routers[: self._started]
 
@@ -266,7 +266,7 @@
         deadline = self._clock() + timeout_seconds
         while not condition():
             if self._clock() > deadline:
-                raise HollowFleetNotReadyError(f"{failure} after {timeout_seconds:.0f} s")
+                raise SyntheticFleetNotReadyError(f"{failure} after {timeout_seconds:.0f} s")
             await asyncio.sleep(READY_POLL_SECONDS)
 
     def _all_fresh(self) -> bool:
@@ -366,8 +366,8 @@
     return tuple(found)
 
 
-def worker_record(number: int, size: HollowSize) -> WorkerRecord:
-    """Return a hollow worker's record, with fields as long as a real one's."""
+def worker_record(number: int, size: SyntheticSize) -> WorkerRecord:
+    """Return a synthetic worker's record, with fields as long as a real one's."""
     return WorkerRecord(
         worker_id=f"hollow-worker-{number:03d}",
         incarnation=f"{number:016x}",
--- a/tests/tools/test_hollow.py
+++ b/tests/tools/test_synthetic_fleet.py
@@ -1,8 +1,13 @@
-"""Hollow routers over real connections, counted, against a scripted leader."""
+"""Synthetic routers over real connections, counted, against a scripted leader."""
 
 import asyncio
 
-from orchidpath.tools.hollow import HollowFleet, HollowListener, HollowSize, worker_record
+from orchidpath.tools.synthetic_fleet import (
+    SyntheticFleet,
+    SyntheticListener,
+    SyntheticSize,
+    worker_record,
+)
 from orchidpath.tools.traffic_count import count_traffic
 from orchidpath.wire.configuration import Configuration
 from orchidpath.wire.connection import Connection
@@ -53,11 +58,11 @@
                 pass
 
 
-async def test_hollow_routers_get_leases_and_are_counted() -> None:
+async def test_synthetic_routers_get_leases_and_are_counted() -> None:
     leader = ScriptedLeader()
     await leader.listener.start()
-    size = HollowSize(routers=2)
-    fleet = HollowFleet(size, FLEET, ["127.0.0.1:0"] * 2, [leader.listener.address])
+    size = SyntheticSize(routers=2)
+    fleet = SyntheticFleet(size, FLEET, ["127.0.0.1:0"] * 2, [leader.listener.address])
     with count_traffic() as traffic:
         try:
             await fleet.grow(2, 0, timeout_seconds=10.0)
@@ -80,7 +85,7 @@
 
 def test_only_the_first_view_of_a_version_is_noted() -> None:
     now = 1.0
-    listener = HollowListener(lambda: now)
+    listener = SyntheticListener(lambda: now)
     for revision, version in ((1, 1), (2, 1), (3, 4)):
         now = float(revision)
         listener.view_adopted(
@@ -93,8 +98,8 @@
     assert listener.adopted_at(5) is None
 
 
-def test_hollow_workers_have_the_configured_prefill_share() -> None:
-    size = HollowSize(routers=1, workers=1000)
+def test_synthetic_workers_have_the_configured_prefill_share() -> None:
+    size = SyntheticSize(routers=1, workers=1000)
     records = [worker_record(number, size) for number in range(size.workers)]
     assert sum(record.stage is Stage.PREFILL for record in records) == 290
     assert len({record.worker_id for record in records}) == 1000
