--- a/src/orchidpath/simulation/control_node.py
+++ b/src/orchidpath/simulation/control_node.py
@@ -22,7 +22,7 @@
 )
 from orchidpath.control.replica.control_replica import ControlReplica
 from orchidpath.control.replica.replica_loop import is_record, merge_records
-from orchidpath.simulation.world import SimulatedProcess, World
+from orchidpath.simulation.environment import SimulatedEnvironment, SimulatedProcess
 from orchidpath.state.commands import SubmitConfiguration
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 from orchidpath.wire.messages import (
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    world
+    environment
         Where it runs.
     address
         Its address.
@@ -64,14 +64,14 @@
 
     def __init__(
         self,
-        world: World,
+        environment: SimulatedEnvironment,
         address: str,
         seeds: list[str],
         raft_guards: frozenset[Guard],
         confirmation_guards: frozenset[ConfirmationGuard],
         voters: int = POLICY.target_voters,
     ) -> None:
-        super().__init__(world, address)
+        super().__init__(environment, address)
         self._policy = msgspec.structs.replace(POLICY, target_voters=voters)
         self.files = SimulatedFiles()
         self.core: ControlReplica | None = None
@@ -119,11 +119,17 @@
         bootstrap = self._bootstrap if restored == RestoredState() else None
         self._bootstrap = None
         raft = RaftCore(
-            self._id, SETTINGS, restored, bootstrap, self.now, self.world.random, self._raft_guards
+            self._id,
+            SETTINGS,
+            restored,
+            bootstrap,
+            self.now,
+            self.environment.random,
+            self._raft_guards,
         )
         member = ControlMember(node_id=self._id, address=self.address, http_address=self.address)
         self.core = ControlReplica(
-            member, raft, self._policy, 1, self.world.random, self._confirmation_guards
+            member, raft, self._policy, 1, self.environment.random, self._confirmation_guards
         )
         self._busy = False
         self._tick_at = float("inf")
@@ -136,7 +142,7 @@
         self.core = None
         self._storage = None
         self._answers.clear()
-        self.files.crash(self.world.random)
+        self.files.crash(self.environment.random)
 
     def lose_disk(self) -> None:
         """Kill the process and empty its disk: it comes back as another replica."""
@@ -196,7 +202,7 @@
         self._post(lambda core: core.worker_command_answered(order, reply, self.now))
 
     def _new_identity(self) -> str:
-        return f"{self.world.random.getrandbits(48):012x}"
+        return f"{self.environment.random.getrandbits(48):012x}"
 
     def _post(self, event: Callable[[ControlReplica], list[ControlEffect]]) -> None:
         self._pending.append(event)
@@ -214,7 +220,7 @@
         records = merge_records(effect for effect in effects if is_record(effect))
         if records and self.sync_seconds > 0:
             self._busy = True
-            delay_seconds = self.world.random.uniform(0.0, self.sync_seconds)
+            delay_seconds = self.environment.random.uniform(0.0, self.sync_seconds)
             self.after(delay_seconds, lambda: self._finish_turn(records, effects))
             return
         self._finish_turn(records, effects)
@@ -266,8 +272,8 @@
     def _schedule_tick(self) -> None:
         assert self.core is not None
         delay_seconds = max(0.0, self.core.next_deadline(self.now) - self.now) + 1e-6
-        tick_at = self.world.time + delay_seconds
-        if tick_at >= self._tick_at > self.world.time:
+        tick_at = self.environment.time + delay_seconds
+        if tick_at >= self._tick_at > self.environment.time:
             return
         self._tick_at = tick_at
         self.after(delay_seconds, lambda: self._tick(tick_at))
--- a/src/orchidpath/simulation/world.py
+++ b/src/orchidpath/simulation/environment.py
@@ -31,7 +31,7 @@
     delay_seconds: float = 0.005
 
 
-class World:
+class SimulatedEnvironment:
     """Event queue, network and all processes.
 
     Parameters
@@ -125,22 +125,24 @@
 
     Parameters
     ----------
-    world
+    environment
         Where it runs.
     address
         Its network address, the same over restarts.
     """
 
-    def __init__(self, world: World, address: str) -> None:
-        self.world = world
+    def __init__(self, environment: SimulatedEnvironment, address: str) -> None:
+        self.environment = environment
         self.address = address
         self.alive = False
         self.frozen = False
         self.epoch = 0
         self._waiting: deque[Callable[[], None]] = deque()
-        self._clock_offset = world.random.uniform(0.0, 10_000.0)
-        self._clock_rate = 1.0 + world.random.uniform(-MAX_CLOCK_RATE_ERROR, MAX_CLOCK_RATE_ERROR)
-        world.processes[address] = self
+        self._clock_offset = environment.random.uniform(0.0, 10_000.0)
+        self._clock_rate = 1.0 + environment.random.uniform(
+            -MAX_CLOCK_RATE_ERROR, MAX_CLOCK_RATE_ERROR
+        )
+        environment.processes[address] = self
 
     @property
     @abstractmethod
@@ -150,7 +152,7 @@
     @property
     def now(self) -> float:
         """Monotonic clock of this process."""
-        return self._clock_offset + self.world.time * self._clock_rate
+        return self._clock_offset + self.environment.time * self._clock_rate
 
     @abstractmethod
     def on_start(self) -> None:
@@ -188,12 +190,12 @@
             return
         self.frozen = True
         epoch = self.epoch
-        self.world.schedule(duration_seconds, lambda: self._wake(epoch))
+        self.environment.schedule(duration_seconds, lambda: self._wake(epoch))
 
     def after(self, delay_seconds: float, action: Callable[[], None]) -> None:
         """Run an action of this process later, unless it is killed first."""
         epoch = self.epoch
-        self.world.schedule(delay_seconds, lambda: self._run(epoch, action))
+        self.environment.schedule(delay_seconds, lambda: self._run(epoch, action))
 
     def every(self, interval_seconds: float, action: Callable[[], None]) -> None:
         """Run an action of this process for ever, until it is killed."""
@@ -202,7 +204,7 @@
             action()
             self.after(interval_seconds, run)
 
-        self.after(self.world.random.uniform(0.0, interval_seconds), run)
+        self.after(self.environment.random.uniform(0.0, interval_seconds), run)
 
     def deliver(self, sender_id: str, message: Message) -> None:
         """Take a message from the network."""
@@ -211,7 +213,7 @@
 
     def send(self, address: str, message: Message, node_id: str = "") -> None:
         """Send a message; loss is allowed."""
-        self.world.transmit(self, address, message, node_id)
+        self.environment.transmit(self, address, message, node_id)
 
     def _run(self, epoch: int, action: Callable[[], None]) -> None:
         if not self.alive or epoch != self.epoch:
--- a/src/orchidpath/simulation/fault_driver.py
+++ b/src/orchidpath/simulation/fault_driver.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 
 from orchidpath.simulation.control_node import ControlNode
+from orchidpath.simulation.environment import NetworkFaults
 from orchidpath.simulation.fleet_simulation import FleetSimulation
 from orchidpath.simulation.scenario import Scenario
-from orchidpath.simulation.world import NetworkFaults
 
 FAULT_PERIOD_SECONDS = 1.5
 LONG_FREEZE_SECONDS = 21.0
@@ -24,8 +24,8 @@
 
     def __init__(self, fleet: FleetSimulation) -> None:
         self._fleet = fleet
-        self._world = fleet.world
-        self._random = fleet.world.random
+        self._environment = fleet.environment
+        self._random = fleet.environment.random
         self._active = True
         self.second_losses = 0
         self.power_failures = 0
@@ -64,7 +64,7 @@
         if scenario is Scenario.MIXED_WITH_REQUESTS:
             choices = self._mixed()
         if choices:
-            self._world.repeat(FAULT_PERIOD_SECONDS, lambda: self._strike(choices))
+            self._environment.repeat(FAULT_PERIOD_SECONDS, lambda: self._strike(choices))
 
     def _mixed(self) -> list[Callable[[], None]]:
         return [
@@ -101,11 +101,11 @@
             ],
         }
         for seconds, strike in moments.get(scenario, []):
-            self._world.schedule(seconds, strike)
+            self._environment.schedule(seconds, strike)
         if scenario is Scenario.BAD_NETWORK:
             self._worsen_network()
         if scenario is Scenario.LATE_ANSWERS:
-            self._world.network = NetworkFaults(late=0.3, delay_seconds=0.05)
+            self._environment.network = NetworkFaults(late=0.3, delay_seconds=0.05)
 
     def _strike(self, choices: list[Callable[[], None]]) -> None:
         if self._active:
@@ -120,12 +120,12 @@
     def _kill_control(self) -> None:
         control = self._pick_control()
         control.kill()
-        self._world.schedule(self._random.uniform(0.01, 3.0), control.start)
+        self._environment.schedule(self._random.uniform(0.01, 3.0), control.start)
 
     def _kill_router(self) -> None:
         router = self._random.choice(self._fleet.routers)
         router.kill()
-        self._world.schedule(self._random.uniform(0.01, 3.0), router.start)
+        self._environment.schedule(self._random.uniform(0.01, 3.0), router.start)
 
     def _freeze_control(self) -> None:
         self._pick_control().freeze(self._random.uniform(0.1, 5.0))
@@ -141,13 +141,13 @@
     def _lose_control_tier(self) -> None:
         for control in self._fleet.controls:
             control.kill()
-            self._world.schedule(15.0, control.start)
+            self._environment.schedule(15.0, control.start)
 
     def _hide_routers_from_control(self) -> None:
         """Let some routers be heard by other routers only, until they are off the roster."""
         for router in self._fleet.routers[:4]:
             for control in self._fleet.controls:
-                self._world.cut(router.address, control.address)
+                self._environment.cut(router.address, control.address)
 
     def _partition_seed_routers(self) -> None:
         """Let a few routers, seeds among them, fall behind; then lose all that know better.
@@ -157,36 +157,36 @@
         """
         behind = {router.address for router in self._fleet.routers[:3]}
         behind.add(self._fleet.routers[-1].address)
-        self._world.split(behind)
-        self._world.schedule(8.0, lambda: self._restart_the_others(behind))
+        self._environment.split(behind)
+        self._environment.schedule(8.0, lambda: self._restart_the_others(behind))
 
     def _restart_the_others(self, behind: set[str]) -> None:
         for control in self._fleet.controls:
             control.kill()
-            self._world.schedule(10.0, control.start)
+            self._environment.schedule(10.0, control.start)
         for router in self._fleet.routers:
             if router.address not in behind:
                 router.kill()
-                self._world.schedule(0.1, router.start)
+                self._environment.schedule(0.1, router.start)
         self._heal_links()
 
     def _partition(self) -> None:
-        addresses = sorted(self._world.processes)
+        addresses = sorted(self._environment.processes)
         side = set(self._random.sample(addresses, self._random.randint(1, len(addresses) // 2)))
-        self._world.split(side)
+        self._environment.split(side)
 
     def _partition_one_way(self) -> None:
-        one, other = self._random.sample(sorted(self._world.processes), 2)
-        self._world.cut(one, other, both_ways=False)
+        one, other = self._random.sample(sorted(self._environment.processes), 2)
+        self._environment.cut(one, other, both_ways=False)
 
     def _isolate(self) -> None:
-        self._world.split({self._random.choice(sorted(self._world.processes))})
+        self._environment.split({self._random.choice(sorted(self._environment.processes))})
 
     def _heal_links(self) -> None:
-        self._world.partitioned_links.clear()
+        self._environment.partitioned_links.clear()
 
     def _worsen_network(self) -> None:
-        self._world.network = NetworkFaults(
+        self._environment.network = NetworkFaults(
             loss=self._random.choice((0.0, 0.02, 0.1)),
             duplication=self._random.choice((0.0, 0.05, 0.2)),
             late=self._random.choice((0.0, 0.01, 0.05)),
@@ -199,7 +199,9 @@
     def _full_disk(self) -> None:
         control = self._pick_control()
         control.files.capacity_bytes = 0
-        self._world.schedule(self._random.uniform(0.5, 2.0), lambda: self._empty_disk(control))
+        self._environment.schedule(
+            self._random.uniform(0.5, 2.0), lambda: self._empty_disk(control)
+        )
 
     def _empty_disk(self, control: ControlNode) -> None:
         control.files.capacity_bytes = None
@@ -212,7 +214,7 @@
             return
         control = self._pick_control()
         control.lose_disk()
-        self._world.schedule(self._random.uniform(0.01, 3.0), control.start)
+        self._environment.schedule(self._random.uniform(0.01, 3.0), control.start)
 
     def _is_complete(self, leader: ControlNode) -> bool:
         """Whether all voters are there, run on their own disks and hold all that is committed."""
@@ -228,23 +230,23 @@
         """Empty the leader's disk right away, and another as soon as the repair is done."""
         leader = self._fleet.leader()
         if leader is None:
-            self._world.schedule(0.5, self._lose_and_repair)
+            self._environment.schedule(0.5, self._lose_and_repair)
             return
         leader.lose_disk()
-        self._world.schedule(1.0, leader.start)
-        self._world.schedule(0.1, lambda: self._lose_when_repaired(leader.node_id))
+        self._environment.schedule(1.0, leader.start)
+        self._environment.schedule(0.1, lambda: self._lose_when_repaired(leader.node_id))
 
     def _lose_when_repaired(self, lost_id: str) -> None:
         leader = self._fleet.leader()
         core = leader.core if leader is not None else None
         repaired = core is not None and lost_id not in core.raft.membership.voters
         if leader is None or not repaired or not self._is_complete(leader):
-            self._world.schedule(0.02, lambda: self._lose_when_repaired(lost_id))
+            self._environment.schedule(0.02, lambda: self._lose_when_repaired(lost_id))
             return
         second = self._pick_control()
         second.lose_disk()
         self.second_losses += 1
-        self._world.schedule(1.0, second.start)
+        self._environment.schedule(1.0, second.start)
 
     def _lose_disk_in_power_failure(self) -> None:
         """Empty one disk while every process loses power, with another voter behind.
@@ -254,11 +256,11 @@
         """
         leader = self._fleet.leader()
         if leader is None or not self._is_complete(leader):
-            self._world.schedule(0.05, self._lose_disk_in_power_failure)
+            self._environment.schedule(0.05, self._lose_disk_in_power_failure)
             return
         behind = self._random.choice(self._voting(but=leader))
         self._partition_from_control(behind)
-        self._world.schedule(
+        self._environment.schedule(
             self._random.uniform(0.0, LONGEST_BEHIND_SECONDS),
             lambda: self._fail_power([self._random.choice(self._voting(but=behind))]),
         )
@@ -271,15 +273,15 @@
         """
         leader = self._fleet.leader()
         if leader is None or not self._is_complete(leader):
-            self._world.schedule(0.05, self._lose_two_disks_in_power_failure)
+            self._environment.schedule(0.05, self._lose_two_disks_in_power_failure)
             return
         behind = self._random.choice(self._voting(but=leader))
         self._partition_from_control(behind)
         first = self._random.choice(self._voting(but=behind))
         second = self._random.choice([one for one in self._voting(but=behind) if one is not first])
         first.lose_disk()
-        self._world.schedule(self._random.uniform(0.1, 1.0), first.start)
-        self._world.schedule(
+        self._environment.schedule(self._random.uniform(0.1, 1.0), first.start)
+        self._environment.schedule(
             self._random.uniform(0.0, LONGEST_REPLACEMENT_SECONDS),
             lambda: self._fail_power([second]),
         )
@@ -296,13 +298,13 @@
         """Cut one control process off from the others; it falls behind."""
         for other in self._fleet.controls:
             if other is not control:
-                self._world.cut(control.address, other.address)
+                self._environment.cut(control.address, other.address)
 
     def _fail_power(self, lost: list[ControlNode]) -> None:
         """Have every process lose power, and some their disks; links heal with the power."""
         for process in [*self._fleet.controls, *self._fleet.routers]:
             process.kill()
-            self._world.schedule(self._random.uniform(0.3, 1.5), process.start)
+            self._environment.schedule(self._random.uniform(0.3, 1.5), process.start)
         for control in lost:
             control.lose_disk()
         self._heal_links()
@@ -324,18 +326,18 @@
         half = len(names) // 2
         for one in names[:half]:
             for other in names[half:]:
-                self._world.cut(one, other)
+                self._environment.cut(one, other)
         if self._random.random() < HEALING_SHARE:
-            self._world.schedule(self._random.uniform(0.1, 1.4), self._heal_links)
+            self._environment.schedule(self._random.uniform(0.1, 1.4), self._heal_links)
 
     def _restart_in_turn(self) -> None:
         everything = [*self._fleet.controls, *self._fleet.routers]
         self._random.shuffle(everything)
         for number, process in enumerate(everything):
-            self._world.schedule(number * 1.0, process.kill)
-            self._world.schedule(number * 1.0 + 0.7, process.start)
+            self._environment.schedule(number * 1.0, process.kill)
+            self._environment.schedule(number * 1.0 + 0.7, process.start)
 
     def _restart_at_once(self) -> None:
         for process in [*self._fleet.controls, *self._fleet.routers]:
             process.kill()
-            self._world.schedule(self._random.uniform(0.5, 2.0), process.start)
+            self._environment.schedule(self._random.uniform(0.5, 2.0), process.start)
--- a/src/orchidpath/simulation/fault_period.py
+++ b/src/orchidpath/simulation/fault_period.py
@@ -29,10 +29,10 @@
         """Let a worker drain, die or come back."""
         if not self._active:
             return
-        worker = self._fleet.world.random.choice(self._fleet.workers)
+        worker = self._fleet.environment.random.choice(self._fleet.workers)
         if not worker.running:
             worker.start()
-        elif self._fleet.world.random.random() < 0.5:
+        elif self._fleet.environment.random.random() < 0.5:
             worker.drain()
         else:
             worker.die()
--- a/src/orchidpath/simulation/fleet_simulation.py
+++ b/src/orchidpath/simulation/fleet_simulation.py
@@ -11,12 +11,12 @@
 from orchidpath.routing.freshness import FreshnessGuard
 from orchidpath.routing.request.guards import Guard as RequestGuard
 from orchidpath.simulation.control_node import ControlNode
+from orchidpath.simulation.environment import NetworkFaults, SimulatedEnvironment
 from orchidpath.simulation.fleet_checks import FleetHistory, InvariantError
 from orchidpath.simulation.operators import Operators
 from orchidpath.simulation.requests.path_guards import PathGuard
 from orchidpath.simulation.router_node import RouterNode
 from orchidpath.simulation.worker_node import WorkerNode
-from orchidpath.simulation.world import NetworkFaults, World
 
 START_SECONDS = 8.0
 """Time for the fleet to form before faults begin."""
@@ -66,7 +66,7 @@
 
     def __init__(self, seed: int, shape: FleetShape, disabled: DisabledGuards) -> None:
         self.shape = shape
-        self.world = World(seed)
+        self.environment = SimulatedEnvironment(seed)
         self.history = FleetHistory()
         self.prepare(disabled)
         control_names = [f"c{number}" for number in range(shape.controls)]
@@ -74,7 +74,7 @@
         seeds = [control_names[0], router_names[0], router_names[-1]]
         self.controls = [
             ControlNode(
-                self.world,
+                self.environment,
                 name,
                 [*seeds, *control_names],
                 disabled.raft,
@@ -89,7 +89,7 @@
         ]
         self.workers: list[WorkerNode] = []
         self.make_workers(shape)
-        self.operators = Operators(self.world, self.controls, self.history)
+        self.operators = Operators(self.environment, self.controls, self.history)
         for control in self.controls:
             control.on_turn = self._control_turned
         for router in self.routers:
@@ -102,12 +102,13 @@
         self, name: str, zone: str, seeds: list[str], disabled: DisabledGuards
     ) -> RouterNode:
         """Make a router."""
-        return RouterNode(self.world, name, zone, seeds, disabled.freshness)
+        return RouterNode(self.environment, name, zone, seeds, disabled.freshness)
 
     def make_workers(self, shape: FleetShape) -> None:
         """Make workers that only announce themselves."""
         self.workers = [
-            WorkerNode(self.world, f"w{number}", self.routers) for number in range(shape.workers)
+            WorkerNode(self.environment, f"w{number}", self.routers)
+            for number in range(shape.workers)
         ]
 
     def start(self) -> None:
@@ -123,12 +124,12 @@
             router.start()
         for worker in self.workers:
             worker.start()
-        self.world.run_until(START_SECONDS)
+        self.environment.run_until(START_SECONDS)
 
     def heal(self) -> None:
         """End every fault and start what is down."""
-        self.world.network = NetworkFaults()
-        self.world.partitioned_links.clear()
+        self.environment.network = NetworkFaults()
+        self.environment.partitioned_links.clear()
         self.operators.answers_get_lost = False
         for control in self.controls:
             control.sync_seconds = 0.0
@@ -166,7 +167,7 @@
         assert leader.core is not None
         order = self.operators.new_order(leader.core.state.configuration_version)
         self.operators.submit(order)
-        self.world.run_until(self.world.time + RECOVERY_SECONDS)
+        self.environment.run_until(self.environment.time + RECOVERY_SECONDS)
         if self.history.confirmed_updates == before:
             raise InvariantError("no order is confirmed after the faults ended")
         self._check_final_state()
--- a/src/orchidpath/simulation/operators.py
+++ b/src/orchidpath/simulation/operators.py
@@ -3,8 +3,8 @@
 import itertools
 
 from orchidpath.simulation.control_node import ControlNode
+from orchidpath.simulation.environment import SimulatedEnvironment
 from orchidpath.simulation.fleet_checks import FleetHistory
-from orchidpath.simulation.world import World
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
 from orchidpath.wire.messages import UpdateStatus
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    world
+    environment
         Virtual time and chance.
     controls
         Control processes that they speak to, each picked at random.
@@ -31,10 +31,12 @@
         Where they write down what they sent and were told.
     """
 
-    def __init__(self, world: World, controls: list[ControlNode], history: FleetHistory) -> None:
+    def __init__(
+        self, environment: SimulatedEnvironment, controls: list[ControlNode], history: FleetHistory
+    ) -> None:
         self.answers_get_lost = True
         self.pending = 0
-        self._world = world
+        self._environment = environment
         self._controls = controls
         self._history = history
         self._numbers = itertools.count(1)
@@ -42,7 +44,7 @@
     def submit_new(self) -> None:
         """Read a version at any control process and send an order built on it."""
         base_version = self._read_version()
-        rivals = 2 if self._world.random.random() < 0.3 else 1
+        rivals = 2 if self._environment.random.random() < 0.3 else 1
         for _ in range(rivals):
             self.submit(self.new_order(base_version))
 
@@ -69,7 +71,7 @@
 
         def on_answer(answer: UpdateStatus, version: int) -> None:
             nonlocal answered
-            lost = self.answers_get_lost and self._world.random.random() < LOST_ANSWER_SHARE
+            lost = self.answers_get_lost and self._environment.random.random() < LOST_ANSWER_SHARE
             if answered or lost:
                 return
             answered = True
@@ -77,7 +79,9 @@
             if answer in FINAL_ANSWERS:
                 self.pending -= 1
                 return
-            self._world.schedule(self._world.random.uniform(0.2, 1.0), lambda: self._send(order))
+            self._environment.schedule(
+                self._environment.random.uniform(0.2, 1.0), lambda: self._send(order)
+            )
 
         def on_timeout() -> None:
             nonlocal answered
@@ -85,12 +89,12 @@
                 answered = True
                 self._send(order)
 
-        self._world.schedule(ANSWER_TIMEOUT_SECONDS, on_timeout)
-        self._world.random.choice(self._controls).submit(order, on_answer)
+        self._environment.schedule(ANSWER_TIMEOUT_SECONDS, on_timeout)
+        self._environment.random.choice(self._controls).submit(order, on_answer)
 
     def _read_version(self) -> int:
         """Read at any process, also one that lags: an old version must only conflict."""
         running = [one.core for one in self._controls if one.core is not None]
         if not running:
             return 0
-        return self._world.random.choice(running).state.configuration_version
+        return self._environment.random.choice(running).state.configuration_version
--- a/src/orchidpath/simulation/plan_simulation.py
+++ b/src/orchidpath/simulation/plan_simulation.py
@@ -106,12 +106,12 @@
         self._silent = False
         self._waiting: list[WorkerCommand] = []
         self.core = BackendCore(record, max_in_flight=8)
-        simulation.fleet.world.schedule(0.0, self._announce_forever)
+        simulation.fleet.environment.schedule(0.0, self._announce_forever)
 
     def fall_silent(self, duration_seconds: float) -> None:
         """Freeze the process: it announces nothing, and orders wait until it wakes."""
         self._silent = True
-        self._simulation.fleet.world.schedule(duration_seconds, self._wake)
+        self._simulation.fleet.environment.schedule(duration_seconds, self._wake)
 
     def restart(self) -> None:
         """Begin again as another incarnation in the part that it had."""
@@ -146,13 +146,13 @@
 
     def _announce_forever(self) -> None:
         self._announce()
-        self._simulation.fleet.world.schedule(ANNOUNCE_PERIOD_SECONDS, self._announce_forever)
+        self._simulation.fleet.environment.schedule(ANNOUNCE_PERIOD_SECONDS, self._announce_forever)
 
     def _announce(self) -> None:
         if self._silent:
             return
         self._sequence += 1
-        router = self._simulation.fleet.world.random.choice(self._simulation.fleet.routers)
+        router = self._simulation.fleet.environment.random.choice(self._simulation.fleet.routers)
         router.announce(Announcement(record=self.core.record, sequence=self._sequence))
 
 
@@ -173,7 +173,7 @@
         self.ended: dict[str, PlanStatus] = {}
         self.active = True
         self._numbers = itertools.count(1)
-        self._random = self.fleet.world.random
+        self._random = self.fleet.environment.random
         for control in self.fleet.controls:
             control.on_worker_command = self._carry_order
         self.workers = {
@@ -182,19 +182,19 @@
 
     def run(self, scenario: Scenario) -> None:
         """Run a scenario of faults with operators at work, then check that all is well again."""
-        world = self.fleet.world
+        environment = self.fleet.environment
         self.fleet.start()
         driver = FaultDriver(self.fleet)
         driver.begin(scenario)
-        world.repeat(SPLIT_PERIOD_SECONDS, self._change_split)
-        world.repeat(PLAN_ACTION_PERIOD_SECONDS, self._order_about_plan)
-        world.repeat(WORKER_FAULT_PERIOD_SECONDS, self._disturb_worker)
-        world.repeat(0.05, self._check_cordoned)
-        world.run_until(world.time + FAULT_TIME_SECONDS)
+        environment.repeat(SPLIT_PERIOD_SECONDS, self._change_split)
+        environment.repeat(PLAN_ACTION_PERIOD_SECONDS, self._order_about_plan)
+        environment.repeat(WORKER_FAULT_PERIOD_SECONDS, self._disturb_worker)
+        environment.repeat(0.05, self._check_cordoned)
+        environment.run_until(environment.time + FAULT_TIME_SECONDS)
         driver.stop()
         self.active = False
         self.fleet.heal()
-        world.run_until(world.time + RECOVERY_SECONDS)
+        environment.run_until(environment.time + RECOVERY_SECONDS)
         self._finish()
 
     def worker_switched(self, worker_id: str) -> None:
@@ -209,29 +209,29 @@
 
     def _finish(self) -> None:
         """Let what runs end, then one undisturbed plan reach the desired split."""
-        world = self.fleet.world
+        environment = self.fleet.environment
         self._wait_until_over()
         for desired_prefill in (2, 6):
             self._submit_split(desired_prefill)
-            world.run_until(world.time + 3.0)
+            environment.run_until(environment.time + 3.0)
             self._confirm_until_accepted()
             self._wait_until_over()
             self._check_settled(desired_prefill)
 
     def _confirm_until_accepted(self) -> None:
         """Confirm a few times: a control process that still catches up shows an older plan."""
-        world = self.fleet.world
+        environment = self.fleet.environment
         for _ in range(MAX_CONFIRM_ATTEMPTS):
             self._confirm()
-            world.run_until(world.time + 1.0)
+            environment.run_until(environment.time + 1.0)
             state = self._state()
             plan = state.plan
             if plan and plan.plan.configuration_version == state.configuration_version:
                 return
 
     def _wait_until_over(self) -> None:
-        world = self.fleet.world
-        deadline = world.time + CONVERGENCE_SECONDS
+        environment = self.fleet.environment
+        deadline = environment.time + CONVERGENCE_SECONDS
         while True:
             state = self._state()
             plan = state.plan
@@ -239,10 +239,10 @@
                 break
             if plan.progress.status is PlanStatus.HALTED:
                 self._order(PlanAction.CANCEL, plan.plan.plan_id)
-            if world.time > deadline:
+            if environment.time > deadline:
                 raise InvariantError(f"the plan does not end: {plan.progress}")
-            world.run_until(world.time + 1.0)
-        world.run_until(world.time + LATEST_ORDER_SECONDS + 5.0)
+            environment.run_until(environment.time + 1.0)
+        environment.run_until(environment.time + LATEST_ORDER_SECONDS + 5.0)
 
     def _check_settled(self, desired_prefill: int) -> None:
         state = self._state()
@@ -348,10 +348,10 @@
 
     def _carry_order(self, control: ControlNode, order: WorkerCommand) -> None:
         """Carry an order to its worker, lose it, or bring it a second time much later."""
-        world = self.fleet.world
+        environment = self.fleet.environment
         worker = self.workers[order.worker_id]
         if self._random.random() < LATE_ORDER_SHARE:
-            world.schedule(
+            environment.schedule(
                 self._random.uniform(0.0, LATEST_ORDER_SECONDS), lambda: _ignore(worker, order)
             )
         if self._random.random() < LOST_ORDER_SHARE:
@@ -366,7 +366,7 @@
             delay_seconds = self._random.uniform(0.001, 0.05)
             control.after(delay_seconds, lambda: control.worker_command_answered(order, reply))
 
-        world.schedule(self._random.uniform(0.001, 0.05), arrive)
+        environment.schedule(self._random.uniform(0.001, 0.05), arrive)
 
 
 def _ignore(worker: PlanWorker, order: WorkerCommand) -> None:
--- a/src/orchidpath/simulation/requests/backend_faults.py
+++ b/src/orchidpath/simulation/requests/backend_faults.py
@@ -36,8 +36,8 @@
 
     def __init__(self, fleet: RequestFleet) -> None:
         self._fleet = fleet
-        self._world = fleet.world
-        self._random = fleet.world.random
+        self._environment = fleet.environment
+        self._random = fleet.environment.random
         self._active = True
 
     def stop(self) -> None:
@@ -68,7 +68,7 @@
         prefill = self._pick(Stage.PREFILL).address
         decode = self._pick(Stage.DECODE).address
         self._fleet.requests.partitioned_pairs.add((prefill, decode))
-        self._world.cut(prefill, decode)
+        self._environment.cut(prefill, decode)
         self._repeat(1.0, self._slow_link)
 
     def crowd(self) -> None:
@@ -79,16 +79,16 @@
 
     def lose_control(self) -> None:
         """Lose the whole control tier under load, while back ends fail."""
-        self._world.schedule(2.0, self._lose_control_tier)
+        self._environment.schedule(2.0, self._lose_control_tier)
         self._repeat(BACKEND_FAULT_PERIOD_SECONDS, self._spoil)
 
     def replace_services(self) -> None:
         """Drain, stop and start every back end again, one after the other."""
         for number, backend in enumerate(self._fleet.backends):
             at = 0.5 + 2.0 * number
-            self._world.schedule(at, backend.drain)
-            self._world.schedule(at + 1.2, backend.kill)
-            self._world.schedule(at + 1.5, backend.start)
+            self._environment.schedule(at, backend.drain)
+            self._environment.schedule(at + 1.2, backend.kill)
+            self._environment.schedule(at + 1.5, backend.start)
 
     def spoil_anything(self) -> None:
         """Strike everything above now and then, for the mixed scenario."""
@@ -115,7 +115,7 @@
             if self._active:
                 strike()
 
-        self._world.repeat(interval_seconds, run)
+        self._environment.repeat(interval_seconds, run)
 
     def _pick(self, stage: Stage | None = None) -> SimulatedBackend:
         backends = self._fleet.backends
@@ -128,7 +128,7 @@
         backend.kill()
         # Half of them are back before anybody has noticed.
         seconds = 0.0 if self._random.random() < 0.5 else self._random.uniform(0.1, 3.0)
-        self._world.schedule(seconds, backend.start)
+        self._environment.schedule(seconds, backend.start)
 
     def _leave_one_and_spoil_it(self) -> None:
         """Leave one plain worker, and let it fail once the others are known to be gone."""
@@ -137,9 +137,9 @@
         for backend in plain:
             if backend is not last:
                 backend.kill()
-                self._world.schedule(5.0, backend.start)
+                self._environment.schedule(5.0, backend.start)
         fault = Fault(kind=FaultKind.FAIL_NEXT, seconds=2.0)
-        self._world.schedule(2.6, lambda: last.inject(fault))
+        self._environment.schedule(2.6, lambda: last.inject(fault))
 
     def _spoil(self) -> None:
         backend = self._pick()
@@ -163,7 +163,7 @@
         backend = self._pick()
         if backend.core.draining:
             backend.kill()
-            self._world.schedule(0.2, backend.start)
+            self._environment.schedule(0.2, backend.start)
 
     def _slow_down(self) -> None:
         fault = Fault(kind=FaultKind.SLOW, seconds=3.0, factor=SLOW_READ_FACTOR)
@@ -180,8 +180,8 @@
         for router in self._random.sample(self._fleet.routers, 2):
             for other in fleet:
                 if other is not router:
-                    self._world.cut(router.address, other.address)
-        self._world.schedule(4.0, self._world.partitioned_links.clear)
+                    self._environment.cut(router.address, other.address)
+        self._environment.schedule(4.0, self._environment.partitioned_links.clear)
 
     def _expire_all(self) -> None:
         for backend in self._fleet.backends:
@@ -208,4 +208,4 @@
     def _lose_control_tier(self) -> None:
         for control in self._fleet.controls:
             control.kill()
-            self._world.schedule(CONTROL_LOST_SECONDS, control.start)
+            self._environment.schedule(CONTROL_LOST_SECONDS, control.start)
--- a/src/orchidpath/simulation/requests/backend_process.py
+++ b/src/orchidpath/simulation/requests/backend_process.py
@@ -6,10 +6,10 @@
 from orchidpath.emulators.backend.injected_faults import Fault, FaultBoard, FaultKind
 from orchidpath.emulators.worker.engine_model import WorkerTiming
 from orchidpath.emulators.worker.kv_cache import HandleTable
+from orchidpath.simulation.environment import SimulatedEnvironment
 from orchidpath.simulation.requests.exchanges import Exchanges, ExchangeServer
 from orchidpath.simulation.requests.path_checks import RequestHistory
 from orchidpath.simulation.router_node import RouterNode
-from orchidpath.simulation.world import World
 from orchidpath.wire.backend import ANNOUNCE_PERIOD_SECONDS, Announcement, CacheHandle
 from orchidpath.wire.messages import Message
 from orchidpath.wire.records import WorkerRecord, WorkerStatus
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    world
+    environment
         Where it runs.
     exchanges
         Makes its connections.
@@ -44,13 +44,13 @@
 
     def __init__(
         self,
-        world: World,
+        environment: SimulatedEnvironment,
         exchanges: Exchanges,
         history: RequestHistory,
         record: WorkerRecord,
         routers: list[RouterNode],
     ) -> None:
-        super().__init__(world, record.worker_id)
+        super().__init__(environment, record.worker_id)
         self.faults = FaultBoard()
         self.foreign_handles = 0
         self.foreign_guarantees = 0
@@ -135,14 +135,16 @@
             return
         self._sequence += 1
         announcement = Announcement(record=self.core.record, sequence=self._sequence)
-        router = self.world.random.choice(self._routers)
-        delay_seconds = self.world.random.uniform(0.0005, self.world.network.delay_seconds)
+        router = self.environment.random.choice(self._routers)
+        delay_seconds = self.environment.random.uniform(
+            0.0005, self.environment.network.delay_seconds
+        )
 
         def arrive() -> None:
-            if (self.address, router.address) not in self.world.partitioned_links:
+            if (self.address, router.address) not in self.environment.partitioned_links:
                 router.announce(announcement)
 
-        self.world.schedule(delay_seconds, arrive)
+        self.environment.schedule(delay_seconds, arrive)
 
     def is_dark(self) -> bool:
         """Tell whether it answers nothing at present."""
--- a/src/orchidpath/simulation/requests/cache_pull.py
+++ b/src/orchidpath/simulation/requests/cache_pull.py
@@ -4,9 +4,9 @@
 
 from orchidpath.emulators.worker.kv_cache import HandleClaim
 from orchidpath.emulators.worker.kv_pull import DENIALS
+from orchidpath.simulation.environment import SimulatedProcess
 from orchidpath.simulation.requests.exchange_messages import CacheMoved, HttpError, PullCache
 from orchidpath.simulation.requests.exchanges import Exchange, Exchanges, open_server
-from orchidpath.simulation.world import SimulatedProcess
 from orchidpath.wire.backend import ErrorCode
 
 
--- a/src/orchidpath/simulation/requests/exchanges.py
+++ b/src/orchidpath/simulation/requests/exchanges.py
@@ -11,7 +11,11 @@
 
 import msgspec
 
-from orchidpath.simulation.world import LATE_MESSAGE_SECONDS, SimulatedProcess, World
+from orchidpath.simulation.environment import (
+    LATE_MESSAGE_SECONDS,
+    SimulatedEnvironment,
+    SimulatedProcess,
+)
 
 RETRANSMIT_SECONDS = 0.2
 """A lost segment comes this much later."""
@@ -62,14 +66,16 @@
 
     Parameters
     ----------
-    world
+    environment
         Virtual time and chance.
     client, server
         Both sides.
     """
 
-    def __init__(self, world: World, client: SimulatedProcess, server: SimulatedProcess) -> None:
-        self._world = world
+    def __init__(
+        self, environment: SimulatedEnvironment, client: SimulatedProcess, server: SimulatedProcess
+    ) -> None:
+        self._environment = environment
         self.client = End(client)
         self.server = End(server)
 
@@ -104,7 +110,7 @@
     def _send(self, sender: End, receiver: End, message: object) -> None:
         if not sender.is_open:
             return
-        now = self._world.time
+        now = self._environment.time
         arrives_at = now + self._delay_seconds()
         if receiver.queue:
             arrives_at = max(arrives_at, receiver.queue[-1].arrives_at)
@@ -113,7 +119,7 @@
             self._pump_at(sender, receiver, arrives_at)
 
     def _delay_seconds(self) -> float:
-        network, random = self._world.network, self._world.random
+        network, random = self._environment.network, self._environment.random
         delay_seconds = random.uniform(0.0005, network.delay_seconds)
         if network.loss and random.random() < network.loss:
             delay_seconds += RETRANSMIT_SECONDS
@@ -123,8 +129,8 @@
 
     def _pump_at(self, sender: End, receiver: End, at: float) -> None:
         receiver.is_pumping = True
-        delay_seconds = max(at - self._world.time, 0.0)
-        self._world.schedule(delay_seconds, lambda: self._pump(sender, receiver))
+        delay_seconds = max(at - self._environment.time, 0.0)
+        self._environment.schedule(delay_seconds, lambda: self._pump(sender, receiver))
 
     def _pump(self, sender: End, receiver: End) -> None:
         receiver.is_pumping = False
@@ -135,13 +141,13 @@
             return
         head = receiver.queue[0]
         link = (sender.process.address, receiver.process.address)
-        if link in self._world.partitioned_links:
-            if self._world.time - head.sent_at > PARTITIONED_LINK_SECONDS:
+        if link in self._environment.partitioned_links:
+            if self._environment.time - head.sent_at > PARTITIONED_LINK_SECONDS:
                 receiver.queue.clear()
                 self._end(sender)
                 self._end(receiver)
                 return
-            self._pump_at(sender, receiver, self._world.time + RETRANSMIT_SECONDS)
+            self._pump_at(sender, receiver, self._environment.time + RETRANSMIT_SECONDS)
             return
         receiver.queue.popleft()
         self._deliver(receiver, head.message)
@@ -192,12 +198,12 @@
 
     Parameters
     ----------
-    world
+    environment
         Virtual time, links and processes.
     """
 
-    def __init__(self, world: World) -> None:
-        self._world = world
+    def __init__(self, environment: SimulatedEnvironment) -> None:
+        self._environment = environment
         self._of_process: dict[str, list[Exchange]] = {}
 
     def connect(
@@ -220,13 +226,13 @@
         on_failed
             Called when nothing listens or nothing answers in time.
         """
-        random = self._world.random
-        seconds = random.uniform(0.0005, self._world.network.delay_seconds)
+        random = self._environment.random
+        seconds = random.uniform(0.0005, self._environment.network.delay_seconds)
         links = ((client.address, server_address), (server_address, client.address))
 
         def accept() -> None:
-            server = self._world.processes[server_address]
-            if any(link in self._world.partitioned_links for link in links):
+            server = self._environment.processes[server_address]
+            if any(link in self._environment.partitioned_links for link in links):
                 client.after(CONNECT_TIMEOUT_SECONDS, on_failed)
             elif not server.alive:
                 on_failed()
@@ -241,7 +247,7 @@
             exchange.process_died(address)
 
     def _open(self, client: SimulatedProcess, server: SimulatedProcess) -> Exchange:
-        exchange = Exchange(self._world, client, server)
+        exchange = Exchange(self._environment, client, server)
         for process in (client, server):
             known = self._of_process.setdefault(process.address, [])
             known.append(exchange)
--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -11,13 +11,13 @@
 from orchidpath.emulators.backend.backend_core import AttemptDispatch
 from orchidpath.emulators.worker.kv_cache import HandleClaim
 from orchidpath.routing.retry_budget import MAXIMUM_WINDOW_SECONDS
+from orchidpath.simulation.environment import MAX_CLOCK_RATE_ERROR, SimulatedEnvironment
 from orchidpath.simulation.fleet_checks import InvariantError
 from orchidpath.simulation.requests.exchange_messages import (
     REPEATABLE_KINDS,
     CallerRequest,
     RequestKind,
 )
-from orchidpath.simulation.world import MAX_CLOCK_RATE_ERROR, World
 from orchidpath.wire.backend import CacheHandle, DecodeFrame, ErrorBody, FrameKind, Ran
 from orchidpath.wire.configuration import RetryPolicy
 from orchidpath.wire.messages import AttemptEffect, AttemptReport, Choice
@@ -89,15 +89,15 @@
 
     Parameters
     ----------
-    world
+    environment
         Gives the true time.
     retry
         The retry policy applied.
     """
 
-    def __init__(self, world: World, retry: RetryPolicy) -> None:
+    def __init__(self, environment: SimulatedEnvironment, retry: RetryPolicy) -> None:
         self.counts = RequestCounts()
-        self._world = world
+        self._environment = environment
         self._retry = retry
         self._submissions: dict[tuple[str, int], Submission] = {}
         self._submission_of_attempt: dict[str, Submission] = {}
@@ -120,14 +120,14 @@
         """Record that a router has got a request."""
         self.counts.submitted += 1
         submission = Submission(
-            request=request, arrived_at=self._world.time, texts=[], transients=[]
+            request=request, arrived_at=self._environment.time, texts=[], transients=[]
         )
         self._submissions[request.request_id, request.submission] = submission
         return submission
 
     def refused_at_once(self, submission: Submission) -> None:
         """Check that a router which takes a request not in says so without waiting."""
-        waited = self._world.time - submission.arrived_at
+        waited = self._environment.time - submission.arrived_at
         self._check(waited < DEADLINE_SLACK_SECONDS, f"a refusal waited for {waited:.3f} s")
 
     def answered(self, submission: Submission, was_frozen: bool) -> None:
@@ -135,7 +135,7 @@
         if was_frozen or submission.has_content:
             return
         allowed = submission.request.deadline_seconds * (1 + MAX_CLOCK_RATE_ERROR)
-        waited = self._world.time - submission.arrived_at
+        waited = self._environment.time - submission.arrived_at
         self._check(
             waited <= allowed + DEADLINE_SLACK_SECONDS,
             f"{_name(submission)} was answered after {waited:.3f} s, its deadline is {allowed:.3f}",
@@ -143,7 +143,7 @@
 
     def backed_off(self, submission: Submission, seconds: float) -> None:
         """Check that nobody waits for a retry which its deadline does not allow."""
-        left = submission.arrived_at + submission.request.deadline_seconds - self._world.time
+        left = submission.arrived_at + submission.request.deadline_seconds - self._environment.time
         allowed = max(left, 0.0) * (1 + 2 * MAX_CLOCK_RATE_ERROR) + DEADLINE_SLACK_SECONDS
         self._check(
             seconds <= allowed,
@@ -236,7 +236,7 @@
 
     def record_applied_view(self, revision: int, workers: tuple[WorkerRecord, ...]) -> None:
         """Note which workers may get orders, as the control tier has just applied it."""
-        now = self._world.time
+        now = self._environment.time
         usable = {
             (one.worker_id, one.incarnation)
             for one in workers
@@ -255,7 +255,7 @@
         """Record that a majority of the witnesses has adopted a revision."""
         for unusable in self._unusable.values():
             if unusable.majority_adopted_at is None and unusable.revision <= revision:
-                unusable.majority_adopted_at = self._world.time
+                unusable.majority_adopted_at = self._environment.time
 
     def check_report(self, submission: Submission, report: AttemptReport) -> None:
         """Check what a router is about to count against a worker."""
@@ -331,7 +331,7 @@
         since = unusable.applied_at if self.witnesses_reachable else unusable.majority_adopted_at
         if since is None:
             return
-        late = self._world.time - since
+        late = self._environment.time - since
         self._check(
             late <= NO_ORDER_AFTER_SECONDS * (1 + MAX_CLOCK_RATE_ERROR),
             f"{router} sent an order to {key[1]} {late:.3f} s after its draining or end was known",
@@ -352,7 +352,9 @@
     def _spending_of(self, router: str, epoch: int, service: str, router_count: int) -> Spending:
         spending = self._spending.setdefault(
             (router, epoch, service),
-            Spending(since=self._world.time, min_routers=router_count, most_routers=router_count),
+            Spending(
+                since=self._environment.time, min_routers=router_count, most_routers=router_count
+            ),
         )
         spending.min_routers = min(spending.min_routers, router_count)
         spending.most_routers = max(spending.most_routers, router_count)
@@ -363,7 +365,7 @@
         policy = self._retry
         minimum = policy.budget_minimum_per_second
         window = max(policy.budget_window_seconds, spending.most_routers / minimum)
-        seconds = self._world.time - spending.since + min(window, MAXIMUM_WINDOW_SECONDS)
+        seconds = self._environment.time - spending.since + min(window, MAXIMUM_WINDOW_SECONDS)
         share = policy.budget_ratio * spending.firsts
         return share + minimum * seconds / spending.min_routers + BUDGET_SLACK_RETRIES
 
--- a/src/orchidpath/simulation/requests/response_reader.py
+++ b/src/orchidpath/simulation/requests/response_reader.py
@@ -20,6 +20,7 @@
 )
 from orchidpath.router.chat.backend_exchange import Exchange as OrderExchange
 from orchidpath.routing.request import events
+from orchidpath.simulation.environment import SimulatedProcess
 from orchidpath.simulation.requests.exchange_messages import (
     EndOfBody,
     HttpError,
@@ -27,7 +28,6 @@
     StreamHead,
 )
 from orchidpath.simulation.requests.exchanges import Exchange
-from orchidpath.simulation.world import SimulatedProcess
 from orchidpath.wire.backend import (
     CallReply,
     DecodeFrame,
--- a/src/orchidpath/simulation/requests/serving_fleet.py
+++ b/src/orchidpath/simulation/requests/serving_fleet.py
@@ -104,15 +104,15 @@
 
     def __init__(self, seed: int, shape: FleetShape, disabled: DisabledGuards) -> None:
         super().__init__(seed, shape, disabled)
-        self.operators = RequestOperators(self.world, self.controls, self.history)
+        self.operators = RequestOperators(self.environment, self.controls, self.history)
         self.callers = Callers(
-            self.world, self.exchanges, self.serving, self.requests, disabled.path
+            self.environment, self.exchanges, self.serving, self.requests, disabled.path
         )
 
     def prepare(self, disabled: DisabledGuards) -> None:
         """Make what the processes of this fleet share, before any of them."""
-        self.exchanges = Exchanges(self.world)
-        self.requests = RequestHistory(self.world, RETRY)
+        self.exchanges = Exchanges(self.environment)
+        self.requests = RequestHistory(self.environment, RETRY)
         self.serving: list[ServingRouter] = []
         self._agreed_revision = -1
         self._in_force_revision = -1
@@ -123,7 +123,7 @@
     ) -> RouterNode:
         """Make a router that serves requests."""
         router = ServingRouter(
-            self.world,
+            self.environment,
             name,
             zone,
             seeds,
@@ -142,7 +142,7 @@
         stages = (Stage.PREFILL, Stage.DECODE, Stage.PLAIN)
         self.backends = [
             SimulatedBackend(
-                self.world,
+                self.environment,
                 self.exchanges,
                 self.requests,
                 _record(f"w{number}", stages[number % len(stages)], f"z{number % shape.zones}"),
@@ -158,7 +158,7 @@
             backend.start()
         self.operators.submit(self.operators.new_order(0))
         self.callers.start()
-        self.world.run_until(self.world.time + CONVERGENCE_SECONDS)
+        self.environment.run_until(self.environment.time + CONVERGENCE_SECONDS)
 
     def heal(self) -> None:
         """End every fault and start what is down."""
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -17,6 +17,7 @@
 from orchidpath.routing.request.events import SendRefusal
 from orchidpath.routing.request.guards import Guard
 from orchidpath.routing.route_table import RouteMatch
+from orchidpath.simulation.environment import SimulatedEnvironment
 from orchidpath.simulation.requests.exchange_messages import (
     MODEL_KINDS,
     CallerRequest,
@@ -31,7 +32,6 @@
     SimulatedFleetAccess,
 )
 from orchidpath.simulation.router_node import RouterNode
-from orchidpath.simulation.world import World
 from orchidpath.wire.backend import Announcement, ErrorBody, ErrorCode
 from orchidpath.wire.messages import (
     AttemptReportsReply,
@@ -59,7 +59,7 @@
 
     Parameters
     ----------
-    world, address, zone, seeds, guards
+    environment, address, zone, seeds, guards
         As for :class:`~orchidpath.simulation.router_node.RouterNode`.
     exchanges
         Makes its connections to back ends.
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        world: World,
+        environment: SimulatedEnvironment,
         address: str,
         zone: str,
         seeds: Sequence[str],
@@ -83,7 +83,7 @@
         path_guards: frozenset[PathGuard],
         request_guards: frozenset[Guard],
     ) -> None:
-        super().__init__(world, address, zone, seeds, guards)
+        super().__init__(environment, address, zone, seeds, guards)
         self.exchanges = exchanges
         self.history = history
         self.path_guards = path_guards
@@ -98,7 +98,7 @@
         assert self.core is not None
         self._term = 0
         self.access = SimulatedFleetAccess(self, self.core, self._try_leader, self.path_guards)
-        self.state = RoutingState(self.access, self.world.random)
+        self.state = RoutingState(self.access, self.environment.random)
         if PathGuard.PAIR_EVIDENCE in self.path_guards:
             self.state.kv_transfer_evidence = CredulousDispatchLog()
             self.state.selector = PairSelector(self.state.kv_transfer_evidence.avoidance)
@@ -115,7 +115,7 @@
         """Stop the process; what it was to do in time cannot be done in time."""
         super().freeze(duration_seconds)
         if self.frozen:
-            self.last_frozen_at = self.world.time + duration_seconds
+            self.last_frozen_at = self.environment.time + duration_seconds
 
     def announce(self, announcement: Announcement) -> None:
         """Take a worker's announcement, remember and forward it."""
--- a/src/orchidpath/simulation/requests/simulated_backend.py
+++ b/src/orchidpath/simulation/requests/simulated_backend.py
@@ -126,7 +126,7 @@
     def _call(self, exchange: Exchange, order: AttemptDispatch) -> None:
         if not self._begin(exchange, order):
             return
-        seconds = self.world.random.uniform(0.5, 2.0) * CALL_SECONDS
+        seconds = self.environment.random.uniform(0.5, 2.0) * CALL_SECONDS
         seconds *= self.faults.factor(FaultKind.SLOW, self.now)
 
         def reply(sender: AttemptDispatch) -> HttpReply:
@@ -145,7 +145,7 @@
     def _start_prefill(self, exchange: Exchange, order: AttemptDispatch) -> None:
         if not self._begin(exchange, order):
             return
-        prompt_tokens = self.world.random.choice((20, 100, 400))
+        prompt_tokens = self.environment.random.choice((20, 100, 400))
         seconds = prefill_seconds(TIMING, prompt_tokens, 0)
         seconds *= self.faults.factor(FaultKind.SLOW, self.now)
 
@@ -259,7 +259,7 @@
         )
 
     def _is_link_partitioned(self, other: str) -> bool:
-        partitioned_links = self.world.partitioned_links
+        partitioned_links = self.environment.partitioned_links
         return (self.address, other) in partitioned_links or (
             other,
             self.address,
--- a/src/orchidpath/simulation/requests/simulated_caller.py
+++ b/src/orchidpath/simulation/requests/simulated_caller.py
@@ -6,6 +6,7 @@
 import msgspec
 
 from orchidpath.emulators.backend.answers import expected_text, is_expected_call_body
+from orchidpath.simulation.environment import SimulatedEnvironment, SimulatedProcess
 from orchidpath.simulation.fleet_checks import InvariantError
 from orchidpath.simulation.requests.exchange_messages import (
     MODEL_KINDS,
@@ -20,7 +21,6 @@
 from orchidpath.simulation.requests.path_checks import RequestHistory
 from orchidpath.simulation.requests.path_guards import PathGuard
 from orchidpath.simulation.requests.serving_router import ServingRouter
-from orchidpath.simulation.world import SimulatedProcess, World
 from orchidpath.wire.backend import FrameKind, Ran
 from orchidpath.wire.messages import Message
 
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    world
+    environment
         Where they run.
     exchanges
         Makes their connections.
@@ -52,13 +52,13 @@
 
     def __init__(
         self,
-        world: World,
+        environment: SimulatedEnvironment,
         exchanges: Exchanges,
         routers: list[ServingRouter],
         history: RequestHistory,
         guards: frozenset[PathGuard],
     ) -> None:
-        super().__init__(world, ADDRESS)
+        super().__init__(environment, ADDRESS)
         self.requests_per_second = 0.0
         self.exchanges = exchanges
         self.routers = routers
@@ -92,10 +92,10 @@
             self.after(0.1, self._next_arrival)
             return
         self._arrive()
-        self.after(self.world.random.expovariate(rate), self._next_arrival)
+        self.after(self.environment.random.expovariate(rate), self._next_arrival)
 
     def _arrive(self) -> None:
-        random = self.world.random
+        random = self.environment.random
         self._number += 1
         kind = random.choice(tuple(RequestKind))
         request = CallerRequest(
@@ -132,7 +132,7 @@
 
     def submit(self) -> None:
         """Send the request to any router."""
-        router = self._callers.world.random.choice(self._callers.routers)
+        router = self._callers.environment.random.choice(self._callers.routers)
         self._texts.clear()
         self._is_over = False
         self._callers.exchanges.connect(
@@ -148,8 +148,8 @@
         exchange.client.on_message = lambda message: self._take(exchange, message)
         exchange.client.on_broken = self._disconnect
         exchange.send(request)
-        if self._callers.world.random.random() < LEAVING_SHARE:
-            seconds = self._callers.world.random.uniform(0.0, 1.0)
+        if self._callers.environment.random.random() < LEAVING_SHARE:
+            seconds = self._callers.environment.random.uniform(0.0, 1.0)
             self._callers.after(seconds, lambda: self._leave(exchange))
 
     def _leave(self, exchange: Exchange) -> None:
@@ -220,5 +220,7 @@
         self._request = msgspec.structs.replace(
             self._request, submission=self._request.submission + 1
         )
-        pause = min(seconds, LONGEST_PAUSE_SECONDS) * self._callers.world.random.uniform(1.0, 1.2)
+        pause = min(seconds, LONGEST_PAUSE_SECONDS) * self._callers.environment.random.uniform(
+            1.0, 1.2
+        )
         self._callers.after(pause, self.submit)
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -15,8 +15,8 @@
 from orchidpath.router.fleet_link.late_decisions import LateDecisions
 from orchidpath.router.fleet_link.report_queue import ReportQueue
 from orchidpath.routing.freshness import FreshnessCore
+from orchidpath.simulation.environment import SimulatedProcess
 from orchidpath.simulation.requests.path_guards import PathGuard
-from orchidpath.simulation.world import SimulatedProcess
 from orchidpath.wire.backend import Announcement, AnnouncementReply
 from orchidpath.wire.messages import (
     AttemptReport,
--- a/src/orchidpath/simulation/router_node.py
+++ b/src/orchidpath/simulation/router_node.py
@@ -12,7 +12,7 @@
     SendToRouter,
     ViewAdopted,
 )
-from orchidpath.simulation.world import SimulatedProcess, World
+from orchidpath.simulation.environment import SimulatedEnvironment, SimulatedProcess
 from orchidpath.wire.backend import Announcement
 from orchidpath.wire.messages import (
     ControlMembers,
@@ -34,7 +34,7 @@
 
     Parameters
     ----------
-    world
+    environment
         Where it runs.
     address
         Its address, which is its id as well.
@@ -48,13 +48,13 @@
 
     def __init__(
         self,
-        world: World,
+        environment: SimulatedEnvironment,
         address: str,
         zone: str,
         seeds: Sequence[str],
         guards: frozenset[FreshnessGuard],
     ) -> None:
-        super().__init__(world, address)
+        super().__init__(environment, address)
         self.core: FreshnessCore | None = None
         self.on_observed: Callable[[RouterNode], None] = lambda _router: None
         self._record = RouterRecord(
--- a/src/orchidpath/simulation/scenarios.py
+++ b/src/orchidpath/simulation/scenarios.py
@@ -81,7 +81,7 @@
         else:
             _run(fleet, scenario)
     except (InvariantError, ProtocolViolationError) as error:
-        violation = f"{type(error).__name__} at {fleet.world.time:.3f} s: {error}"
+        violation = f"{type(error).__name__} at {fleet.environment.time:.3f} s: {error}"
     leader = fleet.leader()
     core = leader.core if leader is not None else None
     return ScenarioResult(
@@ -91,25 +91,25 @@
         confirmed_updates=fleet.history.confirmed_updates,
         configuration_version=core.state.configuration_version if core is not None else 0,
         fresh_checks=fleet.history.fresh_checks,
-        events=fleet.world.events_run,
-        virtual_seconds=fleet.world.time,
+        events=fleet.environment.events_run,
+        virtual_seconds=fleet.environment.time,
         requests=fleet.requests.counts if isinstance(fleet, RequestFleet) else None,
     )
 
 
 def _run(fleet: FleetSimulation, scenario: Scenario) -> None:
-    world = fleet.world
+    environment = fleet.environment
     fleet.start()
     driver = FaultDriver(fleet)
     driver.begin(scenario)
     orders = FaultPeriod(fleet)
-    world.repeat(ORDER_PERIOD_SECONDS, orders.submit)
-    world.repeat(WORKER_CHANGE_PERIOD_SECONDS, orders.change_worker)
-    world.run_until(world.time + FAULT_TIME_SECONDS)
+    environment.repeat(ORDER_PERIOD_SECONDS, orders.submit)
+    environment.repeat(WORKER_CHANGE_PERIOD_SECONDS, orders.change_worker)
+    environment.run_until(environment.time + FAULT_TIME_SECONDS)
     driver.stop()
     orders.stop()
     fleet.heal()
-    world.run_until(world.time + RECOVERY_SECONDS)
+    environment.run_until(environment.time + RECOVERY_SECONDS)
     fleet.check_recovered()
     if scenario is Scenario.SECOND_LOSS and driver.second_losses == 0:
         raise InvariantError("the repair after the first loss never ended")
@@ -118,7 +118,7 @@
 
 
 def _run_with_requests(fleet: RequestFleet, scenario: Scenario) -> None:
-    world = fleet.world
+    environment = fleet.environment
     fleet.start()
     fleet.callers.requests_per_second = REQUESTS_PER_SECOND[scenario]
     fleet.requests.witnesses_reachable = scenario not in WITNESSES_PARTITIONED
@@ -127,14 +127,14 @@
     requests = RequestFaultDriver(fleet)
     _begin_request_faults(requests, scenario)
     orders = FaultPeriod(fleet)
-    world.repeat(ORDER_PERIOD_SECONDS, orders.submit)
-    world.run_until(world.time + REQUEST_FAULT_TIME_SECONDS)
+    environment.repeat(ORDER_PERIOD_SECONDS, orders.submit)
+    environment.run_until(environment.time + REQUEST_FAULT_TIME_SECONDS)
     driver.stop()
     requests.stop()
     fleet.callers.requests_per_second = REQUESTS_PER_SECOND_AFTERWARDS
     orders.stop()
     fleet.heal()
-    world.run_until(world.time + RECOVERY_SECONDS)
+    environment.run_until(environment.time + RECOVERY_SECONDS)
     before = fleet.requests.counts.completed
     fleet.check_recovered()
     if fleet.requests.counts.completed == before:
--- a/src/orchidpath/simulation/worker_node.py
+++ b/src/orchidpath/simulation/worker_node.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
+from orchidpath.simulation.environment import SimulatedEnvironment
 from orchidpath.simulation.router_node import RouterNode
-from orchidpath.simulation.world import World
 from orchidpath.wire.backend import ANNOUNCE_PERIOD_SECONDS, Announcement
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
@@ -13,7 +13,7 @@
 
     Parameters
     ----------
-    world
+    environment
         Virtual time and chance.
     worker_id
         Its name.
@@ -21,8 +21,10 @@
         Routers that it may announce itself to.
     """
 
-    def __init__(self, world: World, worker_id: str, routers: list[RouterNode]) -> None:
-        self._world = world
+    def __init__(
+        self, environment: SimulatedEnvironment, worker_id: str, routers: list[RouterNode]
+    ) -> None:
+        self._environment = environment
         self._routers = routers
         self._epoch = 0
         self._sequence = 0
@@ -46,7 +48,7 @@
             status=WorkerStatus.READY,
         )
         epoch = self._epoch
-        self._world.schedule(0.0, lambda: self._announce_forever(epoch))
+        self._environment.schedule(0.0, lambda: self._announce_forever(epoch))
 
     def drain(self) -> None:
         """Announce that no new request is wanted."""
@@ -62,9 +64,9 @@
         if epoch != self._epoch:
             return
         self._announce()
-        self._world.schedule(ANNOUNCE_PERIOD_SECONDS, lambda: self._announce_forever(epoch))
+        self._environment.schedule(ANNOUNCE_PERIOD_SECONDS, lambda: self._announce_forever(epoch))
 
     def _announce(self) -> None:
         self._sequence += 1
-        router = self._world.random.choice(self._routers)
+        router = self._environment.random.choice(self._routers)
         router.announce(Announcement(record=self.record, sequence=self._sequence))
--- a/tests/simulation/test_exchanges.py
+++ b/tests/simulation/test_exchanges.py
@@ -2,14 +2,16 @@
 
 import pytest
 
+from orchidpath.simulation.environment import NetworkFaults, SimulatedEnvironment, SimulatedProcess
 from orchidpath.simulation.requests.exchanges import PARTITIONED_LINK_SECONDS, Exchange, Exchanges
-from orchidpath.simulation.world import NetworkFaults, SimulatedProcess, World
 from orchidpath.wire.messages import Message
 
 
 class Peer(SimulatedProcess):
-    def __init__(self, world: World, address: str, exchanges: Exchanges) -> None:
-        super().__init__(world, address)
+    def __init__(
+        self, environment: SimulatedEnvironment, address: str, exchanges: Exchanges
+    ) -> None:
+        super().__init__(environment, address)
         self.exchanges = exchanges
         self.received: list[object] = []
         self.broken = 0
@@ -36,10 +38,10 @@
     """A client and a server with one exchange between them."""
 
     def __init__(self) -> None:
-        self.world = World(1)
-        exchanges = Exchanges(self.world)
-        self.client = Peer(self.world, "client", exchanges)
-        self.server = Peer(self.world, "server", exchanges)
+        self.environment = SimulatedEnvironment(1)
+        exchanges = Exchanges(self.environment)
+        self.client = Peer(self.environment, "client", exchanges)
+        self.server = Peer(self.environment, "server", exchanges)
         self.opened: list[Exchange] = []
         self.failed = 0
         exchanges.connect(self.client, "server", self.connected, self.note_failed)
@@ -54,11 +56,11 @@
         self.failed += 1
 
     def open(self) -> Exchange:
-        self.world.run_until(self.world.time + 0.1)
+        self.environment.run_until(self.environment.time + 0.1)
         return self.opened[0]
 
     def wait(self, seconds: float) -> None:
-        self.world.run_until(self.world.time + seconds)
+        self.environment.run_until(self.environment.time + seconds)
 
 
 @pytest.fixture
@@ -68,7 +70,7 @@
 
 def test_messages_arrive_in_order_and_once_on_a_bad_network(pair: Pair) -> None:
     exchange = pair.open()
-    pair.world.network = NetworkFaults(loss=0.3, duplication=0.5, late=0.3)
+    pair.environment.network = NetworkFaults(loss=0.3, duplication=0.5, late=0.3)
     for number in range(50):
         exchange.send(number)
     pair.wait(60.0)
@@ -106,13 +108,13 @@
 
 def test_a_long_partition_ends_the_exchange_and_a_short_one_does_not(pair: Pair) -> None:
     exchange = pair.open()
-    pair.world.cut("client", "server")
+    pair.environment.cut("client", "server")
     exchange.send("first")
     pair.wait(PARTITIONED_LINK_SECONDS / 2)
-    pair.world.partitioned_links.clear()
+    pair.environment.partitioned_links.clear()
     pair.wait(1.0)
     assert pair.server.received == ["first"]
-    pair.world.cut("client", "server")
+    pair.environment.cut("client", "server")
     exchange.send("second")
     pair.wait(PARTITIONED_LINK_SECONDS * 2)
     assert pair.server.received == ["first"]
--- a/tests/simulation/test_path_checks.py
+++ b/tests/simulation/test_path_checks.py
@@ -6,10 +6,10 @@
 from orchidpath.emulators.backend.attempts import Phase
 from orchidpath.emulators.backend.backend_core import AttemptDispatch
 from orchidpath.emulators.worker.kv_cache import HandleClaim
+from orchidpath.simulation.environment import SimulatedEnvironment
 from orchidpath.simulation.fleet_checks import InvariantError
 from orchidpath.simulation.requests.exchange_messages import CallerRequest, RequestKind
 from orchidpath.simulation.requests.path_checks import RequestHistory
-from orchidpath.simulation.world import World
 from orchidpath.wire.backend import CacheHandle, ErrorBody, ErrorCode, Ran
 from orchidpath.wire.configuration import RetryPolicy
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
@@ -27,8 +27,8 @@
     """A history with one submission."""
 
     def __init__(self) -> None:
-        self.world = World(1)
-        self.history = RequestHistory(self.world, RetryPolicy())
+        self.environment = SimulatedEnvironment(1)
+        self.history = RequestHistory(self.environment, RetryPolicy())
         request = CallerRequest(
             request_id="request-1",
             submission=1,
@@ -51,7 +51,7 @@
 
 
 def test_a_late_rejection_is_detected(observed: ObservedSubmission) -> None:
-    observed.world.run_until(1.0)
+    observed.environment.run_until(1.0)
     with pytest.raises(InvariantError, match="waited"):
         observed.history.refused_at_once(observed.submission)
 
@@ -105,9 +105,9 @@
     observed.history.record_applied_view(1, (WORKER,))
     changed = msgspec.structs.replace(WORKER, status=status)
     observed.history.record_applied_view(2, () if status is WorkerStatus.GONE else (changed,))
-    observed.world.run_until(1.9)
+    observed.environment.run_until(1.9)
     observed.dispatch()
-    observed.world.run_until(2.1)
+    observed.environment.run_until(2.1)
     with pytest.raises(InvariantError, match=r"2\.100 s after"):
         observed.dispatch()
 
@@ -115,7 +115,7 @@
 def test_a_worker_that_is_ready_again_may_get_dispatches(observed: ObservedSubmission) -> None:
     observed.history.record_applied_view(1, (WORKER,))
     observed.history.record_applied_view(2, ())
-    observed.world.run_until(5.0)
+    observed.environment.run_until(5.0)
     observed.history.record_applied_view(3, (WORKER,))
     observed.dispatch()
 
@@ -126,9 +126,9 @@
     observed.history.witnesses_reachable = False
     observed.history.record_applied_view(1, (WORKER,))
     observed.history.record_applied_view(2, ())
-    observed.world.run_until(5.0)
+    observed.environment.run_until(5.0)
     observed.dispatch()
     observed.history.record_majority_adoption(2)
-    observed.world.run_until(7.5)
+    observed.environment.run_until(7.5)
     with pytest.raises(InvariantError, match=r"2\.500 s after"):
         observed.dispatch()
