--- a/tests/adapter/platform_world.py
+++ b/tests/adapter/platform_environment.py
@@ -44,7 +44,7 @@
 
 
 def machine_hosts(number: int) -> list[str]:
-    """Return loopback addresses that no other world of this test run uses."""
+    """Return loopback addresses that no other environment of this test run uses."""
     process = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
     world = next(_worlds)
     return [f"127.{20 + process}.{world % 250}.{10 + machine}" for machine in range(number)]
@@ -264,7 +264,7 @@
     return web.Response(status=503, headers={"X-Request-Id": request_id, SIGNATURE: "sig"})
 
 
-class PlatformWorld:
+class PlatformEnvironment:
     """A few machines, each with a control process and a router, and their workers."""
 
     def __init__(self, folder: Path, machines: int = 3) -> None:
@@ -525,9 +525,9 @@
 @asynccontextmanager
 async def running(
     folder: Path, *workers: EmulatedWorker, machines: int = 3
-) -> AsyncIterator[PlatformWorld]:
-    """Run a world whose first configuration is confirmed."""
-    world = PlatformWorld(folder, machines)
+) -> AsyncIterator[PlatformEnvironment]:
+    """Run an environment whose first configuration is confirmed."""
+    world = PlatformEnvironment(folder, machines)
     await world.start(*workers)
     try:
         response = await world.put_configuration(document(2), 0)
--- a/tests/adapter/test_configuration_format.py
+++ b/tests/adapter/test_configuration_format.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 import pytest
-from platform_world import document
+from platform_environment import document
 
 from configuration_format import InvalidDocumentError, Policies, StagePolicy, read_document
 from orchidpath.common.errors import OrchidpathError
--- a/tests/adapter/test_control_calls.py
+++ b/tests/adapter/test_control_calls.py
@@ -7,7 +7,14 @@
 
 import aiohttp
 import pytest
-from platform_world import WAIT_SECONDS, EmulatedWorker, PlatformWorld, document, running, stock
+from platform_environment import (
+    WAIT_SECONDS,
+    EmulatedWorker,
+    PlatformEnvironment,
+    document,
+    running,
+    stock,
+)
 
 
 async def test_of_racing_updates_one_is_accepted_and_every_machine_serves_it(
@@ -113,7 +120,7 @@
         assert await world.get_configuration(0) == document(2)
 
 
-async def _end_worker(world: PlatformWorld, worker: EmulatedWorker, ending: str) -> None:
+async def _end_worker(world: PlatformEnvironment, worker: EmulatedWorker, ending: str) -> None:
     async with asyncio.timeout(WAIT_SECONDS):
         while True:
             if ending == "draining":
--- a/tests/adapter/test_node_settings.py
+++ b/tests/adapter/test_node_settings.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from platform_world import PlatformWorld
+from platform_environment import PlatformEnvironment
 
 from node_settings import (
     SETTINGS_VARIABLE,
@@ -20,7 +20,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "node.json"
-    path.write_bytes(PlatformWorld(tmp_path).settings_file(1))
+    path.write_bytes(PlatformEnvironment(tmp_path).settings_file(1))
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
     node = load_node_settings()
     control = control_settings(node)
@@ -31,7 +31,7 @@
     assert router.wire_address != control.wire_address
     assert router.seeds == control.seeds
     before = settings_stamp()
-    path.write_bytes(PlatformWorld(tmp_path).settings_file(2) + b" ")
+    path.write_bytes(PlatformEnvironment(tmp_path).settings_file(2) + b" ")
     assert settings_stamp() != before
 
 
--- a/tests/adapter/test_platform_path.py
+++ b/tests/adapter/test_platform_path.py
@@ -7,12 +7,12 @@
 import aiohttp
 import pytest
 from aiohttp import web
-from platform_world import (
+from platform_environment import (
     SIGNATURE,
     WAIT_SECONDS,
     Answer,
     EmulatedWorker,
-    PlatformWorld,
+    PlatformEnvironment,
     SurplusWorker,
     answer_unsigned,
     document,
@@ -260,7 +260,7 @@
 
 
 async def abort_once(
-    world: PlatformWorld, decoders: list[EmulatedWorker]
+    world: PlatformEnvironment, decoders: list[EmulatedWorker]
 ) -> tuple[aiohttp.ClientResponse, bytes | None]:
     """Send a request whose first worker aborts its stream and whose second one resumes it."""
     first, second = decoders
@@ -385,7 +385,7 @@
 async def test_a_router_without_a_configuration_answers_503(
     tmp_path: Path,
 ) -> None:
-    world = PlatformWorld(tmp_path)
+    world = PlatformEnvironment(tmp_path)
     await world.start()
     try:
         assert not await world.is_ready(0)
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -26,7 +26,7 @@
 STEP_SECONDS = 0.25
 
 
-class World:
+class BalancerEnvironment:
     """A replicated state, the balancer of one leader, and workers that execute on request."""
 
     def __init__(self, prefill: int, decode: int) -> None:
@@ -77,7 +77,7 @@
 
 
 def test_surplus_workers_are_cordoned_commanded_and_uncordoned() -> None:
-    world = World(prefill=4, decode=5)
+    world = BalancerEnvironment(prefill=4, decode=5)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     assert len(world.cordoned()) == 3
     assert sorted({command.worker_id for command in world.commands}) == sorted(world.cordoned())
@@ -90,14 +90,14 @@
 
 
 def test_a_new_leader_sends_no_command_while_an_earlier_one_may_be_in_transit() -> None:
-    world = World(prefill=4, decode=5)
+    world = BalancerEnvironment(prefill=4, decode=5)
     world.run(TAKEOVER_SECONDS - STEP_SECONDS)
     assert world.cordoned() == []
     assert world.commands == []
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed() -> None:
-    world = World(prefill=4, decode=5)
+    world = BalancerEnvironment(prefill=4, decode=5)
     world.confirms = False
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     assert world.cordoned()
@@ -105,7 +105,7 @@
 
 
 def test_a_command_without_a_reply_is_repeated_in_the_same_term() -> None:
-    world = World(prefill=4, decode=3)
+    world = BalancerEnvironment(prefill=4, decode=3)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0 + 2 * COMMAND_REPEAT_SECONDS)
     assert len(world.commands) >= 2
     assert {command.term for command in world.commands} == {1}
@@ -113,7 +113,7 @@
 
 
 def test_a_worker_that_never_changes_its_stage_is_uncordoned() -> None:
-    world = World(prefill=4, decode=3)
+    world = BalancerEnvironment(prefill=4, decode=3)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     assert world.cordoned() == ["w4"]
     world.run(MOVE_SECONDS)
@@ -121,7 +121,7 @@
 
 
 def test_a_new_leader_uncordons_workers_cordoned_by_its_predecessor() -> None:
-    world = World(prefill=4, decode=3)
+    world = BalancerEnvironment(prefill=4, decode=3)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     assert world.cordoned() == ["w4"]
     world.lead(2)
@@ -132,7 +132,7 @@
 
 
 def test_no_worker_is_moved_while_the_set_of_workers_changes() -> None:
-    world = World(prefill=4, decode=5)
+    world = BalancerEnvironment(prefill=4, decode=5)
     for number in range(20, 30):
         world.run(1.0)
         world.announce(f"w{number}", Stage.PREFILL, 1)
@@ -140,7 +140,7 @@
 
 
 def test_without_a_decode_worker_the_quiet_period_is_short() -> None:
-    world = World(prefill=3, decode=0)
+    world = BalancerEnvironment(prefill=3, decode=0)
     world.run(TAKEOVER_SECONDS)
     world.announce("w9", Stage.PREFILL, 1)
     world.run(URGENT_QUIET_PERIOD_SECONDS + 4 * STEP_SECONDS)
@@ -149,7 +149,7 @@
 
 
 def test_a_restarted_worker_ends_its_stage_change() -> None:
-    world = World(prefill=4, decode=3)
+    world = BalancerEnvironment(prefill=4, decode=3)
     world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
     entry = world.state.find_worker("w4")
     assert entry is not None
--- a/tests/placement/plan_world.py
+++ b/tests/placement/plan_environment.py
@@ -68,7 +68,7 @@
     )
 
 
-class PlanWorld:
+class PlanEnvironment:
     """One replicated state, the leader of the newest term, and workers that execute commands.
 
     ``check`` runs after every entry of the log. With ``random``, a command or its reply may be
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from plan_world import PlanWorld, record, service
+from plan_environment import PlanEnvironment, record, service
 
 from orchidpath.emulators.backend.command_fence import CommandFence
 from orchidpath.placement import execution
@@ -34,12 +34,12 @@
     ]
 
 
-def build_world(random: Random | None = None, max_cordoned: int = 1) -> PlanWorld:
-    """Return a world with four prefill and two decode workers; the plan moves two."""
-    return PlanWorld(workers(4, 2), service(2, 4, max_cordoned), random)
+def build_environment(random: Random | None = None, max_cordoned: int = 1) -> PlanEnvironment:
+    """Return an environment with four prefill and two decode workers; the plan moves two."""
+    return PlanEnvironment(workers(4, 2), service(2, 4, max_cordoned), random)
 
 
-def run_to(world: PlanWorld, phase: StepPhase) -> str:
+def run_to(world: PlanEnvironment, phase: StepPhase) -> str:
     """Run until a step is in a phase; return its worker."""
     for _ in range(100):
         for step, progress in zip(world.plan.plan.steps, world.plan.progress.steps, strict=True):
@@ -49,7 +49,7 @@
     raise AssertionError(f"no step reaches {phase}")
 
 
-def check_ended_cleanly(world: PlanWorld) -> None:
+def check_ended_cleanly(world: PlanEnvironment) -> None:
     """Check that no worker is cordoned or draining and that recorded and real stages agree."""
     for worker in world.state.workers():
         assert not worker.cordoned, worker
@@ -57,7 +57,7 @@
         assert world.cores[worker.worker_id].record.stage is worker.stage
 
 
-def check_done(world: PlanWorld) -> None:
+def check_done(world: PlanEnvironment) -> None:
     assert world.status() is PlanStatus.DONE, world.plan.progress
     check_ended_cleanly(world)
     assert world.serving(Stage.PREFILL) == world.wanted.prefill_workers
@@ -66,7 +66,7 @@
 
 
 def test_a_plan_runs_to_completion() -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     world.run()
     check_done(world)
@@ -82,16 +82,16 @@
         nonlocal events
         events += 1
 
-    undisturbed = build_world(max_cordoned=max_cordoned)
+    undisturbed = build_environment(max_cordoned=max_cordoned)
     undisturbed.on_event = count
     undisturbed.start_plan()
     undisturbed.run()
     assert events >= 16
     for lost_at in range(events):
-        world = build_world(max_cordoned=max_cordoned)
+        world = build_environment(max_cordoned=max_cordoned)
         seen = 0
 
-        def lose_leader(world: PlanWorld = world, lost_at: int = lost_at) -> None:
+        def lose_leader(world: PlanEnvironment = world, lost_at: int = lost_at) -> None:
             nonlocal seen
             if seen == lost_at:
                 world.fail_over()
@@ -119,7 +119,7 @@
     desired_prefill = min(desired_prefill, prefill + decode - 1)
     wanted = service(desired_prefill, prefill + decode - desired_prefill, max_cordoned)
     random = Random(seed)
-    world = PlanWorld(workers(prefill, decode), wanted, random)
+    world = PlanEnvironment(workers(prefill, decode), wanted, random)
     if desired_prefill == prefill:
         assert world.confirm_plan().answer is PlanAnswer.STALE
         return
@@ -139,7 +139,7 @@
     monkeypatch.setattr(execution, "begin_objection", lambda *_: "")
 
 
-def lose_a_prefill_worker_outside_the_plan(world: PlanWorld) -> None:
+def lose_a_prefill_worker_outside_the_plan(world: PlanEnvironment) -> None:
     moving = {step.worker_id for step in world.plan.plan.steps}
     prefill = [worker for worker in world.state.workers() if worker.stage is Stage.PREFILL]
     candidates = [worker.worker_id for worker in prefill if worker.worker_id not in moving]
@@ -147,7 +147,7 @@
 
 
 def test_a_step_that_would_violate_a_bound_never_begins() -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     lose_a_prefill_worker_outside_the_plan(world)
     world.run()
@@ -159,7 +159,7 @@
 
 def test_without_the_check_a_step_violates_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     begin_without_check(monkeypatch)
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     lose_a_prefill_worker_outside_the_plan(world)
     world.run()
@@ -168,7 +168,7 @@
 
 
 def test_the_state_machine_rejects_invalid_proposals_of_a_leader() -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     plan_id = world.plan.plan.plan_id
 
@@ -193,7 +193,7 @@
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed_by_every_router() -> None:
-    world = build_world()
+    world = build_environment()
     world.confirms = False
     world.start_plan()
     for _ in range(20):
@@ -208,7 +208,7 @@
 def test_without_the_wait_for_confirmation_the_check_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = build_world()
+    world = build_environment()
     world.confirms = False
     world.start_plan()
     world.confirmed_revision = 0
@@ -223,7 +223,7 @@
 def test_a_worker_lost_during_its_step_stops_the_plan_with_a_reason(
     phase: StepPhase, restarted: bool
 ) -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     worker_id = run_to(world, phase)
     if restarted:
@@ -239,7 +239,7 @@
 
 
 def test_an_abandoned_worker_that_returns_draining_is_resumed() -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     worker_id = run_to(world, StepPhase.SWITCHING)
     world.lose_worker(worker_id)
@@ -255,7 +255,7 @@
 
 
 def test_a_worker_that_never_becomes_idle_is_returned_and_the_plan_stops() -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     worker_id = run_to(world, StepPhase.DRAINING)
     world.in_flight[worker_id] = 1
@@ -268,7 +268,7 @@
 
 
 def test_an_unreachable_worker_is_abandoned_within_the_time_bounds() -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     worker_id = run_to(world, StepPhase.DRAINING)
     world.unreachable.add(worker_id)
@@ -281,7 +281,7 @@
 
 def test_release_waits_for_the_reply_to_resume() -> None:
     """A DRAIN may be in transit while the replicated record says that the worker is ready."""
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     worker_id = run_to(world, StepPhase.DRAINING)
     world.unreachable.add(worker_id)
@@ -299,9 +299,9 @@
     check_ended_cleanly(world)
 
 
-def run_and_cancel_in(phase: StepPhase) -> PlanWorld:
+def run_and_cancel_in(phase: StepPhase) -> PlanEnvironment:
     """Cancel a plan when its first step is in a phase, and run the plan to its end."""
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     run_to(world, phase)
     world.apply(CancelPlan(order_id="cancel", plan_id=world.plan.plan.plan_id))
@@ -322,7 +322,7 @@
 
 
 def test_halt_leaves_no_worker_cordoned_and_resume_continues() -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     plan_id = world.plan.plan.plan_id
     run_to(world, StepPhase.DRAINING)
@@ -341,7 +341,7 @@
 
 
 def test_a_newer_configuration_halts_the_plan_permanently() -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     plan_id = world.plan.plan.plan_id
     run_to(world, StepPhase.SWITCHING)
@@ -359,7 +359,7 @@
     assert world.confirm_plan("next").answer is PlanAnswer.STALE  # three and three already
 
 
-def stale_start(world: PlanWorld) -> PlanAnswer:
+def stale_start(world: PlanEnvironment) -> PlanAnswer:
     """Propose a plan that was computed before the restart of a worker."""
     plan = make_preview(world.state.view()).plan
     world.restart_worker("w5")
@@ -369,20 +369,20 @@
 
 
 def test_a_plan_whose_basis_changed_before_it_was_applied_does_not_start() -> None:
-    world = build_world()
+    world = build_environment()
     assert stale_start(world) is PlanAnswer.STALE
     assert world.state.plan is None
 
 
 def test_without_the_comparison_a_stale_plan_starts(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = build_world()
+    world = build_environment()
     digest = make_preview(world.state.view()).plan.basis
     monkeypatch.setattr(plan_state, "basis_digest", lambda *_: digest)
     assert stale_start(world) is PlanAnswer.ACCEPTED
 
 
 def test_a_repeated_action_gets_its_first_outcome() -> None:
-    world = build_world()
+    world = build_environment()
     stale = StartPlan(order_id="early", plan_id="unknown")
     assert world.apply(stale) == PlanResult(answer=PlanAnswer.STALE)
     world.start_plan()
@@ -400,7 +400,7 @@
     assert world.status() is PlanStatus.DONE
 
 
-def commands_of_two_leaders(world: PlanWorld) -> tuple[WorkerCommand, WorkerCommand]:
+def commands_of_two_leaders(world: PlanEnvironment) -> tuple[WorkerCommand, WorkerCommand]:
     """Return a command of a replaced leader and a later one of its successor."""
     world.start_plan()
     worker_id = run_to(world, StepPhase.DRAINING)
@@ -416,7 +416,7 @@
 
 
 def test_a_worker_rejects_commands_of_a_replaced_leader() -> None:
-    world = build_world()
+    world = build_environment()
     old, new = commands_of_two_leaders(world)
     assert world.execute(new).accepted
     rejected = world.execute(old)
@@ -428,14 +428,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(CommandFence, "pass_order", lambda *_: True)
-    world = build_world()
+    world = build_environment()
     old, new = commands_of_two_leaders(world)
     assert world.execute(new).accepted
     assert world.execute(old).accepted
 
 
 def test_fencing_tokens_of_a_leader_increase_with_every_command() -> None:
-    world = build_world(Random(3))
+    world = build_environment(Random(3))
     world.start_plan()
     world.run()
     fencing_tokens = [(effect.command.term, effect.command.sequence) for effect in world.sent]
@@ -443,7 +443,7 @@
 
 
 def test_a_reply_to_a_command_of_an_earlier_phase_does_not_count() -> None:
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     worker_id = run_to(world, StepPhase.DRAINING)
     world.turn()
@@ -463,7 +463,7 @@
 
 
 def test_a_snapshot_without_plan_fields_is_restored() -> None:
-    world = build_world()
+    world = build_environment()
     body = msgspec.msgpack.decode(world.state.snapshot())
     del body["plan"], body["plan_orders"]
     restored = FleetState.restore(msgspec.msgpack.encode(body))
@@ -486,7 +486,7 @@
         return guarded(plan, position, worker, msgspec.structs.replace(situation, watches=watches))
 
     monkeypatch.setattr(execution, "_following_phase", unguarded)
-    world = build_world()
+    world = build_environment()
     world.start_plan()
     worker_id = run_to(world, StepPhase.DRAINING)
     world.unreachable.add(worker_id)
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from plan_world import SERVICE, record, service
+from plan_environment import SERVICE, record, service
 
 from orchidpath.placement.planner import RefusalReason, make_preview, ring_shares
 from orchidpath.routing.ring import HashRing, moved_share
--- a/tests/routing/request_machine_world.py
+++ b/tests/routing/request_machine_checker.py
@@ -33,7 +33,7 @@
         self.succeeded = False
 
 
-class World:
+class RequestMachineChecker:
     """Feeds events by number, and checks every instruction."""
 
     def __init__(
--- a/tests/routing/test_request_machine_properties.py
+++ b/tests/routing/test_request_machine_properties.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from request_machine_world import World
+from request_machine_checker import RequestMachineChecker
 
 from orchidpath.routing.request.guards import Guard
 
@@ -24,13 +24,13 @@
 def test_no_sequence_of_events_violates_a_rule(
     choices: list[int], model: bool, streaming: bool, repeatable: bool, repeat_prompt_read: bool
 ) -> None:
-    world = World(
+    checker = RequestMachineChecker(
         model=model,
         streaming=streaming,
         repeatable=repeatable,
         repeat_prompt_read=repeat_prompt_read,
     )
-    world.run(choices)
+    checker.run(choices)
 
 
 TWO_DISPATCHES = "two dispatches of one call"
@@ -63,14 +63,14 @@
     )
     @given(choices=CHOICES, model=st.booleans(), repeatable=st.booleans())
     def broken(choices: list[int], model: bool, repeatable: bool) -> None:
-        world = World(
+        checker = RequestMachineChecker(
             model=model,
             streaming=True,
             repeatable=repeatable,
             repeat_prompt_read=False,
             disabled=(guard,),
         )
-        world.run(choices)
+        checker.run(choices)
 
     with pytest.raises(AssertionError, match=DETECTED_BY[guard]):
         broken()
