--- a/tests/adapter/platform_environment.py
+++ b/tests/adapter/platform_environment.py
@@ -40,14 +40,14 @@
 They are below the range of ephemeral ports.
 """
 
-_worlds = count()
+_environments = count()
 
 
 def machine_hosts(number: int) -> list[str]:
     """Return loopback addresses that no other environment of this test run uses."""
     process = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
-    world = next(_worlds)
-    return [f"127.{20 + process}.{world % 250}.{10 + machine}" for machine in range(number)]
+    environment = next(_environments)
+    return [f"127.{20 + process}.{environment % 250}.{10 + machine}" for machine in range(number)]
 
 
 class Arrival(NamedTuple):
@@ -527,12 +527,12 @@
     folder: Path, *workers: EmulatedWorker, machines: int = 3
 ) -> AsyncIterator[PlatformEnvironment]:
     """Run an environment whose first configuration is confirmed."""
-    world = PlatformEnvironment(folder, machines)
-    await world.start(*workers)
+    environment = PlatformEnvironment(folder, machines)
+    await environment.start(*workers)
     try:
-        response = await world.put_configuration(document(2), 0)
+        response = await environment.put_configuration(document(2), 0)
         assert response.status == 200, await response.text()
-        await world.wait_until_ready()
-        yield world
+        await environment.wait_until_ready()
+        yield environment
     finally:
-        await world.stop()
+        await environment.stop()
--- a/tests/adapter/test_control_calls.py
+++ b/tests/adapter/test_control_calls.py
@@ -20,20 +20,20 @@
 async def test_of_racing_updates_one_is_accepted_and_every_machine_serves_it(
     tmp_path: Path,
 ) -> None:
-    async with running(tmp_path) as world:
+    async with running(tmp_path) as environment:
         first = document(2)
-        assert await world.get_configuration(1) == first
-        again = await world.put_configuration(first, 0, number=2)
+        assert await environment.get_configuration(1) == first
+        again = await environment.put_configuration(first, 0, number=2)
         assert again.status == 200
         second, rival = document(5), document(5, note="another one")
         answers = await asyncio.gather(
-            world.put_configuration(second, 2, number=0),
-            world.put_configuration(rival, 2, number=1),
+            environment.put_configuration(second, 2, number=0),
+            environment.put_configuration(rival, 2, number=1),
         )
         assert sorted(answer.status for answer in answers) == [200, 412]
         winner = second if answers[0].status == 200 else rival
         for number in range(3):
-            assert await world.get_configuration(number) == winner
+            assert await environment.get_configuration(number) == winner
 
 
 INVALID: list[dict[str, Any]] = [
@@ -48,17 +48,17 @@
 
 
 async def test_invalid_configurations_have_no_effect(tmp_path: Path) -> None:
-    async with running(tmp_path) as world:
+    async with running(tmp_path) as environment:
         routes = json.loads(document(1))["routes"]
         no_timeout = [{**routes[0], "timeout_ms": 0}]
         no_weight = [{**routes[1], "traffic_split": [{"service": "wine-llm", "weight": 0}]}]
         changes = [*INVALID, {"routes": no_timeout}, {"routes": no_weight}]
         for change in changes:
-            response = await world.put_configuration(document(**{"version": 7, **change}), 2)
+            response = await environment.put_configuration(document(**{"version": 7, **change}), 2)
             assert response.status == 400, change
-        assert (await world.put_configuration(document(7)[:-20], 2)).status == 400
-        assert (await world.put_configuration(document(7), 1)).status == 412
-        assert await world.get_configuration(0) == document(2)
+        assert (await environment.put_configuration(document(7)[:-20], 2)).status == 400
+        assert (await environment.put_configuration(document(7), 1)).status == 412
+        assert await environment.get_configuration(0) == document(2)
 
 
 def change(version: int, **lists: Any) -> bytes:
@@ -69,28 +69,28 @@
     routes = json.loads(document(1))["routes"]
     added = {**routes[0], "name": "again", "path_prefix": "/again/"}
     (worker,) = stock("s1")
-    async with running(tmp_path, worker) as world:
-        await world.request_until_served("/stock/x")
+    async with running(tmp_path, worker) as environment:
+        await environment.request_until_served("/stock/x")
         first = change(5, upsert={"routes": [added]}, remove={"routes": ["stock"]})
         rival = document(6)
         answers = await asyncio.gather(
-            world.patch_configuration(first, 2, number=0),
-            world.put_configuration(rival, 2, number=1),
+            environment.patch_configuration(first, 2, number=0),
+            environment.put_configuration(rival, 2, number=1),
         )
         assert sorted(answer.status for answer in answers) == [200, 412]
         if answers[0].status != 200:
             first = change(7, upsert={"routes": [added]}, remove={"routes": ["stock"]})
-            assert (await world.patch_configuration(first, 6)).status == 200
+            assert (await environment.patch_configuration(first, 6)).status == 200
         accepted_version = json.loads(first)["version"]
-        response, _ = await world.request("/stock/x")
+        response, _ = await environment.request("/stock/x")
         assert response.status == 404
-        response, body = await world.request("/again/x")
+        response, body = await environment.request("/again/x")
         assert (response.status, body) == (200, b"stock")
-        changed = json.loads(await world.get_configuration(2))
+        changed = json.loads(await environment.get_configuration(2))
         assert changed == {**json.loads(document(accepted_version)), "routes": [routes[1], added]}
         base = 2 if accepted_version == 5 else 6
-        assert (await world.patch_configuration(first, base, number=2)).status == 200
-        assert json.loads(await world.get_configuration(1)) == changed
+        assert (await environment.patch_configuration(first, base, number=2)).status == 200
+        assert json.loads(await environment.get_configuration(1)) == changed
 
 
 INVALID_CHANGES: list[dict[str, Any]] = [
@@ -106,27 +106,29 @@
 
 
 async def test_invalid_changes_have_no_effect(tmp_path: Path) -> None:
-    async with running(tmp_path) as world:
+    async with running(tmp_path) as environment:
         for invalid in INVALID_CHANGES:
-            response = await world.patch_configuration(change(**{"version": 7, **invalid}), 2)
+            response = await environment.patch_configuration(change(**{"version": 7, **invalid}), 2)
             assert response.status == 400, invalid
             assert (await response.json())["reason"], invalid
         both = change(7, remove={"routes": ["nowhere", "nor here"]})
-        reason = (await (await world.patch_configuration(both, 2)).json())["reason"]
+        reason = (await (await environment.patch_configuration(both, 2)).json())["reason"]
         assert "nowhere" in reason
         assert "nor here" in reason
-        assert (await world.patch_configuration(change(7)[:-2], 2)).status == 400
-        assert (await world.patch_configuration(change(7), 1)).status == 412
-        assert await world.get_configuration(0) == document(2)
+        assert (await environment.patch_configuration(change(7)[:-2], 2)).status == 400
+        assert (await environment.patch_configuration(change(7), 1)).status == 412
+        assert await environment.get_configuration(0) == document(2)
 
 
-async def _end_worker(world: PlatformEnvironment, worker: EmulatedWorker, ending: str) -> None:
+async def _end_worker(
+    environment: PlatformEnvironment, worker: EmulatedWorker, ending: str
+) -> None:
     async with asyncio.timeout(WAIT_SECONDS):
         while True:
             if ending == "draining":
-                status = await world.send_heartbeat(worker, "draining", number=1)
+                status = await environment.send_heartbeat(worker, "draining", number=1)
             else:
-                status = await world.delete(worker, number=1)
+                status = await environment.delete(worker, number=1)
             if status == 200:
                 return
 
@@ -136,15 +138,15 @@
     tmp_path: Path, ending: str
 ) -> None:
     workers = stock("s1", "s2")
-    async with running(tmp_path, *workers) as world:
-        await world.request_until_served("/stock/")
-        world.without_heartbeats.add("s1")
-        await _end_worker(world, workers[0], ending)
+    async with running(tmp_path, *workers) as environment:
+        await environment.request_until_served("/stock/")
+        environment.without_heartbeats.add("s1")
+        await _end_worker(environment, workers[0], ending)
         # The limit is two seconds; the lease of every router is shorter.
         await asyncio.sleep(1.7)
         workers[0].arrivals.clear()
         for number in range(12):
-            response, _ = await world.request("/stock/", number % 3)
+            response, _ = await environment.request("/stock/", number % 3)
             assert response.status == 200
         assert workers[0].arrivals == []
 
@@ -154,22 +156,22 @@
     tmp_path: Path, ending: str
 ) -> None:
     workers = stock("s1", "s2")
-    async with running(tmp_path, *workers) as world:
-        await world.request_until_served("/stock/")
-        world.without_heartbeats.add("s1")
+    async with running(tmp_path, *workers) as environment:
+        await environment.request_until_served("/stock/")
+        environment.without_heartbeats.add("s1")
         late = workers[0].heartbeat()
-        await _end_worker(world, workers[0], ending)
+        await _end_worker(environment, workers[0], ending)
         for _ in range(6):
             # The lease of every router expires meanwhile; that of a draining worker must not.
             await asyncio.sleep(0.3)
             if ending == "draining":
-                await world.send_heartbeat(workers[0], "draining")
+                await environment.send_heartbeat(workers[0], "draining")
         workers[0].arrivals.clear()
         # A worker that became available again would be so until its lease expires.
         for _ in range(4):
             for number in range(3):
-                await world.put_instance(workers[0], late, number)
-                response, _body = await world.request("/stock/", number)
+                await environment.put_instance(workers[0], late, number)
+                response, _body = await environment.request("/stock/", number)
                 assert response.status == 200
             await asyncio.sleep(0.1)
         assert workers[0].arrivals == []
@@ -178,16 +180,16 @@
 async def test_a_machine_without_a_confirmed_leader_answers_reads_with_503(
     tmp_path: Path,
 ) -> None:
-    async with running(tmp_path) as world:
-        assert (await world.read_configuration(0)).status == 200
-        await world.stop_control(1)
-        await world.stop_control(2)
+    async with running(tmp_path) as environment:
+        assert (await environment.read_configuration(0)).status == 200
+        await environment.stop_control(1)
+        await environment.stop_control(2)
         async with asyncio.timeout(WAIT_SECONDS):
             # A leader serves reads until its lease expires; until then nothing newer is confirmed.
-            while (await world.read_configuration(0)).status == 200:
+            while (await environment.read_configuration(0)).status == 200:
                 await asyncio.sleep(0.05)
         for _ in range(3):
-            assert (await world.read_configuration(0)).status == 503
+            assert (await environment.read_configuration(0)).status == 503
 
 
 async def test_acknowledgements_to_workers_are_short_and_contain_no_address(
@@ -195,10 +197,10 @@
 ) -> None:
     """Acknowledgements over 4 KiB are invalid, and an address in one may fail later."""
     (worker,) = stock("s1")
-    async with running(tmp_path, worker) as world:
-        await world.request_until_served("/stock/")
+    async with running(tmp_path, worker) as environment:
+        await environment.request_until_served("/stock/")
         for number in range(3):
-            url = f"{world.control_url(number)}/instances/s1"
+            url = f"{environment.control_url(number)}/instances/s1"
             async with aiohttp.ClientSession() as session:
                 answer = await session.put(url, json=worker.heartbeat())
                 content = await answer.read()
--- a/tests/adapter/test_platform_path.py
+++ b/tests/adapter/test_platform_path.py
@@ -44,29 +44,31 @@
 
 async def test_a_plain_request_reaches_one_worker_unchanged(tmp_path: Path) -> None:
     (worker,) = stock("s1")
-    async with running(tmp_path, worker) as world:
-        assert await world.request_until_served("/stock/a?b=c") == b"stock"
+    async with running(tmp_path, worker) as environment:
+        assert await environment.request_until_served("/stock/a?b=c") == b"stock"
         arrival = worker.arrivals[-1]
         assert arrival.path == "/stock/a?b=c"
         assert arrival.body == b"the body"
         assert arrival.headers["X-Target-Instance"] == "s1"
         assert 0 < int(arrival.headers["X-Deadline-Ms"]) <= 4000
-        response, _ = await world.request("/nowhere/")
+        response, _ = await environment.request("/nowhere/")
         assert response.status == 404
 
 
 async def test_a_response_to_another_request_is_never_relayed(tmp_path: Path) -> None:
     worker = SurplusWorker("w", "stock-api")
-    async with running(tmp_path, worker) as world:
-        assert await world.request_until_served("/stock/x") == b"stock!"
-        response, body = await world.request("/stock/x")
+    async with running(tmp_path, worker) as environment:
+        assert await environment.request_until_served("/stock/x") == b"stock!"
+        response, body = await environment.request("/stock/x")
         assert (response.status, body) == (200, b"stock!")
 
 
 async def test_a_prompt_is_prefilled_transferred_and_decoded(tmp_path: Path) -> None:
     prefill, decode = pair()
-    async with running(tmp_path, prefill, decode) as world:
-        assert await world.request_until_served("/advice/x", number=1, headers=MODEL) == EVENTS
+    async with running(tmp_path, prefill, decode) as environment:
+        assert (
+            await environment.request_until_served("/advice/x", number=1, headers=MODEL) == EVENTS
+        )
         prefill_headers = prefill.arrivals[-1].headers
         decode_headers = decode.arrivals[-1].headers
         assert prefill_headers["X-Stage"] == "prefill"
@@ -88,16 +90,16 @@
         await may_prefill.wait()
         return await worker.answer_normally(incoming)
 
-    async with running(tmp_path, prefill, decode) as world:
-        await world.request_until_served("/advice/x", headers=MODEL)
+    async with running(tmp_path, prefill, decode) as environment:
+        await environment.request_until_served("/advice/x", headers=MODEL)
         prefill.arrivals.clear()
         prefill.answers.append(prefill_when_allowed)
         uncached = {**MODEL, "X-Prefix-Hash": "aa1e07a2:13000,bb402b7d:60000"}
-        first = asyncio.create_task(world.request("/advice/x", headers=uncached))
+        first = asyncio.create_task(environment.request("/advice/x", headers=uncached))
         async with asyncio.timeout(WAIT_SECONDS):
             while not prefill.arrivals:
                 await asyncio.sleep(0.01)
-        second = asyncio.create_task(world.request("/advice/x", headers=uncached))
+        second = asyncio.create_task(environment.request("/advice/x", headers=uncached))
         await asyncio.sleep(0.3)
         arrived_meanwhile = len(prefill.arrivals)
         may_prefill.set()
@@ -109,8 +111,8 @@
 
 async def test_stage_headers_of_a_client_are_dropped(tmp_path: Path) -> None:
     prefill, decode = pair()
-    async with running(tmp_path, prefill, decode) as world:
-        body = await world.request_until_served(
+    async with running(tmp_path, prefill, decode) as environment:
+        body = await environment.request_until_served(
             "/advice/x",
             headers={**MODEL, "X-Stage": "prefill", "X-Kv-Source": "10.0.0.1:1/stolen"},
         )
@@ -120,10 +122,10 @@
 
 async def test_a_failed_kv_transfer_is_followed_by_decode_side_prefill(tmp_path: Path) -> None:
     prefill, decode = pair()
-    async with running(tmp_path, prefill, decode) as world:
-        await world.request_until_served("/advice/x", headers=MODEL)
+    async with running(tmp_path, prefill, decode) as environment:
+        await environment.request_until_served("/advice/x", headers=MODEL)
         decode.answers.append(reject_kv_transfer)
-        response, body = await world.request("/advice/x", headers=MODEL)
+        response, body = await environment.request("/advice/x", headers=MODEL)
         assert (response.status, body) == (200, EVENTS)
         assert "X-Kv-Source" not in decode.arrivals[-1].headers
         async with asyncio.timeout(WAIT_SECONDS):
@@ -138,15 +140,15 @@
     prefill, decode = pair()
     routes = json.loads(document(1))["routes"]
     once = {**routes[1], "max_attempts": 1}
-    async with running(tmp_path, prefill, decode) as world:
-        changed = await world.put_configuration(document(3, routes=[routes[0], once]), 2)
+    async with running(tmp_path, prefill, decode) as environment:
+        changed = await environment.put_configuration(document(3, routes=[routes[0], once]), 2)
         assert changed.status == 200
-        await world.request_until_served("/advice/x", headers=MODEL)
+        await environment.request_until_served("/advice/x", headers=MODEL)
         decode.arrivals.clear()
         prefill.answers.append(run_and_abort)
         unknown = "aa1e07a2:8000,bb402b7d:1000"
         long = {**MODEL, "X-Token-Usage": "9000,10", "X-Prefix-Hash": unknown}
-        response, _ = await world.request("/advice/x", headers=long)
+        response, _ = await environment.request("/advice/x", headers=long)
         assert response.status == 503
         assert float(response.headers["Retry-After"]) > 0
         assert decode.arrivals == []
@@ -160,14 +162,14 @@
     # With this target no worker times out while the test runs.
     patient = {"target_latency_ms": 30_000, "timeout_ms": 60_000}
     resumable = {**routes[1], "resumable": True, "max_attempts": 2, **patient}
-    async with running(tmp_path, prefill, *decoders) as world:
-        changed = await world.put_configuration(document(3, routes=[routes[0], resumable]), 2)
+    async with running(tmp_path, prefill, *decoders) as environment:
+        changed = await environment.put_configuration(document(3, routes=[routes[0], resumable]), 2)
         assert changed.status == 200
-        await world.request_until_served("/advice/x")
+        await environment.request_until_served("/advice/x")
         for worker in decoders:
             worker.runs.clear()
             worker.answers.extend([hang] * 8)
-        busy = [asyncio.create_task(world.request("/advice/x")) for _ in range(8)]
+        busy = [asyncio.create_task(environment.request("/advice/x")) for _ in range(8)]
         async with asyncio.timeout(WAIT_SECONDS):
             while sum(len(worker.runs) for worker in decoders) < len(busy):
                 await asyncio.sleep(0.01)
@@ -175,7 +177,7 @@
             worker.runs.clear()
             worker.answers[:] = [fail]
         prefill.arrivals.clear()
-        await world.request("/advice/x")
+        await environment.request("/advice/x")
         assert prefill.arrivals == []
         assert 1 <= sum(len(worker.runs) for worker in decoders) <= 2
         for task in busy:
@@ -187,12 +189,12 @@
     tmp_path: Path, answer: Answer
 ) -> None:
     workers = stock("s1", "s2")
-    async with running(tmp_path, *workers) as world:
-        await world.request_until_served("/stock/")
+    async with running(tmp_path, *workers) as environment:
+        await environment.request_until_served("/stock/")
         for worker in workers:
             worker.answers.append(answer)
             worker.runs.clear()
-        response, _ = await world.request("/stock/")
+        response, _ = await environment.request("/stock/")
         assert response.status == 502
         assert SIGNATURE not in response.headers
         assert sum(len(worker.runs) for worker in workers) == 1
@@ -200,26 +202,26 @@
 
 async def test_a_rejected_request_is_retried_on_another_worker(tmp_path: Path) -> None:
     workers = stock("s1", "s2")
-    async with running(tmp_path, *workers) as world:
-        await world.request_until_served("/stock/")
+    async with running(tmp_path, *workers) as environment:
+        await environment.request_until_served("/stock/")
         for worker in workers:
             worker.runs.clear()
             worker.arrivals.clear()
         workers[0].answers.append(reject)
         for _ in range(8):
-            response, _ = await world.request("/stock/")
+            response, _ = await environment.request("/stock/")
             assert response.status == 200
         assert sum(len(worker.runs) for worker in workers) == 8
 
 
 async def test_a_request_that_every_worker_rejects_gets_a_retry_after(tmp_path: Path) -> None:
     workers = stock("s1", "s2")
-    async with running(tmp_path, *workers) as world:
-        await world.request_until_served("/stock/")
+    async with running(tmp_path, *workers) as environment:
+        await environment.request_until_served("/stock/")
         for worker in workers:
             worker.runs.clear()
             worker.answers.append(reject)
-        response, _ = await world.request("/stock/")
+        response, _ = await environment.request("/stock/")
         assert response.status == 503
         assert 0 < float(response.headers["Retry-After"]) < 5
         assert all(not worker.runs for worker in workers)
@@ -227,11 +229,11 @@
 
 async def test_an_aborted_stream_does_not_look_complete(tmp_path: Path) -> None:
     prefill, decode = pair()
-    async with running(tmp_path, prefill, decode) as world:
-        await world.request_until_served("/advice/x", headers=MODEL)
+    async with running(tmp_path, prefill, decode) as environment:
+        await environment.request_until_served("/advice/x", headers=MODEL)
         decode.runs.clear()
         decode.answers.append(stream_and_abort)
-        response, body = await world.request("/advice/x", headers=MODEL)
+        response, body = await environment.request("/advice/x", headers=MODEL)
         assert response.status == 200
         assert body is None
         assert len(decode.runs) == 1
@@ -245,11 +247,11 @@
 
 async def test_a_stream_is_resumed_on_another_worker_within_one_response(tmp_path: Path) -> None:
     decoders = [EmulatedWorker(name, "wine-llm", "decode") for name in ("d1", "d2")]
-    async with running(tmp_path, *decoders) as world:
-        assert (await world.put_configuration(resumable(3, attempts=2), 2)).status == 200
+    async with running(tmp_path, *decoders) as environment:
+        assert (await environment.put_configuration(resumable(3, attempts=2), 2)).status == 200
         while any(not worker.runs for worker in decoders):
-            await world.request_until_served("/advice/x")
-        response, body = await abort_once(world, decoders)
+            await environment.request_until_served("/advice/x")
+        response, body = await abort_once(environment, decoders)
         assert (response.status, body) == (200, EVENTS)
         assert response.headers[SIGNATURE] == "first"
         resumed_by = next(
@@ -260,7 +262,7 @@
 
 
 async def abort_once(
-    world: PlatformEnvironment, decoders: list[EmulatedWorker]
+    environment: PlatformEnvironment, decoders: list[EmulatedWorker]
 ) -> tuple[aiohttp.ClientResponse, bytes | None]:
     """Send a request whose first worker aborts its stream and whose second one resumes it."""
     first, second = decoders
@@ -274,15 +276,15 @@
 
     for worker in decoders:
         worker.answers[:] = [abort_then_let_resume]
-    return await world.request("/advice/x")
+    return await environment.request("/advice/x")
 
 
 async def test_a_stream_that_may_not_be_resumed_is_aborted(tmp_path: Path) -> None:
     decoders = [EmulatedWorker(name, "wine-llm", "decode") for name in ("d1", "d2")]
-    async with running(tmp_path, *decoders) as world:
-        assert (await world.put_configuration(resumable(3, attempts=1), 2)).status == 200
-        await world.request_until_served("/advice/x")
-        response, body = await abort_once(world, decoders)
+    async with running(tmp_path, *decoders) as environment:
+        assert (await environment.put_configuration(resumable(3, attempts=1), 2)).status == 200
+        await environment.request_until_served("/advice/x")
+        response, body = await abort_once(environment, decoders)
         assert (response.status, body) == (200, None)
 
 
@@ -290,9 +292,9 @@
     tmp_path: Path,
 ) -> None:
     decoders = [EmulatedWorker(name, "wine-llm", "decode") for name in ("d1", "d2")]
-    async with running(tmp_path, *decoders) as world:
-        assert (await world.put_configuration(resumable(3, attempts=2), 2)).status == 200
-        await world.request_until_served("/advice/x")
+    async with running(tmp_path, *decoders) as environment:
+        assert (await environment.put_configuration(resumable(3, attempts=2), 2)).status == 200
+        await environment.request_until_served("/advice/x")
         for worker in decoders:
             # The second worker answers normally, thus from the first event on.
             worker.answers.append(stream_and_abort_inside_an_event)
@@ -300,7 +302,7 @@
         for _ in range(12):
             if not decoders[0].answers:
                 break
-            response, body = await world.request("/advice/x")
+            response, body = await environment.request("/advice/x")
             assert body in {EVENTS, None}
         assert not decoders[0].answers
         assert body is None
@@ -309,16 +311,16 @@
 
 async def test_work_for_a_disconnected_caller_is_cancelled(tmp_path: Path) -> None:
     (worker,) = stock("s1")
-    async with running(tmp_path, worker) as world:
-        await world.request_until_served("/stock/")
+    async with running(tmp_path, worker) as environment:
+        await environment.request_until_served("/stock/")
         routes = json.loads(document(3))["routes"]
         for route in routes:
             # No timeout of the request ends the work within this test.
             route["timeout_ms"] = 2000 * WAIT_SECONDS
-        assert (await world.put_configuration(document(3, routes=routes), 2)).status == 200
+        assert (await environment.put_configuration(document(3, routes=routes), 2)).status == 200
         worker.answers.append(hang)
         patient = {"X-Deadline-Ms": f"{2000 * WAIT_SECONDS:.0f}"}
-        caller = asyncio.create_task(world.request("/stock/", headers=patient))
+        caller = asyncio.create_task(environment.request("/stock/", headers=patient))
         async with asyncio.timeout(WAIT_SECONDS):
             while worker.answers:
                 await asyncio.sleep(0.01)
@@ -329,10 +331,10 @@
 
 async def test_a_request_is_answered_at_its_deadline(tmp_path: Path) -> None:
     (worker,) = stock("s1")
-    async with running(tmp_path, worker) as world:
-        await world.request_until_served("/stock/")
+    async with running(tmp_path, worker) as environment:
+        await environment.request_until_served("/stock/")
         worker.answers.append(hang)
-        response, _ = await world.request("/stock/", headers={"X-Deadline-Ms": "300"})
+        response, _ = await environment.request("/stock/", headers={"X-Deadline-Ms": "300"})
         assert response.status == 504
         assert int(worker.arrivals[-1].headers["X-Deadline-Ms"]) <= 300
 
@@ -350,10 +352,10 @@
 )
 async def test_bad_requests_are_rejected_and_not_forwarded(tmp_path: Path, raw: bytes) -> None:
     (worker,) = stock("s1")
-    async with running(tmp_path, worker, machines=3) as world:
-        await world.request_until_served("/stock/")
+    async with running(tmp_path, worker, machines=3) as environment:
+        await environment.request_until_served("/stock/")
         worker.arrivals.clear()
-        reader, writer = await asyncio.open_connection(*world.front_address(0))
+        reader, writer = await asyncio.open_connection(*environment.front_address(0))
         writer.write(raw)
         async with asyncio.timeout(WAIT_SECONDS):
             line = await reader.readline()
@@ -364,14 +366,14 @@
 
 async def test_limits_of_the_configuration_are_enforced(tmp_path: Path) -> None:
     (worker,) = stock("s1")
-    async with running(tmp_path, worker) as world:
-        await world.request_until_served("/stock/")
+    async with running(tmp_path, worker) as environment:
+        await environment.request_until_served("/stock/")
         worker.arrivals.clear()
         for head, status in (
             (b"X-Large: " + b"a" * 20_000 + b"\r\n\r\n", b"431"),
             (b"Content-Length: 70000\r\n\r\n" + b"b" * 70_000, b"413"),
         ):
-            reader, writer = await asyncio.open_connection(*world.front_address(0))
+            reader, writer = await asyncio.open_connection(*environment.front_address(0))
             writer.write(
                 b"POST /stock/ HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: q\r\n" + head
             )
@@ -385,15 +387,15 @@
 async def test_a_router_without_a_configuration_answers_503(
     tmp_path: Path,
 ) -> None:
-    world = PlatformEnvironment(tmp_path)
-    await world.start()
+    environment = PlatformEnvironment(tmp_path)
+    await environment.start()
     try:
-        assert not await world.is_ready(0)
-        response, _ = await world.request("/stock/")
+        assert not await environment.is_ready(0)
+        response, _ = await environment.request("/stock/")
         assert response.status == 503
         assert float(response.headers["Retry-After"]) > 0
     finally:
-        await world.stop()
+        await environment.stop()
 
 
 UNUSUAL_MODEL = {
@@ -409,8 +411,8 @@
     tmp_path: Path, headers: dict[str, str]
 ) -> None:
     prefill, decode = pair()
-    async with running(tmp_path, prefill, decode) as world:
-        await world.request_until_served("/advice/x", headers=headers)
+    async with running(tmp_path, prefill, decode) as environment:
+        await environment.request_until_served("/advice/x", headers=headers)
         assert prefill.arrivals
         for arrival in (prefill.arrivals[-1], decode.arrivals[-1]):
             for name, value in headers.items():
@@ -426,15 +428,17 @@
     routes = json.loads(document(3))["routes"]
     for route in routes:
         route["timeout_ms"] = 400
-    async with running(tmp_path, worker, prefill, decode) as world:
-        await world.request_until_served("/stock/")
-        await world.request_until_served("/advice/x", headers=MODEL)
-        assert (await world.put_configuration(document(3, routes=routes), 2)).status == 200
+    async with running(tmp_path, worker, prefill, decode) as environment:
+        await environment.request_until_served("/stock/")
+        await environment.request_until_served("/advice/x", headers=MODEL)
+        assert (await environment.put_configuration(document(3, routes=routes), 2)).status == 200
         worker.answers.extend([hang] * 8)
         prefill.answers.extend([hang] * 8)
-        pending = [world.request("/stock/", headers={"X-Deadline-Ms": "60000"}) for _ in range(8)]
+        pending = [
+            environment.request("/stock/", headers={"X-Deadline-Ms": "60000"}) for _ in range(8)
+        ]
         patient = {**MODEL, "X-Deadline-Ms": "60000"}
-        pending += [world.request("/advice/x", headers=patient) for _ in range(8)]
+        pending += [environment.request("/advice/x", headers=patient) for _ in range(8)]
         async with asyncio.timeout(WAIT_SECONDS):
             answers = await asyncio.gather(*pending)
         statuses = {response.status for response, _ in answers}
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -77,83 +77,85 @@
 
 
 def test_surplus_workers_are_cordoned_commanded_and_uncordoned() -> None:
-    world = BalancerEnvironment(prefill=4, decode=5)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert len(world.cordoned()) == 3
-    assert sorted({command.worker_id for command in world.commands}) == sorted(world.cordoned())
-    for command in list(world.commands):
-        world.execute(command)
-    world.run(1.0)
-    assert world.cordoned() == []
-    stages = [worker.stage for worker in world.state.workers()]
+    environment = BalancerEnvironment(prefill=4, decode=5)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert len(environment.cordoned()) == 3
+    assert sorted({command.worker_id for command in environment.commands}) == sorted(
+        environment.cordoned()
+    )
+    for command in list(environment.commands):
+        environment.execute(command)
+    environment.run(1.0)
+    assert environment.cordoned() == []
+    stages = [worker.stage for worker in environment.state.workers()]
     assert stages.count(Stage.DECODE) == 2
 
 
 def test_a_new_leader_sends_no_command_while_an_earlier_one_may_be_in_transit() -> None:
-    world = BalancerEnvironment(prefill=4, decode=5)
-    world.run(TAKEOVER_SECONDS - STEP_SECONDS)
-    assert world.cordoned() == []
-    assert world.commands == []
+    environment = BalancerEnvironment(prefill=4, decode=5)
+    environment.run(TAKEOVER_SECONDS - STEP_SECONDS)
+    assert environment.cordoned() == []
+    assert environment.commands == []
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed() -> None:
-    world = BalancerEnvironment(prefill=4, decode=5)
-    world.confirms = False
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert world.cordoned()
-    assert world.commands == []
+    environment = BalancerEnvironment(prefill=4, decode=5)
+    environment.confirms = False
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert environment.cordoned()
+    assert environment.commands == []
 
 
 def test_a_command_without_a_reply_is_repeated_in_the_same_term() -> None:
-    world = BalancerEnvironment(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0 + 2 * COMMAND_REPEAT_SECONDS)
-    assert len(world.commands) >= 2
-    assert {command.term for command in world.commands} == {1}
-    assert len({command.sequence for command in world.commands}) == len(world.commands)
+    environment = BalancerEnvironment(prefill=4, decode=3)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0 + 2 * COMMAND_REPEAT_SECONDS)
+    assert len(environment.commands) >= 2
+    assert {command.term for command in environment.commands} == {1}
+    assert len({command.sequence for command in environment.commands}) == len(environment.commands)
 
 
 def test_a_worker_that_never_changes_its_stage_is_uncordoned() -> None:
-    world = BalancerEnvironment(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert world.cordoned() == ["w4"]
-    world.run(MOVE_SECONDS)
-    assert "w4" not in world.cordoned() or world.commands[-1].worker_id == "w4"
+    environment = BalancerEnvironment(prefill=4, decode=3)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert environment.cordoned() == ["w4"]
+    environment.run(MOVE_SECONDS)
+    assert "w4" not in environment.cordoned() or environment.commands[-1].worker_id == "w4"
 
 
 def test_a_new_leader_uncordons_workers_cordoned_by_its_predecessor() -> None:
-    world = BalancerEnvironment(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert world.cordoned() == ["w4"]
-    world.lead(2)
-    world.commands.clear()
-    world.run(TAKEOVER_SECONDS + STEP_SECONDS)
-    assert world.cordoned() == []
-    assert world.commands == []
+    environment = BalancerEnvironment(prefill=4, decode=3)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert environment.cordoned() == ["w4"]
+    environment.lead(2)
+    environment.commands.clear()
+    environment.run(TAKEOVER_SECONDS + STEP_SECONDS)
+    assert environment.cordoned() == []
+    assert environment.commands == []
 
 
 def test_no_worker_is_moved_while_the_set_of_workers_changes() -> None:
-    world = BalancerEnvironment(prefill=4, decode=5)
+    environment = BalancerEnvironment(prefill=4, decode=5)
     for number in range(20, 30):
-        world.run(1.0)
-        world.announce(f"w{number}", Stage.PREFILL, 1)
-    assert world.cordoned() == []
+        environment.run(1.0)
+        environment.announce(f"w{number}", Stage.PREFILL, 1)
+    assert environment.cordoned() == []
 
 
 def test_without_a_decode_worker_the_quiet_period_is_short() -> None:
-    world = BalancerEnvironment(prefill=3, decode=0)
-    world.run(TAKEOVER_SECONDS)
-    world.announce("w9", Stage.PREFILL, 1)
-    world.run(URGENT_QUIET_PERIOD_SECONDS + 4 * STEP_SECONDS)
-    assert world.commands
-    assert world.commands[0].stage is Stage.DECODE
+    environment = BalancerEnvironment(prefill=3, decode=0)
+    environment.run(TAKEOVER_SECONDS)
+    environment.announce("w9", Stage.PREFILL, 1)
+    environment.run(URGENT_QUIET_PERIOD_SECONDS + 4 * STEP_SECONDS)
+    assert environment.commands
+    assert environment.commands[0].stage is Stage.DECODE
 
 
 def test_a_restarted_worker_ends_its_stage_change() -> None:
-    world = BalancerEnvironment(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    entry = world.state.find_worker("w4")
+    environment = BalancerEnvironment(prefill=4, decode=3)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    entry = environment.state.find_worker("w4")
     assert entry is not None
     changed = msgspec.structs.replace(entry.record, incarnation="2", cordoned=False)
-    world.apply(WorkerChanged(record=changed, sequence=1))
-    world.run(1.0)
-    assert len(world.commands) >= 1
+    environment.apply(WorkerChanged(record=changed, sequence=1))
+    environment.run(1.0)
+    assert len(environment.commands) >= 1
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -39,37 +39,41 @@
     return PlanEnvironment(workers(4, 2), service(2, 4, max_cordoned), random)
 
 
-def run_to(world: PlanEnvironment, phase: StepPhase) -> str:
+def run_to(environment: PlanEnvironment, phase: StepPhase) -> str:
     """Run until a step is in a phase; return its worker."""
     for _ in range(100):
-        for step, progress in zip(world.plan.plan.steps, world.plan.progress.steps, strict=True):
+        for step, progress in zip(
+            environment.plan.plan.steps, environment.plan.progress.steps, strict=True
+        ):
             if progress.phase is phase:
                 return step.worker_id
-        world.turn()
+        environment.turn()
     raise AssertionError(f"no step reaches {phase}")
 
 
-def check_ended_cleanly(world: PlanEnvironment) -> None:
+def check_ended_cleanly(environment: PlanEnvironment) -> None:
     """Check that no worker is cordoned or draining and that recorded and real stages agree."""
-    for worker in world.state.workers():
+    for worker in environment.state.workers():
         assert not worker.cordoned, worker
         assert worker.status is WorkerStatus.READY, worker
-        assert world.cores[worker.worker_id].record.stage is worker.stage
+        assert environment.cores[worker.worker_id].record.stage is worker.stage
 
 
-def check_done(world: PlanEnvironment) -> None:
-    assert world.status() is PlanStatus.DONE, world.plan.progress
-    check_ended_cleanly(world)
-    assert world.serving(Stage.PREFILL) == world.wanted.prefill_workers
-    assert world.serving(Stage.DECODE) == world.wanted.decode_workers
-    assert sorted(world.switched) == sorted(step.worker_id for step in world.plan.plan.steps)
+def check_done(environment: PlanEnvironment) -> None:
+    assert environment.status() is PlanStatus.DONE, environment.plan.progress
+    check_ended_cleanly(environment)
+    assert environment.serving(Stage.PREFILL) == environment.wanted.prefill_workers
+    assert environment.serving(Stage.DECODE) == environment.wanted.decode_workers
+    assert sorted(environment.switched) == sorted(
+        step.worker_id for step in environment.plan.plan.steps
+    )
 
 
 def test_a_plan_runs_to_completion() -> None:
-    world = build_environment()
-    world.start_plan()
-    world.run()
-    check_done(world)
+    environment = build_environment()
+    environment.start_plan()
+    environment.run()
+    check_done(environment)
 
 
 @pytest.mark.parametrize("max_cordoned", [1, 2])
@@ -88,20 +92,20 @@
     undisturbed.run()
     assert events >= 16
     for lost_at in range(events):
-        world = build_environment(max_cordoned=max_cordoned)
+        environment = build_environment(max_cordoned=max_cordoned)
         seen = 0
 
-        def lose_leader(world: PlanEnvironment = world, lost_at: int = lost_at) -> None:
+        def lose_leader(environment: PlanEnvironment = environment, lost_at: int = lost_at) -> None:
             nonlocal seen
             if seen == lost_at:
-                world.fail_over()
+                environment.fail_over()
             seen += 1
 
-        world.on_event = lose_leader
-        world.start_plan()
-        world.run()
-        assert world.term == 2
-        check_done(world)
+        environment.on_event = lose_leader
+        environment.start_plan()
+        environment.run()
+        assert environment.term == 2
+        check_done(environment)
 
 
 @settings(max_examples=60, deadline=None)
@@ -119,19 +123,19 @@
     desired_prefill = min(desired_prefill, prefill + decode - 1)
     wanted = service(desired_prefill, prefill + decode - desired_prefill, max_cordoned)
     random = Random(seed)
-    world = PlanEnvironment(workers(prefill, decode), wanted, random)
+    environment = PlanEnvironment(workers(prefill, decode), wanted, random)
     if desired_prefill == prefill:
-        assert world.confirm_plan().answer is PlanAnswer.STALE
+        assert environment.confirm_plan().answer is PlanAnswer.STALE
         return
-    world.start_plan()
+    environment.start_plan()
     for _ in range(2000):
-        if not world.plan.active:
+        if not environment.plan.active:
             break
         if random.random() < 0.05:
-            world.fail_over()
-        world.turn()
-        world.check_serving()
-    check_done(world)
+            environment.fail_over()
+        environment.turn()
+        environment.check_serving()
+    check_done(environment)
 
 
 def begin_without_check(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -139,42 +143,42 @@
     monkeypatch.setattr(execution, "begin_objection", lambda *_: "")
 
 
-def lose_a_prefill_worker_outside_the_plan(world: PlanEnvironment) -> None:
-    moving = {step.worker_id for step in world.plan.plan.steps}
-    prefill = [worker for worker in world.state.workers() if worker.stage is Stage.PREFILL]
+def lose_a_prefill_worker_outside_the_plan(environment: PlanEnvironment) -> None:
+    moving = {step.worker_id for step in environment.plan.plan.steps}
+    prefill = [worker for worker in environment.state.workers() if worker.stage is Stage.PREFILL]
     candidates = [worker.worker_id for worker in prefill if worker.worker_id not in moving]
-    world.lose_worker(candidates[0])
+    environment.lose_worker(candidates[0])
 
 
 def test_a_step_that_would_violate_a_bound_never_begins() -> None:
-    world = build_environment()
-    world.start_plan()
-    lose_a_prefill_worker_outside_the_plan(world)
-    world.run()
-    assert world.status() is PlanStatus.STOPPED
-    assert "would keep" in world.plan.progress.reason
-    assert world.serving(Stage.PREFILL) == 2
-    check_ended_cleanly(world)
+    environment = build_environment()
+    environment.start_plan()
+    lose_a_prefill_worker_outside_the_plan(environment)
+    environment.run()
+    assert environment.status() is PlanStatus.STOPPED
+    assert "would keep" in environment.plan.progress.reason
+    assert environment.serving(Stage.PREFILL) == 2
+    check_ended_cleanly(environment)
 
 
 def test_without_the_check_a_step_violates_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     begin_without_check(monkeypatch)
-    world = build_environment()
-    world.start_plan()
-    lose_a_prefill_worker_outside_the_plan(world)
-    world.run()
+    environment = build_environment()
+    environment.start_plan()
+    lose_a_prefill_worker_outside_the_plan(environment)
+    environment.run()
     with pytest.raises(AssertionError):
-        world.check_serving()
+        environment.check_serving()
 
 
 def test_the_state_machine_rejects_invalid_proposals_of_a_leader() -> None:
-    world = build_environment()
-    world.start_plan()
-    plan_id = world.plan.plan.plan_id
+    environment = build_environment()
+    environment.start_plan()
+    plan_id = environment.plan.plan.plan_id
 
     def advance(step: int, expected: StepPhase, phase: StepPhase) -> Effect:
         command = AdvanceStep(plan_id=plan_id, step=step, expected=expected, phase=phase)
-        outcome = world.apply(command)
+        outcome = environment.apply(command)
         assert isinstance(outcome, RecordResult)
         return outcome.effect
 
@@ -185,37 +189,37 @@
     assert (
         advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID
     )  # at most one cordoned at once
-    lose_a_prefill_worker_outside_the_plan(world)
+    lose_a_prefill_worker_outside_the_plan(environment)
     assert advance(0, StepPhase.CORDONING, StepPhase.RETURNING) is Effect.CHANGED
     assert advance(0, StepPhase.RETURNING, StepPhase.RETURNED) is Effect.CHANGED
-    lose_a_prefill_worker_outside_the_plan(world)
+    lose_a_prefill_worker_outside_the_plan(environment)
     assert advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID  # bound
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed_by_every_router() -> None:
-    world = build_environment()
-    world.confirms = False
-    world.start_plan()
+    environment = build_environment()
+    environment.confirms = False
+    environment.start_plan()
     for _ in range(20):
-        world.turn()
-    assert world.phase(0) is StepPhase.CORDONING
-    assert not world.sent
-    world.confirms = True
-    world.run()
-    check_done(world)
+        environment.turn()
+    assert environment.phase(0) is StepPhase.CORDONING
+    assert not environment.sent
+    environment.confirms = True
+    environment.run()
+    check_done(environment)
 
 
 def test_without_the_wait_for_confirmation_the_check_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = build_environment()
-    world.confirms = False
-    world.start_plan()
-    world.confirmed_revision = 0
-    tick = world.driver.tick
-    monkeypatch.setattr(world.driver, "tick", lambda _confirmed, now: tick(1_000, now))
+    environment = build_environment()
+    environment.confirms = False
+    environment.start_plan()
+    environment.confirmed_revision = 0
+    tick = environment.driver.tick
+    monkeypatch.setattr(environment.driver, "tick", lambda _confirmed, now: tick(1_000, now))
     with pytest.raises(AssertionError, match="may not know of the cordon"):
-        world.run()
+        environment.run()
 
 
 @pytest.mark.parametrize("phase", sorted(OPEN_PHASES - {StepPhase.RETURNING}))
@@ -223,92 +227,92 @@
 def test_a_worker_lost_during_its_step_stops_the_plan_with_a_reason(
     phase: StepPhase, restarted: bool
 ) -> None:
-    world = build_environment()
-    world.start_plan()
-    worker_id = run_to(world, phase)
+    environment = build_environment()
+    environment.start_plan()
+    worker_id = run_to(environment, phase)
     if restarted:
-        world.restart_worker(worker_id)
+        environment.restart_worker(worker_id)
     else:
-        world.lose_worker(worker_id)
-    world.run()
-    assert world.status() is PlanStatus.STOPPED
-    assert worker_id in world.plan.progress.reason
-    assert world.phase(0) is StepPhase.ABANDONED
-    assert world.phase(1) is StepPhase.WAITING
-    check_ended_cleanly(world)
+        environment.lose_worker(worker_id)
+    environment.run()
+    assert environment.status() is PlanStatus.STOPPED
+    assert worker_id in environment.plan.progress.reason
+    assert environment.phase(0) is StepPhase.ABANDONED
+    assert environment.phase(1) is StepPhase.WAITING
+    check_ended_cleanly(environment)
 
 
 def test_an_abandoned_worker_that_returns_draining_is_resumed() -> None:
-    world = build_environment()
-    world.start_plan()
-    worker_id = run_to(world, StepPhase.SWITCHING)
-    world.lose_worker(worker_id)
-    world.run()
-    world.announce(worker_id)
-    found = world.state.find_worker(worker_id)
+    environment = build_environment()
+    environment.start_plan()
+    worker_id = run_to(environment, StepPhase.SWITCHING)
+    environment.lose_worker(worker_id)
+    environment.run()
+    environment.announce(worker_id)
+    found = environment.state.find_worker(worker_id)
     assert found is not None
     assert found.record.status is WorkerStatus.DRAINING
-    world.fail_over()
+    environment.fail_over()
     for _ in range(10):
-        world.turn()
-    check_ended_cleanly(world)
+        environment.turn()
+    check_ended_cleanly(environment)
 
 
 def test_a_worker_that_never_becomes_idle_is_returned_and_the_plan_stops() -> None:
-    world = build_environment()
-    world.start_plan()
-    worker_id = run_to(world, StepPhase.DRAINING)
-    world.in_flight[worker_id] = 1
-    world.run()
-    assert world.status() is PlanStatus.STOPPED
-    assert f"{worker_id} took too long: draining" in world.plan.progress.reason
-    assert world.phase(0) is StepPhase.RETURNED
-    assert not world.switched
-    check_ended_cleanly(world)
+    environment = build_environment()
+    environment.start_plan()
+    worker_id = run_to(environment, StepPhase.DRAINING)
+    environment.in_flight[worker_id] = 1
+    environment.run()
+    assert environment.status() is PlanStatus.STOPPED
+    assert f"{worker_id} took too long: draining" in environment.plan.progress.reason
+    assert environment.phase(0) is StepPhase.RETURNED
+    assert not environment.switched
+    check_ended_cleanly(environment)
 
 
 def test_an_unreachable_worker_is_abandoned_within_the_time_bounds() -> None:
-    world = build_environment()
-    world.start_plan()
-    worker_id = run_to(world, StepPhase.DRAINING)
-    world.unreachable.add(worker_id)
-    began_at = world.now
-    world.run()
-    assert world.phase(0) is StepPhase.ABANDONED
-    assert world.now - began_at < 10.0 + execution.RETURN_SECONDS + 2.0
-    assert not any(worker.cordoned for worker in world.state.workers())
+    environment = build_environment()
+    environment.start_plan()
+    worker_id = run_to(environment, StepPhase.DRAINING)
+    environment.unreachable.add(worker_id)
+    began_at = environment.now
+    environment.run()
+    assert environment.phase(0) is StepPhase.ABANDONED
+    assert environment.now - began_at < 10.0 + execution.RETURN_SECONDS + 2.0
+    assert not any(worker.cordoned for worker in environment.state.workers())
 
 
 def test_release_waits_for_the_reply_to_resume() -> None:
     """A DRAIN may be in transit while the replicated record says that the worker is ready."""
-    world = build_environment()
-    world.start_plan()
-    worker_id = run_to(world, StepPhase.DRAINING)
-    world.unreachable.add(worker_id)
-    world.turn()
-    late = world.sent[-1].command
+    environment = build_environment()
+    environment.start_plan()
+    worker_id = run_to(environment, StepPhase.DRAINING)
+    environment.unreachable.add(worker_id)
+    environment.turn()
+    late = environment.sent[-1].command
     assert late.kind is WorkerCommandKind.DRAIN
-    world.apply(CancelPlan(order_id="cancel", plan_id=world.plan.plan.plan_id))
+    environment.apply(CancelPlan(order_id="cancel", plan_id=environment.plan.plan.plan_id))
     for _ in range(20):
-        world.turn()
-    assert world.phase(0) is StepPhase.RETURNING
-    world.unreachable.clear()
-    world.run()
-    assert world.status() is PlanStatus.CANCELLED
-    assert not world.execute(late).accepted
-    check_ended_cleanly(world)
+        environment.turn()
+    assert environment.phase(0) is StepPhase.RETURNING
+    environment.unreachable.clear()
+    environment.run()
+    assert environment.status() is PlanStatus.CANCELLED
+    assert not environment.execute(late).accepted
+    check_ended_cleanly(environment)
 
 
 def run_and_cancel_in(phase: StepPhase) -> PlanEnvironment:
     """Cancel a plan when its first step is in a phase, and run the plan to its end."""
-    world = build_environment()
-    world.start_plan()
-    run_to(world, phase)
-    world.apply(CancelPlan(order_id="cancel", plan_id=world.plan.plan.plan_id))
-    world.run()
-    assert world.status() is PlanStatus.CANCELLED
-    check_ended_cleanly(world)
-    return world
+    environment = build_environment()
+    environment.start_plan()
+    run_to(environment, phase)
+    environment.apply(CancelPlan(order_id="cancel", plan_id=environment.plan.plan.plan_id))
+    environment.run()
+    assert environment.status() is PlanStatus.CANCELLED
+    check_ended_cleanly(environment)
+    return environment
 
 
 @pytest.mark.parametrize("phase", [StepPhase.CORDONING, StepPhase.DRAINING])
@@ -322,104 +326,104 @@
 
 
 def test_halt_leaves_no_worker_cordoned_and_resume_continues() -> None:
-    world = build_environment()
-    world.start_plan()
-    plan_id = world.plan.plan.plan_id
-    run_to(world, StepPhase.DRAINING)
-    world.apply(HaltPlan(order_id="halt", plan_id=plan_id))
+    environment = build_environment()
+    environment.start_plan()
+    plan_id = environment.plan.plan.plan_id
+    run_to(environment, StepPhase.DRAINING)
+    environment.apply(HaltPlan(order_id="halt", plan_id=plan_id))
     for _ in range(50):
-        world.turn()
-    assert world.status() is PlanStatus.HALTED
-    assert [step.phase for step in world.plan.progress.steps] == [
+        environment.turn()
+    assert environment.status() is PlanStatus.HALTED
+    assert [step.phase for step in environment.plan.progress.steps] == [
         StepPhase.RELEASED,
         StepPhase.WAITING,
     ]
-    check_ended_cleanly(world)
-    world.apply(ResumePlan(order_id="resume", plan_id=plan_id))
-    world.run()
-    check_done(world)
+    check_ended_cleanly(environment)
+    environment.apply(ResumePlan(order_id="resume", plan_id=plan_id))
+    environment.run()
+    check_done(environment)
 
 
 def test_a_newer_configuration_halts_the_plan_permanently() -> None:
-    world = build_environment()
-    world.start_plan()
-    plan_id = world.plan.plan.plan_id
-    run_to(world, StepPhase.SWITCHING)
-    world.configure(service(3, 3))
-    assert world.status() is PlanStatus.HALTED
-    resumed = world.apply(ResumePlan(order_id="resume", plan_id=plan_id))
+    environment = build_environment()
+    environment.start_plan()
+    plan_id = environment.plan.plan.plan_id
+    run_to(environment, StepPhase.SWITCHING)
+    environment.configure(service(3, 3))
+    assert environment.status() is PlanStatus.HALTED
+    resumed = environment.apply(ResumePlan(order_id="resume", plan_id=plan_id))
     assert isinstance(resumed, PlanResult)
     assert resumed.answer is PlanAnswer.REFUSED
     for _ in range(50):
-        world.turn()
-    check_ended_cleanly(world)
-    assert len(world.switched) == 1
-    world.apply(CancelPlan(order_id="cancel", plan_id=plan_id))
-    assert world.status() is PlanStatus.CANCELLED
-    assert world.confirm_plan("next").answer is PlanAnswer.STALE  # three and three already
+        environment.turn()
+    check_ended_cleanly(environment)
+    assert len(environment.switched) == 1
+    environment.apply(CancelPlan(order_id="cancel", plan_id=plan_id))
+    assert environment.status() is PlanStatus.CANCELLED
+    assert environment.confirm_plan("next").answer is PlanAnswer.STALE  # three and three already
 
 
-def stale_start(world: PlanEnvironment) -> PlanAnswer:
+def stale_start(environment: PlanEnvironment) -> PlanAnswer:
     """Propose a plan that was computed before the restart of a worker."""
-    plan = make_preview(world.state.view()).plan
-    world.restart_worker("w5")
-    outcome = world.apply(StartPlan(order_id="order", plan_id=plan.plan_id, plan=plan))
+    plan = make_preview(environment.state.view()).plan
+    environment.restart_worker("w5")
+    outcome = environment.apply(StartPlan(order_id="order", plan_id=plan.plan_id, plan=plan))
     assert isinstance(outcome, PlanResult)
     return outcome.answer
 
 
 def test_a_plan_whose_basis_changed_before_it_was_applied_does_not_start() -> None:
-    world = build_environment()
-    assert stale_start(world) is PlanAnswer.STALE
-    assert world.state.plan is None
+    environment = build_environment()
+    assert stale_start(environment) is PlanAnswer.STALE
+    assert environment.state.plan is None
 
 
 def test_without_the_comparison_a_stale_plan_starts(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = build_environment()
-    digest = make_preview(world.state.view()).plan.basis
+    environment = build_environment()
+    digest = make_preview(environment.state.view()).plan.basis
     monkeypatch.setattr(plan_state, "basis_digest", lambda *_: digest)
-    assert stale_start(world) is PlanAnswer.ACCEPTED
+    assert stale_start(environment) is PlanAnswer.ACCEPTED
 
 
 def test_a_repeated_action_gets_its_first_outcome() -> None:
-    world = build_environment()
+    environment = build_environment()
     stale = StartPlan(order_id="early", plan_id="unknown")
-    assert world.apply(stale) == PlanResult(answer=PlanAnswer.STALE)
-    world.start_plan()
-    plan = world.plan.plan
+    assert environment.apply(stale) == PlanResult(answer=PlanAnswer.STALE)
+    environment.start_plan()
+    plan = environment.plan.plan
     again = StartPlan(order_id="order", plan_id=plan.plan_id, plan=None)
-    assert world.apply(again) == PlanResult(answer=PlanAnswer.ACCEPTED, repeated=True)
-    assert world.apply(stale) == PlanResult(answer=PlanAnswer.STALE, repeated=True)
+    assert environment.apply(again) == PlanResult(answer=PlanAnswer.ACCEPTED, repeated=True)
+    assert environment.apply(stale) == PlanResult(answer=PlanAnswer.STALE, repeated=True)
     other = HaltPlan(order_id="order", plan_id=plan.plan_id)
-    assert world.apply(other) == PlanResult(answer=PlanAnswer.ORDER_ID_REUSED)
-    second = world.apply(StartPlan(order_id="second", plan_id=plan.plan_id, plan=plan))
+    assert environment.apply(other) == PlanResult(answer=PlanAnswer.ORDER_ID_REUSED)
+    second = environment.apply(StartPlan(order_id="second", plan_id=plan.plan_id, plan=plan))
     assert isinstance(second, PlanResult)
     assert second.answer is PlanAnswer.REFUSED
-    world.run()
-    assert world.apply(again) == PlanResult(answer=PlanAnswer.ACCEPTED, repeated=True)
-    assert world.status() is PlanStatus.DONE
+    environment.run()
+    assert environment.apply(again) == PlanResult(answer=PlanAnswer.ACCEPTED, repeated=True)
+    assert environment.status() is PlanStatus.DONE
 
 
-def commands_of_two_leaders(world: PlanEnvironment) -> tuple[WorkerCommand, WorkerCommand]:
+def commands_of_two_leaders(environment: PlanEnvironment) -> tuple[WorkerCommand, WorkerCommand]:
     """Return a command of a replaced leader and a later one of its successor."""
-    world.start_plan()
-    worker_id = run_to(world, StepPhase.DRAINING)
-    world.unreachable.add(worker_id)
-    world.turn()
-    old = world.sent[-1].command
-    world.fail_over()
-    world.turn()
-    new = world.sent[-1].command
+    environment.start_plan()
+    worker_id = run_to(environment, StepPhase.DRAINING)
+    environment.unreachable.add(worker_id)
+    environment.turn()
+    old = environment.sent[-1].command
+    environment.fail_over()
+    environment.turn()
+    new = environment.sent[-1].command
     assert new.term > old.term
     assert new.worker_id == old.worker_id
     return old, new
 
 
 def test_a_worker_rejects_commands_of_a_replaced_leader() -> None:
-    world = build_environment()
-    old, new = commands_of_two_leaders(world)
-    assert world.execute(new).accepted
-    rejected = world.execute(old)
+    environment = build_environment()
+    old, new = commands_of_two_leaders(environment)
+    assert environment.execute(new).accepted
+    rejected = environment.execute(old)
     assert not rejected.accepted
     assert (rejected.highest_term, rejected.highest_sequence) == (new.term, new.sequence)
 
@@ -428,47 +432,47 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(CommandFence, "pass_order", lambda *_: True)
-    world = build_environment()
-    old, new = commands_of_two_leaders(world)
-    assert world.execute(new).accepted
-    assert world.execute(old).accepted
+    environment = build_environment()
+    old, new = commands_of_two_leaders(environment)
+    assert environment.execute(new).accepted
+    assert environment.execute(old).accepted
 
 
 def test_fencing_tokens_of_a_leader_increase_with_every_command() -> None:
-    world = build_environment(Random(3))
-    world.start_plan()
-    world.run()
-    fencing_tokens = [(effect.command.term, effect.command.sequence) for effect in world.sent]
+    environment = build_environment(Random(3))
+    environment.start_plan()
+    environment.run()
+    fencing_tokens = [(effect.command.term, effect.command.sequence) for effect in environment.sent]
     assert fencing_tokens == sorted(set(fencing_tokens))
 
 
 def test_a_reply_to_a_command_of_an_earlier_phase_does_not_count() -> None:
-    world = build_environment()
-    world.start_plan()
-    worker_id = run_to(world, StepPhase.DRAINING)
-    world.turn()
-    earlier = msgspec.structs.replace(world.sent[-1].command, kind=WorkerCommandKind.RESUME)
-    run_to(world, StepPhase.RESUMING)
-    world.unreachable.add(worker_id)
-    world.turn()
-    world.cores[worker_id].resume()
-    world.announce(worker_id)
+    environment = build_environment()
+    environment.start_plan()
+    worker_id = run_to(environment, StepPhase.DRAINING)
+    environment.turn()
+    earlier = msgspec.structs.replace(environment.sent[-1].command, kind=WorkerCommandKind.RESUME)
+    run_to(environment, StepPhase.RESUMING)
+    environment.unreachable.add(worker_id)
+    environment.turn()
+    environment.cores[worker_id].resume()
+    environment.announce(worker_id)
     accepted = WorkerCommandReply(accepted=True, highest_term=1, highest_sequence=earlier.sequence)
-    world.driver.command_answered(earlier, accepted)
-    world.turn()
-    assert world.phase(0) is StepPhase.RESUMING
-    world.driver.command_answered(world.sent[-1].command, accepted)
-    world.turn()
-    assert world.phase(0) is StepPhase.RELEASED
+    environment.driver.command_answered(earlier, accepted)
+    environment.turn()
+    assert environment.phase(0) is StepPhase.RESUMING
+    environment.driver.command_answered(environment.sent[-1].command, accepted)
+    environment.turn()
+    assert environment.phase(0) is StepPhase.RELEASED
 
 
 def test_a_snapshot_without_plan_fields_is_restored() -> None:
-    world = build_environment()
-    body = msgspec.msgpack.decode(world.state.snapshot())
+    environment = build_environment()
+    body = msgspec.msgpack.decode(environment.state.snapshot())
     del body["plan"], body["plan_orders"]
     restored = FleetState.restore(msgspec.msgpack.encode(body))
     assert restored.plan is None
-    assert restored.workers() == world.state.workers()
+    assert restored.workers() == environment.state.workers()
 
 
 def test_without_the_wait_for_the_reply_a_released_worker_drains_permanently(
@@ -486,15 +490,15 @@
         return guarded(plan, position, worker, msgspec.structs.replace(situation, watches=watches))
 
     monkeypatch.setattr(execution, "_following_phase", unguarded)
-    world = build_environment()
-    world.start_plan()
-    worker_id = run_to(world, StepPhase.DRAINING)
-    world.unreachable.add(worker_id)
-    world.turn()
-    late = world.sent[-1].command
-    world.apply(CancelPlan(order_id="cancel", plan_id=world.plan.plan.plan_id))
-    world.run()
-    assert world.status() is PlanStatus.CANCELLED
-    assert world.execute(late).accepted
+    environment = build_environment()
+    environment.start_plan()
+    worker_id = run_to(environment, StepPhase.DRAINING)
+    environment.unreachable.add(worker_id)
+    environment.turn()
+    late = environment.sent[-1].command
+    environment.apply(CancelPlan(order_id="cancel", plan_id=environment.plan.plan.plan_id))
+    environment.run()
+    assert environment.status() is PlanStatus.CANCELLED
+    assert environment.execute(late).accepted
     with pytest.raises(AssertionError):
-        check_ended_cleanly(world)
+        check_ended_cleanly(environment)
