--- a/src/orchidpath/router/decision_maker.py
+++ b/src/orchidpath/router/decision_maker.py
@@ -169,7 +169,7 @@
             self._fleet.decided_alone(request.attempt_id, chosen)
             self._record(request, alone, DecidedBy.ROUTER)
             return alone
-        self._loads.learn(reply.states, now)
+        self._loads.update(reply.states, now)
         self._state.fallback.register_decided(
             request.request_id, request.attempt_id, reply.choices, now
         )
--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -185,7 +185,7 @@
         except TimeoutError:
             # Until the leader answers again only one request in a while pays for the wait.
             self._tier_retry_at = self._clock() + RETRY_TIER_SECONDS
-            self._late_decisions.given_up(request)
+            self._late_decisions.record_abandoned(request)
             return None
         finally:
             del self._decisions[request.correlation]
--- a/src/orchidpath/router/fleet_link/late_decisions.py
+++ b/src/orchidpath/router/fleet_link/late_decisions.py
@@ -21,7 +21,7 @@
         self._requests: OrderedDict[int, DecisionRequest] = OrderedDict()
         self._used: OrderedDict[str, frozenset[str]] = OrderedDict()
 
-    def given_up(self, request: DecisionRequest) -> None:
+    def record_abandoned(self, request: DecisionRequest) -> None:
         """Remember a request whose answer was not waited for."""
         self._requests[request.correlation] = request
         if len(self._requests) > MAX_REMEMBERED:
--- a/src/orchidpath/router/load_view.py
+++ b/src/orchidpath/router/load_view.py
@@ -33,7 +33,7 @@
         if self._own[worker_id] <= 0:
             del self._own[worker_id]
 
-    def learn(self, states: Sequence[CandidateState], now: float) -> None:
+    def update(self, states: Sequence[CandidateState], now: float) -> None:
         """Take what a decision said of its candidates."""
         for state in states:
             self._known[state.worker_id] = _Known(state.in_flight, now)
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -121,7 +121,7 @@
         """Take a worker's announcement, remember and forward it."""
         if not self.alive or self.frozen:
             return
-        if self.access.hear(announcement):
+        if self.access.receive_announcement(announcement):
             self.history.record_announcement(self.address, self.epoch, announcement.record)
             super().announce(announcement)
 
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -161,9 +161,9 @@
 
     async def announce(self, announcement: Announcement) -> AnnouncementReply:
         """Take a worker's announcement."""
-        return AnnouncementReply(accepted=self.hear(announcement))
+        return AnnouncementReply(accepted=self.receive_announcement(announcement))
 
-    def hear(self, announcement: Announcement) -> bool:
+    def receive_announcement(self, announcement: Announcement) -> bool:
         """Remember what a worker says of itself; false for one that is not newer."""
         return self._announced.record_announcement(announcement)
 
@@ -190,5 +190,5 @@
         if waiting is None:
             return
         self._tier_retry_at = self._process.now + RETRY_TIER_SECONDS
-        self._late_decisions.given_up(request)
+        self._late_decisions.record_abandoned(request)
         waiting.resume(None)
--- a/tests/router/test_late_decisions.py
+++ b/tests/router/test_late_decisions.py
@@ -10,7 +10,7 @@
     request = DecisionRequest(
         correlation=7, request_id="q", attempt_id="a", service="wine", per_stage=()
     )
-    late.given_up(request)
+    late.record_abandoned(request)
     late.decided_alone("a", ["p1", "d1"])
     choices = (
         Choice(stage=Stage.PREFILL, worker_id="p1"),
