--- a/src/orchidpath/control/replica/control_replica.py
+++ b/src/orchidpath/control/replica/control_replica.py
@@ -181,7 +181,7 @@
 
     def read(self, key: int, now: float) -> list[ControlEffect]:
         """Ask for a linearizable read; `ReadReady` or `ReadFailed` with ``key`` follows."""
-        self._output.emit_all(self._reads.ask(key, self.has_authority(now), now))
+        self._output.emit_all(self._reads.request_read(key, self.has_authority(now), now))
         return self._finish_turn(now)
 
     def worker_circuits(self, now: float) -> tuple[WorkerCircuitView, ...]:
--- a/src/orchidpath/control/replica/pending_reads.py
+++ b/src/orchidpath/control/replica/pending_reads.py
@@ -29,7 +29,9 @@
         self._raft = raft
         self._waiting: list[_PendingRead] = []
 
-    def ask(self, key: int, has_authority: bool, now: float) -> list[ReadReady | ReadFailed]:
+    def request_read(
+        self, key: int, has_authority: bool, now: float
+    ) -> list[ReadReady | ReadFailed]:
         """Ask for a read; without an answer at once, one comes from `finish`."""
         if has_authority:
             return [ReadReady(key)]
--- a/src/orchidpath/routing/request/core.py
+++ b/src/orchidpath/routing/request/core.py
@@ -195,7 +195,7 @@
         """Retry if every bound allows it, otherwise answer at once (paper, bounded retries)."""
         if not self._may_retry() or not self._retries.attempts_left():
             return self._reject(self._give_up)
-        if not self._retries.fits(wait_seconds, now):
+        if not self._retries.fits_deadline(wait_seconds, now):
             return self._reject(self._give_up)
         budget = self._shared.retry_budget
         if not budget.try_spend(now) and Guard.RETRY_BUDGET not in self._disabled:
--- a/src/orchidpath/routing/request/request_machine.py
+++ b/src/orchidpath/routing/request/request_machine.py
@@ -109,7 +109,7 @@
 
     def _no_candidates(self, event: events.NoCandidates, now: float) -> list[RequestInstruction]:
         wait_seconds = self._retries.seconds_until_a_worker_returns(now)
-        if wait_seconds is not None and self._retries.fits(wait_seconds, now):
+        if wait_seconds is not None and self._retries.fits_deadline(wait_seconds, now):
             # Nothing was sent: the retry that was granted for this attempt is still to be made.
             self._retries.attempts_made -= 1
             return [self._timer(events.TimerKind.BACKOFF, wait_seconds, Phase.BACKING_OFF)]
--- a/src/orchidpath/routing/request/retries.py
+++ b/src/orchidpath/routing/request/retries.py
@@ -78,7 +78,7 @@
         """Whether the request may have a further attempt."""
         return self.attempts_made < self._plan.retry.max_attempts
 
-    def fits(self, wait_seconds: float, now: float) -> bool:
+    def fits_deadline(self, wait_seconds: float, now: float) -> bool:
         """Whether a wait leaves enough of the deadline for the retry."""
         if Guard.WAIT_FITS_DEADLINE in self._disabled:
             return True
--- a/src/orchidpath/state/configuration_state.py
+++ b/src/orchidpath/state/configuration_state.py
@@ -85,11 +85,11 @@
             return Submission(result=UpdateResult(outcome=known.outcome, repeated=True))
         if command.base_version != self.version:
             conflict = UpdateConflict(current_version=self.version)
-            self._outcomes.remember(command.order_id, command.digest, conflict)
+            self._outcomes.record(command.order_id, command.digest, conflict)
             return Submission(result=UpdateResult(outcome=conflict))
         delta = self._replace(command)
         accepted = UpdateAccepted(version=self.version)
-        self._outcomes.remember(command.order_id, command.digest, accepted)
+        self._outcomes.record(command.order_id, command.digest, accepted)
         return Submission(result=UpdateResult(outcome=accepted), delta=delta)
 
     def _replace(self, command: SubmitConfiguration) -> ConfigurationDelta:
--- a/src/orchidpath/state/update_outcomes.py
+++ b/src/orchidpath/state/update_outcomes.py
@@ -28,7 +28,7 @@
         """Return the update remembered under an id."""
         return self._records.get(order_id)
 
-    def remember(self, order_id: str, digest: str, outcome: UpdateOutcome) -> None:
+    def record(self, order_id: str, digest: str, outcome: UpdateOutcome) -> None:
         """Remember the first outcome of an update and forget the oldest beyond the limit."""
         record = UpdateRecord(order_id=order_id, digest=digest, outcome=outcome)
         insert_newest(self._records, order_id, record, self._limit)
--- a/tests/state/test_configuration_state.py
+++ b/tests/state/test_configuration_state.py
@@ -47,7 +47,7 @@
 def test_only_the_oldest_remembered_updates_are_dropped_at_the_limit() -> None:
     outcomes = UpdateOutcomes(limit=3)
     for number in range(5):
-        outcomes.remember(f"o{number}", "d", UpdateAccepted(version=number))
+        outcomes.record(f"o{number}", "d", UpdateAccepted(version=number))
     assert [record.order_id for record in outcomes.records()] == ["o2", "o3", "o4"]
 
 
