--- a/src/orchidpath/circuit/selection.py
+++ b/src/orchidpath/circuit/selection.py
@@ -89,7 +89,7 @@
     factor: float = DEFAULT_LOAD_BOUND_FACTOR
     minimum: float = MINIMUM_LOAD_ABOVE_AVERAGE
 
-    def of(self, average: float) -> float:
+    def for_average(self, average: float) -> float:
         """Return the bound at an average load."""
         return max(average * self.factor, average + self.minimum)
 
@@ -171,7 +171,7 @@
 
 def _first_below_bound(closed: Sequence[Candidate], load_bound: LoadBound) -> Candidate:
     average = sum(candidate.in_flight for candidate in closed) / len(closed)
-    bound = load_bound.of(average)
+    bound = load_bound.for_average(average)
     # The smallest is never above the average, so the bound always leaves one.
     return next(candidate for candidate in closed if candidate.in_flight < bound)
 
--- a/src/orchidpath/routing/kv_transfer_evidence.py
+++ b/src/orchidpath/routing/kv_transfer_evidence.py
@@ -144,7 +144,7 @@
         if len(self._avoided_until) > MAXIMUM_AVOIDED_PAIRS:
             del self._avoided_until[next(iter(self._avoided_until))]
 
-    def forgive(self, prefill_worker_id: str, decode_worker_id: str) -> None:
+    def clear_pair(self, prefill_worker_id: str, decode_worker_id: str) -> None:
         """Stop avoiding a pair.
 
         Parameters
@@ -272,7 +272,7 @@
         now : float
             Monotonic time in seconds.
         """
-        self.avoidance.forgive(prefill_worker_id, decode_worker_id)
+        self.avoidance.clear_pair(prefill_worker_id, decode_worker_id)
         self._last_success.record(prefill_worker_id, now)
         self._last_success.record(decode_worker_id, now)
 
--- a/src/orchidpath/routing/pairing.py
+++ b/src/orchidpath/routing/pairing.py
@@ -112,7 +112,7 @@
         return ring
 
 
-class _Pool(msgspec.Struct, frozen=True):
+class _WorkerPool(msgspec.Struct, frozen=True):
     """The eligible workers of one service, stage and model, on their rings."""
 
     ring: HashRing
@@ -140,7 +140,7 @@
         self._candidate_limit = candidate_limit
         self._own_zone = zone
         self._rings = RingCache()
-        self._pools: dict[tuple[str, Stage, str], _Pool] = {}
+        self._pools: dict[tuple[str, Stage, str], _WorkerPool] = {}
         self._workers: dict[tuple[str, Stage], list[WorkerRecord]] = {}
         self._zones: dict[str, str] = {}
         self._load_bound_factor = 1.0
@@ -338,7 +338,7 @@
         candidates = tuple(ordered)[: self._candidate_limit]
         return StageCandidates(stage=stage, candidates=candidates, tried=tried)
 
-    def _pool(self, service: str, stage: Stage, model: str) -> _Pool:
+    def _pool(self, service: str, stage: Stage, model: str) -> _WorkerPool:
         pool_key = (service, stage, "" if stage is Stage.PLAIN else model)
         pool = self._pools.get(pool_key)
         if pool is None:
@@ -348,7 +348,7 @@
                 self._pools[pool_key] = pool
         return pool
 
-    def _build_pool(self, service: str, stage: Stage, model: str) -> _Pool:
+    def _build_pool(self, service: str, stage: Stage, model: str) -> _WorkerPool:
         workers = [
             worker
             for worker in self._workers.get((service, stage), [])
@@ -363,9 +363,9 @@
             for zone, zone_ids in by_zone.items()
         }
         ring = self._rings.ring(service, stage, worker_ids)
-        return _Pool(ring, zone_rings, worker_ids)
+        return _WorkerPool(ring, zone_rings, worker_ids)
 
-    def _load_bound(self, pool: _Pool, in_flight: Mapping[str, int]) -> float:
+    def _load_bound(self, pool: _WorkerPool, in_flight: Mapping[str, int]) -> float:
         if not pool.worker_ids:
             return math.inf
         total = sum(in_flight.get(worker_id, 0) for worker_id in pool.worker_ids)
@@ -373,7 +373,7 @@
         return max(math.ceil(self._load_bound_factor * mean), self._load_bound_minimum)
 
     @staticmethod
-    def _considered_for_decode(pool: _Pool, zone: str, key: int) -> list[str]:
+    def _considered_for_decode(pool: _WorkerPool, zone: str, key: int) -> list[str]:
         """Take workers of the same zone and of all zones, so that neither crowds out the other."""
         half = CONSIDERED_WORKERS // 2
         near_ring = pool.zone_rings.get(zone)
