--- a/src/orchidpath/placement/prefill_queues.py
+++ b/src/orchidpath/placement/prefill_queues.py
@@ -47,7 +47,7 @@
         """Pace, bounded below."""
         return max(self.prefill_seconds / self.prefilled_tokens, MIN_SECONDS_PER_TOKEN)
 
-    def learn(self, tokens: int, seconds: float) -> None:
+    def record_prefill(self, tokens: int, seconds: float) -> None:
         """Add a completed prefill to the measured pace."""
         retained_share = max(0.0, 1.0 - tokens / PACE_WINDOW_TOKENS)
         self.prefilled_tokens = self.prefilled_tokens * retained_share + tokens
@@ -112,7 +112,9 @@
         if worker is None:
             return
         if was_completed and prefill.measures_pace:
-            worker.learn(prefill.tokens, now - max(worker.prefill_started_at, prefill.started_at))
+            worker.record_prefill(
+                prefill.tokens, now - max(worker.prefill_started_at, prefill.started_at)
+            )
         worker.waiting_tokens = max(worker.waiting_tokens - prefill.tokens, 0)
         worker.prefill_started_at = now
 
--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -116,7 +116,7 @@
 
     # Callers and routers
 
-    def submitted(self, request: CallerRequest) -> Submission:
+    def record_submission(self, request: CallerRequest) -> Submission:
         """Record that a router has got a request."""
         self.counts.submitted += 1
         submission = Submission(
@@ -125,12 +125,12 @@
         self._submissions[request.request_id, request.submission] = submission
         return submission
 
-    def refused_at_once(self, submission: Submission) -> None:
+    def check_immediate_rejection(self, submission: Submission) -> None:
         """Check that a router which takes a request not in says so without waiting."""
         waited = self._environment.time - submission.arrived_at
         self._check(waited < DEADLINE_SLACK_SECONDS, f"a refusal waited for {waited:.3f} s")
 
-    def answered(self, submission: Submission, was_frozen: bool) -> None:
+    def check_response_time(self, submission: Submission, was_frozen: bool) -> None:
         """Check that an answer, or its first content, does not come after the deadline."""
         if was_frozen or submission.has_content:
             return
@@ -141,7 +141,7 @@
             f"{_name(submission)} was answered after {waited:.3f} s, its deadline is {allowed:.3f}",
         )
 
-    def backed_off(self, submission: Submission, seconds: float) -> None:
+    def check_backoff(self, submission: Submission, seconds: float) -> None:
         """Check that nobody waits for a retry which its deadline does not allow."""
         left = submission.arrived_at + submission.request.deadline_seconds - self._environment.time
         allowed = max(left, 0.0) * (1 + 2 * MAX_CLOCK_RATE_ERROR) + DEADLINE_SLACK_SECONDS
@@ -150,7 +150,7 @@
             f"{_name(submission)} waits {seconds:.3f} s with {left:.3f} s left",
         )
 
-    def relayed(self, submission: Submission, frames: tuple[DecodeFrame, ...]) -> None:
+    def check_relayed_frames(self, submission: Submission, frames: tuple[DecodeFrame, ...]) -> None:
         """Check frames as the caller gets them."""
         self._check(not submission.is_ended, f"{_name(submission)} got frames after its end")
         is_first = not submission.has_content
@@ -163,7 +163,7 @@
         submission.has_content = True
         submission.texts += [frame.text for frame in frames if frame.kind is FrameKind.CONTENT]
 
-    def ended(self, submission: Submission) -> None:
+    def check_end(self, submission: Submission) -> None:
         """Check that an answer ends once."""
         self._check(not submission.is_ended, f"{_name(submission)} ended twice")
         submission.is_ended = True
@@ -177,11 +177,13 @@
 
     # Orders
 
-    def first_attempt(self, router: str, epoch: int, service: str, router_count: int) -> None:
+    def record_first_attempt(
+        self, router: str, epoch: int, service: str, router_count: int
+    ) -> None:
         """Count a first attempt towards a service's budget on one run of a router."""
         self._spending_of(router, epoch, service, router_count).firsts += 1
 
-    def retried(
+    def check_retry(
         self, submission: Submission, router: str, epoch: int, service: str, router_count: int
     ) -> None:
         """Check a retry against the commit rule and the service's budget."""
@@ -273,7 +275,7 @@
 
     # Back ends
 
-    def executed(self, incarnation: str, order: AttemptDispatch) -> None:
+    def check_execution(self, incarnation: str, order: AttemptDispatch) -> None:
         """Check the start of a prefill or an execution on a back end."""
         submission = self._submission_of_attempt.get(order.attempt_id)
         if submission is None:
--- a/src/orchidpath/simulation/requests/served_request.py
+++ b/src/orchidpath/simulation/requests/served_request.py
@@ -168,10 +168,10 @@
             case events.Reject():
                 self._answered()
                 self._history.record_error_reply(self._submission, instruction.error)
-                self._history.ended(self._submission)
+                self._history.check_end(self._submission)
                 self._caller.answer(Refused(error=instruction.error))
             case events.BreakStream():
-                self._history.ended(self._submission)
+                self._history.check_end(self._submission)
                 self._caller.answer(Broken(error=instruction.error))
             case _:
                 pass
@@ -182,17 +182,17 @@
             self._texts += [one.text for one in frames if one.kind is FrameKind.CONTENT]
             return
         self._answered()
-        self._history.relayed(self._submission, instruction.frames)
+        self._history.check_relayed_frames(self._submission, instruction.frames)
         self._caller.answer(Relayed(frames=instruction.frames))
 
     def _finish(self, instruction: events.Finish) -> None:
         self._answered()
-        self._history.ended(self._submission)
+        self._history.check_end(self._submission)
         self._caller.answer(Finished(text="".join(self._texts), body=instruction.body))
 
     def _answered(self) -> None:
         was_frozen = self._router.last_frozen_at >= self._submission.arrived_at
-        self._history.answered(self._submission, was_frozen)
+        self._history.check_response_time(self._submission, was_frozen)
 
     # Decisions
 
@@ -201,9 +201,9 @@
         place = (router.address, router.epoch, self._match.service.name, router.router_count())
         self._attempts += 1
         if self._attempts == 1:
-            self._history.first_attempt(*place)
+            self._history.record_first_attempt(*place)
         else:
-            self._history.retried(self._submission, *place)
+            self._history.check_retry(self._submission, *place)
         drive(router.decisions.decide(self._subject, instruction), self._decided)
 
     def _decided(self, decided: events.DecisionMade | events.NoCandidates) -> None:
@@ -213,7 +213,7 @@
 
     def _start_timer(self, instruction: events.StartTimer) -> None:
         if instruction.kind is events.TimerKind.BACKOFF:
-            self._history.backed_off(self._submission, instruction.seconds)
+            self._history.check_backoff(self._submission, instruction.seconds)
         elapsed = events.TimerElapsed(kind=instruction.kind, number=instruction.number)
         self._router.after(max(instruction.seconds, 0.0), lambda: self._post(elapsed))
 
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -166,7 +166,7 @@
         """Take a caller's request in, or refuse it at once."""
         # Imported late: a served request needs its router's type.
 
-        submission = self.history.submitted(request)
+        submission = self.history.record_submission(request)
         refused = self._refusal(request)
         match = self._match(request) if refused is None else None
         if refused is None and match is None:
@@ -179,9 +179,9 @@
                 refused = admission_error(admitted, request.request_id)
         if refused is not None or match is None:
             assert refused is not None
-            self.history.refused_at_once(submission)
+            self.history.check_immediate_rejection(submission)
             self.history.record_error_reply(submission, refused)
-            self.history.ended(submission)
+            self.history.check_end(submission)
             exchange.answer(Refused(error=refused))
             return
         ServedRequest(self, exchange, submission, match).run()
--- a/src/orchidpath/simulation/requests/simulated_backend.py
+++ b/src/orchidpath/simulation/requests/simulated_backend.py
@@ -101,7 +101,7 @@
 
     def _begin(self, exchange: Exchange, order: AttemptDispatch) -> bool:
         if self.core.start(order, self.now):
-            self.history.executed(self.record.incarnation, order)
+            self.history.check_execution(self.record.incarnation, order)
             return True
         ran = self.core.attempts.ran(order.attempt_id, order.phase)
         error = self.core.error(order, ErrorCode.ATTEMPT_REFUSED, "cancelled before", ran)
--- a/tests/simulation/test_path_checks.py
+++ b/tests/simulation/test_path_checks.py
@@ -39,7 +39,7 @@
             prompt="",
             tenant="",
         )
-        self.submission = self.history.submitted(request)
+        self.submission = self.history.record_submission(request)
 
     def dispatch(self, attempt_id: str = "a") -> None:
         self.history.check_dispatch(self.submission, "r0", 1, WORKER, attempt_id)
@@ -53,13 +53,13 @@
 def test_a_late_rejection_is_detected(observed: ObservedSubmission) -> None:
     observed.environment.run_until(1.0)
     with pytest.raises(InvariantError, match="waited"):
-        observed.history.refused_at_once(observed.submission)
+        observed.history.check_immediate_rejection(observed.submission)
 
 
 def test_a_backoff_past_the_deadline_is_detected(observed: ObservedSubmission) -> None:
-    observed.history.backed_off(observed.submission, 1.0)
+    observed.history.check_backoff(observed.submission, 1.0)
     with pytest.raises(InvariantError, match=r"with 6\.000 s left"):
-        observed.history.backed_off(observed.submission, 30.0)
+        observed.history.check_backoff(observed.submission, 30.0)
 
 
 def test_an_execution_after_a_not_executed_guarantee_is_detected(
@@ -68,12 +68,12 @@
     observed.dispatch()
     observed.history.record_error_reply(observed.submission, REJECTION)
     with pytest.raises(InvariantError, match="was told ran=no"):
-        observed.history.executed("w0-1", DISPATCH)
+        observed.history.check_execution("w0-1", DISPATCH)
 
 
 def test_an_execution_without_a_dispatch_is_detected() -> None:
     with pytest.raises(InvariantError, match="no router ordered"):
-        ObservedSubmission().history.executed("w0-1", DISPATCH)
+        ObservedSubmission().history.check_execution("w0-1", DISPATCH)
 
 
 def test_a_handle_granted_to_another_attempt_or_twice_is_detected() -> None:
