--- a/src/orchidpath/simulation/requests/served_request.py
+++ b/src/orchidpath/simulation/requests/served_request.py
@@ -151,7 +151,7 @@
             case events.StartTimer():
                 self._start_timer(instruction)
             case events.Report():
-                self._history.reported(self._submission, instruction.report)
+                self._history.check_report(self._submission, instruction.report)
                 entry = self._trace.ended(instruction)
                 self._router.decisions.report(instruction.report, entry)
             case _:
@@ -168,10 +168,10 @@
             case events.Reject():
                 self._answered()
                 self._history.record_error_reply(self._submission, instruction.error)
-                self._history.ended(self._submission)
+                self._history.check_end(self._submission)
                 self._caller.answer(Refused(error=instruction.error))
             case events.BreakStream():
-                self._history.ended(self._submission)
+                self._history.check_end(self._submission)
                 self._caller.answer(Broken(error=instruction.error))
             case _:
                 pass
@@ -182,17 +182,17 @@
             self._texts += [one.text for one in frames if one.kind is FrameKind.CONTENT]
             return
         self._answered()
-        self._history.relayed(self._submission, instruction.frames)
+        self._history.check_relayed_frames(self._submission, instruction.frames)
         self._caller.answer(Relayed(frames=instruction.frames))
 
     def _finish(self, instruction: events.Finish) -> None:
         self._answered()
-        self._history.ended(self._submission)
+        self._history.check_end(self._submission)
         self._caller.answer(Finished(text="".join(self._texts), body=instruction.body))
 
     def _answered(self) -> None:
         was_frozen = self._router.last_frozen_at >= self._submission.arrived_at
-        self._history.answered(self._submission, was_frozen)
+        self._history.check_response_time(self._submission, was_frozen)
 
     # Decisions
 
@@ -201,19 +201,19 @@
         place = (router.address, router.epoch, self._match.service.name, router.router_count())
         self._attempts += 1
         if self._attempts == 1:
-            self._history.first_attempt(*place)
+            self._history.record_first_attempt(*place)
         else:
-            self._history.retried(self._submission, *place)
+            self._history.check_retry(self._submission, *place)
         drive(router.decisions.decide(self._subject, instruction), self._decided)
 
     def _decided(self, decided: events.DecisionMade | events.NoCandidates) -> None:
         if isinstance(decided, events.DecisionMade):
-            self._history.decided(decided.attempt_id, decided.reply.choices)
+            self._history.record_decision(decided.attempt_id, decided.reply.choices)
         self._router.after(0.0, lambda: self._post(decided))
 
     def _start_timer(self, instruction: events.StartTimer) -> None:
         if instruction.kind is events.TimerKind.BACKOFF:
-            self._history.backed_off(self._submission, instruction.seconds)
+            self._history.check_backoff(self._submission, instruction.seconds)
         elapsed = events.TimerElapsed(kind=instruction.kind, number=instruction.number)
         self._router.after(max(instruction.seconds, 0.0), lambda: self._post(elapsed))
 
@@ -249,7 +249,7 @@
             return
         backend = open_server(exchange)
         assert isinstance(backend, SimulatedBackend)
-        self._history.ordered(
+        self._history.check_dispatch(
             self._submission,
             self._router.address,
             self._router.epoch,
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -15,8 +15,8 @@
 from orchidpath.router.fleet_link.late_decisions import LateDecisions
 from orchidpath.router.fleet_link.report_queue import ReportQueue
 from orchidpath.routing.freshness import FreshnessCore
+from orchidpath.simulation.environment import SimulatedProcess
 from orchidpath.simulation.requests.path_guards import PathGuard
-from orchidpath.simulation.world import SimulatedProcess
 from orchidpath.wire.backend import Announcement, AnnouncementReply
 from orchidpath.wire.messages import (
     AttemptReport,
@@ -161,11 +161,11 @@
 
     async def announce(self, announcement: Announcement) -> AnnouncementReply:
         """Take a worker's announcement."""
-        return AnnouncementReply(accepted=self.hear(announcement))
+        return AnnouncementReply(accepted=self.receive_announcement(announcement))
 
-    def hear(self, announcement: Announcement) -> bool:
+    def receive_announcement(self, announcement: Announcement) -> bool:
         """Remember what a worker says of itself; false for one that is not newer."""
-        return self._announced.heard(announcement)
+        return self._announced.record_announcement(announcement)
 
     def locally_draining(self, worker_id: str) -> bool:
         """Return whether the worker itself told this router that it is draining."""
@@ -190,5 +190,5 @@
         if waiting is None:
             return
         self._tier_retry_at = self._process.now + RETRY_TIER_SECONDS
-        self._late_decisions.given_up(request)
+        self._late_decisions.record_abandoned(request)
         waiting.resume(None)
