--- a/src/orchidpath/routing/freshness.py
+++ b/src/orchidpath/routing/freshness.py
@@ -1,9 +1,9 @@
-"""A router's adopted fleet view and its lease to serve by it; pure, no input or output.
+"""The fleet view that a router has adopted, and its lease to serve requests by that view.
 
-Holds the rule that a confirmed configuration is applied within about 2 s by every router that
-serves and that no router slides back (docs/design/freshness.md). A lease always counts from the
-moment that the question was *sent*, never from when its answer came: an answer that was held up on
-the way cannot stretch a lease.
+The module does no input or output. It implements two guarantees (docs/design/freshness.md): every
+router that serves applies a confirmed configuration within about 2 s, and no router returns to an
+older revision. A lease starts when the heartbeat or query was *sent*, never when the reply arrived,
+so a reply that was delayed on the network cannot extend a lease.
 """
 
 from enum import StrEnum
@@ -24,37 +24,50 @@
 from orchidpath.wire.records import FleetView, RouterRecord, WorkerRecord, WorkerStatus
 
 LEADER_TIMEOUT_SECONDS = 0.7
-"""Without a reply of the leader for this long, the witnesses are queried as well."""
+"""The witnesses are queried as well once the leader has not replied for this long."""
 
 ACKNOWLEDGE_SECONDS = 0.01
-"""An adopted view is acknowledged within this time, if nothing was acknowledged lately."""
+"""Delay before an adopted view is acknowledged, unless the period below requires a longer one."""
 
 ACKNOWLEDGE_PERIOD_SECONDS = 0.2
-"""Least time between two acknowledgements: in a burst of changes one for many is enough."""
+"""Minimum time between two acknowledgements: one covers all revisions of a burst of changes."""
 
 FIRST_ACKNOWLEDGE_PERIOD_SECONDS = 0.05
-"""The same for a router that holds no lease."""
+"""Minimum time between two acknowledgements of a router that holds no lease."""
 
 WITNESS_QUERY_RETRY_SECONDS = 0.25
-"""A router that lacks a revision requests it once in this time, and not while it gets others."""
+"""Minimum time between two requests for a missing revision.
 
-REMEMBERED_SENDS = 16
-"""How many sent heartbeats or queries are remembered; older ones are past their lease anyway."""
+A newer revision that a heartbeat reply names is not requested either until this time has passed
+since the last adoption.
+"""
+
+RETAINED_SEND_TIMES = 16
+"""Number of sent heartbeats, and of sent queries, whose send times are retained.
+
+A lease that counted from an older one would have expired already.
+"""
 
 
 class FreshnessGuard(StrEnum):
-    """Safety rules that a test may disable, to see that the checkers notice."""
+    """Safety rules that a test may disable, to verify that the checkers detect the violation."""
 
     LEASE_FROM_SEND_TIME = "lease_from_send_time"
+    """A lease starts when the heartbeat or query was sent, not when the reply arrived."""
     ADOPT_BEFORE_LEASE = "adopt_before_lease"
+    """A reply of the leader renews the lease only if the leader's revision has been adopted."""
     NEVER_BACK = "never_back"
+    """A router never adopts a revision that is not newer than its own."""
     WITNESS_MAJORITY = "witness_majority"
+    """A lease from witnesses needs replies of a majority of them."""
     WITNESS_REMEMBERS = "witness_remembers"
+    """A witness replies only if it has been fresh since its start."""
     REGISTERED_ONLY = "registered_only"
+    """Only a registered router gets a lease from witnesses."""
 
 
 class SendToLeader(msgspec.Struct, frozen=True):
-    """Send a message to the control leader, if one is known."""
+    """Send a message to the control leader, if the router is connected to one."""
 
     message: RouterHeartbeat | FleetUpdateRequest
 
@@ -68,7 +81,7 @@
 
 
 class ViewAdopted(msgspec.Struct, frozen=True):
-    """From now on every decision applies this view."""
+    """A view was adopted; every later decision must be made by it."""
 
     view: FleetView
 
@@ -76,8 +89,8 @@
 class AcknowledgeSoon(msgspec.Struct, frozen=True):
     """Call `heartbeat` after ``delay_seconds``, once for all views adopted until then.
 
-    The leader waits for this router's acknowledgement before it calls a revision confirmed; but
-    while a fleet forms there are hundreds of revisions a second, and one for the newest is enough.
+    The leader confirms a revision only after this router has acknowledged it. While a fleet forms
+    there are hundreds of revisions a second, and acknowledging the newest covers the older ones.
     """
 
     delay_seconds: float
@@ -92,7 +105,7 @@
 
 
 class _SendTimes:
-    """When each of the last few sequences was sent."""
+    """Send times of the last ``RETAINED_SEND_TIMES`` sequence numbers."""
 
     def __init__(self) -> None:
         self._sent_at: dict[int, float] = {}
@@ -101,7 +114,7 @@
     def next(self, now: float) -> int:
         self.sequence += 1
         self._sent_at[self.sequence] = now
-        self._sent_at.pop(self.sequence - REMEMBERED_SENDS, None)
+        self._sent_at.pop(self.sequence - RETAINED_SEND_TIMES, None)
         return self.sequence
 
     def get(self, sequence: int) -> float | None:
@@ -109,18 +122,18 @@
 
 
 class FreshnessCore:
-    """Adopts fleet views in order and answers whether this router may serve now.
+    """Adopts fleet views in order of their revisions and decides whether this router may serve.
 
     Parameters
     ----------
     record
-        This router as it registers itself.
+        The record that this router registers.
     incarnation
-        New for each start of the process.
+        Identifier of this start of the process.
     now
-        Monotonic seconds.
+        Monotonic time in seconds.
     disabled_guards
-        For tests only: guards to leave out.
+        Guards that are not applied; for tests only.
     """
 
     def __init__(
@@ -149,20 +162,20 @@
 
     @property
     def view(self) -> FleetView | None:
-        """The newest adopted view, or None before the first."""
+        """The newest adopted view; None until one has been adopted."""
         return self._view
 
     @property
     def revision(self) -> int:
-        """Revision of the adopted view; 0 before the first."""
+        """Revision of the adopted view; 0 until one has been adopted."""
         return self._view.revision if self._view else 0
 
     def next_deadline(self) -> float:
-        """Monotonic time of the next heartbeat."""
+        """Return the monotonic time in seconds at which the next heartbeat is due."""
         return self._next_heartbeat_at
 
     def is_fresh(self, now: float) -> bool:
-        """Whether this router holds a lease to serve by its view."""
+        """Return whether this router has a view and holds a lease to serve by it."""
         if self._view is None:
             return False
         fresh = self._has_leader_lease(now) or self._has_witness_lease(now)
@@ -170,7 +183,7 @@
         return fresh
 
     def reason(self, now: float) -> str:
-        """Why the router is not fresh; empty when it is."""
+        """Return why the router is not fresh; empty when it is."""
         if self.is_fresh(now):
             return ""
         if self._view is None:
@@ -183,18 +196,19 @@
         Parameters
         ----------
         now
-            Monotonic seconds.
+            Monotonic time in seconds.
 
         Returns
         -------
         list of FreshnessEffect
+            What the caller must do; empty when no heartbeat is due.
         """
         if now < self._next_heartbeat_at:
             return []
         return self.heartbeat(now)
 
     def heartbeat(self, now: float) -> list[FreshnessEffect]:
-        """Send a heartbeat at once, and query the witnesses if the leader does not reply."""
+        """Send a heartbeat at once, and query the witnesses if the leader has stopped replying."""
         self._next_heartbeat_at = now + ROUTER_HEARTBEAT_SECONDS
         self._last_heartbeat_at = now
         effects: list[FreshnessEffect] = [SendToLeader(self._heartbeat_message(now))]
@@ -205,7 +219,11 @@
     def receive_heartbeat_reply(
         self, reply: RouterHeartbeatReply, now: float
     ) -> list[FreshnessEffect]:
-        """Take the leader's answer; renew the lease if its revision has been adopted."""
+        """Process the leader's reply; renew the lease if its revision has been adopted.
+
+        A reply of an older term, or to a heartbeat whose send time is no longer retained, is
+        ignored.
+        """
         sent_at = self._heartbeats.get(reply.sequence)
         if reply.term < self._term or sent_at is None:
             return []
@@ -214,20 +232,25 @@
         self._known_revision = max(self._known_revision, reply.revision)
         if FreshnessGuard.LEASE_FROM_SEND_TIME in self._disabled:
             sent_at = now
-        behind = reply.revision > self.revision
-        if behind and FreshnessGuard.ADOPT_BEFORE_LEASE not in self._disabled:
-            # Most likely the push is on its way; asking at once would double every change.
-            is_getting_others = now - self._adopted_at < WITNESS_QUERY_RETRY_SECONDS
-            return [] if is_getting_others else self._request_update(now)
+        is_behind = reply.revision > self.revision
+        if is_behind and FreshnessGuard.ADOPT_BEFORE_LEASE not in self._disabled:
+            # The leader has most likely pushed the update already: a request at once would have
+            # every change sent twice.
+            updates_arrive = now - self._adopted_at < WITNESS_QUERY_RETRY_SECONDS
+            return [] if updates_arrive else self._request_update(now)
         if reply.registered:
             self._leader_lease_from = max(self._leader_lease_from, sent_at)
         return []
 
     def receive_update(self, update: FleetUpdate, now: float) -> list[FreshnessEffect]:
-        """Adopt a newer view; anything not above the adopted revision is ignored."""
+        """Adopt the updated view; an update that is not above the adopted revision is ignored.
+
+        A delta whose base revision is not the adopted one can't be applied; the missing update is
+        then requested from the leader.
+        """
         self._known_revision = max(self._known_revision, update.revision)
-        moves_back = update.revision <= self.revision
-        if moves_back and FreshnessGuard.NEVER_BACK not in self._disabled:
+        is_not_newer = update.revision <= self.revision
+        if is_not_newer and FreshnessGuard.NEVER_BACK not in self._disabled:
             return []
         view = self._apply(update)
         if view is None:
@@ -239,14 +262,15 @@
     def receive_query(
         self, query: FreshnessQuery, address: str, now: float
     ) -> list[FreshnessEffect]:
-        """Answer another router as a witness, or as any process that knows a view.
+        """Reply to another router's query, as one of its witnesses or as a seed.
 
-        A router that has not been fresh since its start does not reply: before it restarted it may
-        have known a newer revision than now, and a majority must not count its older one.
+        A router that has not been fresh since its start does not reply: it may have adopted a newer
+        revision before it restarted, and a majority must not count its older one. The reply carries
+        the complete view if the other router's revision is older.
         """
         self.is_fresh(now)
-        remembers = self._was_fresh or FreshnessGuard.WITNESS_REMEMBERS in self._disabled
-        if self._view is None or not remembers:
+        has_been_fresh = self._was_fresh or FreshnessGuard.WITNESS_REMEMBERS in self._disabled
+        if self._view is None or not has_been_fresh:
             return []
         update = None
         if query.adopted_revision < self.revision:
@@ -260,7 +284,7 @@
         return [SendToRouter(query.router_id, address, reply)]
 
     def receive_reply(self, reply: FreshnessReply, now: float) -> list[FreshnessEffect]:
-        """Take a witness's answer; it counts from when its query was sent."""
+        """Record the reply of a witness; its lease counts from when the query was sent."""
         effects: list[FreshnessEffect] = []
         if reply.update is not None:
             effects = self.receive_update(reply.update, now)
@@ -269,20 +293,21 @@
             return effects
         if FreshnessGuard.LEASE_FROM_SEND_TIME in self._disabled:
             sent_at = now
-        known = self._witness_answers.get(reply.witness_id)
-        if known is None or known.sent_at <= sent_at:
+        previous = self._witness_answers.get(reply.witness_id)
+        if previous is None or previous.sent_at <= sent_at:
             answer = _WitnessAnswer(sent_at, reply.adopted_revision)
             self._witness_answers[reply.witness_id] = answer
         return effects
 
     def seed_query(self, now: float) -> FreshnessQuery:
-        """Make a query for a seed router, used while no view, and so no witness, is known."""
+        """Return a query for a seed; used until a view, which names the witnesses, is adopted."""
         return self._query(now)
 
     def _acknowledge_delay_seconds(self, now: float) -> float:
         period_seconds = ACKNOWLEDGE_PERIOD_SECONDS
         if not self.is_fresh(now):
-            # The acknowledgement brings the lease that this router serves by.
+            # The heartbeat that acknowledges the view also obtains the lease, without which this
+            # router can't serve.
             period_seconds = FIRST_ACKNOWLEDGE_PERIOD_SECONDS
         earliest = self._last_heartbeat_at + period_seconds
         return max(ACKNOWLEDGE_SECONDS, earliest - now)
@@ -298,7 +323,7 @@
 
     def _has_witness_lease(self, now: float) -> bool:
         if not self._is_registered() and FreshnessGuard.REGISTERED_ONLY not in self._disabled:
-            # The leader waits for registered routers only before it calls a revision confirmed.
+            # The leader confirms a revision without waiting for unregistered routers.
             return False
         assert self._view is not None
         witnesses = self._view.witnesses
@@ -360,14 +385,14 @@
 
 
 def full_update(view: FleetView) -> FleetUpdate:
-    """Make an update that carries the whole view."""
+    """Return an update that carries the complete view."""
     return FleetUpdate(
         revision=view.revision, configuration_version=view.configuration_version, view=view
     )
 
 
 def apply_delta(view: FleetView, update: FleetUpdate) -> FleetView:
-    """Return ``view`` changed by a delta; GONE workers and removed routers are taken out."""
+    """Return ``view`` with a delta applied; GONE workers and removed routers are left out."""
     routers = {router.router_id: router for router in view.routers}
     routers.update({router.router_id: router for router in update.routers})
     for router_id in update.removed_routers:
--- a/src/orchidpath/routing/pairing.py
+++ b/src/orchidpath/routing/pairing.py
@@ -1,12 +1,12 @@
-"""Preference orders of workers for one decision: which prefill and decode pair to try first.
+"""Ranks the candidate workers of one decision: which prefill and decode workers to try first.
 
-Works on one snapshot of the fleet. A worker is eligible when it belongs to the service and stage,
-is READY, is not held by a plan and serves the model; circuits are judged later, by whoever reads
-them fresh. Each order names a bounded number of candidates, the best first, and puts workers that
-this request has already tried last, so that each is tried once before reuse (paper, "Circuit
-breakers and bounded retries").
+A ranking is made from one snapshot of the fleet. A worker is eligible if it belongs to the service
+and stage, is READY, is not cordoned and serves the model. Circuits are not considered here: they
+are checked when the decision is made, on their current state. Each ranking holds a bounded number
+of candidates, the best first. Workers that this request has already tried come last, so that each
+worker is tried once before any is tried again (paper, "Circuit breakers and bounded retries").
 
-Load bound: a worker is over the bound when one more request would put it above
+Load bound: a worker is over the bound if one more request would put it above
 ``load_bound_factor`` times the mean load (consistent hashing with bounded loads). Workers over the
 bound come after the others, so a popular prefix overflows to the next workers on the ring.
 """
@@ -24,30 +24,29 @@
 from orchidpath.wire.records import FleetView, Stage, WorkerRecord, WorkerStatus
 
 CANDIDATE_LIMIT = 8
-"""Candidates that go into one stage of a decision."""
+"""Maximum number of candidates in one stage of a decision."""
 
 CONSIDERED_WORKERS = 4 * CANDIDATE_LIMIT
-"""Workers looked at for one stage; bounds the work of a decision in a large fleet."""
+"""Workers that are ranked for one stage; bounds the work of a decision in a large fleet."""
 
-DRAWN_WORKERS = 2
-"""Workers of a plain service that are compared by their load, of each of near and anywhere."""
+SAMPLED_WORKERS = 2
+"""Plain workers sampled in the router's zone, and again in all zones, to compare their loads."""
 
-FAR_LOAD_MARGIN = 2.0
-"""Requests in flight by which a plain worker of another zone must be lighter to go first."""
+OTHER_ZONE_LOAD_PENALTY = 2.0
+"""Requests in flight that are added to the load of a plain worker in another zone."""
 
 MINIMUM_LOAD_BOUND = 2
-"""A worker with fewer requests in flight is never over the load bound, however idle the rest."""
+"""A worker with fewer requests in flight is never over the load bound, even in an idle fleet."""
 
 CACHED_RINGS = 256
-"""Rings kept; the one used longest ago is dropped first."""
+"""Maximum number of cached rings; the least recently used one is evicted first."""
 
 
 class ModelQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """One attempt of a chat completion that needs a pair of workers.
+    """One attempt of a chat completion that needs a prefill and a decode worker.
 
-    ``key`` is the prompt's :func:`~orchidpath.routing.ring.prefix_key`. With
-    ``prefill_worker_id`` set the prompt was already prefilled there and only a decode worker is
-    wanted.
+    ``key`` is the prompt's :func:`~orchidpath.routing.ring.prefix_key`. If ``prefill_worker_id`` is
+    set, that worker has already prefilled the prompt and only a decode worker is needed.
     """
 
     service: str
@@ -60,7 +59,7 @@
 
 
 class PlainQuery(msgspec.Struct, frozen=True, kw_only=True):
-    """One attempt of a plain call that needs a worker."""
+    """One attempt of a plain request that needs a worker."""
 
     service: str
     request_id: str
@@ -68,12 +67,14 @@
 
 
 class RingCache:
-    """Rings by service, stage and workers, so that a new view costs nothing where it is the same.
+    """A bounded cache of hash rings, keyed by service, stage and worker ids.
+
+    A new view of the fleet reuses the ring of each service and stage whose workers are unchanged.
 
     Parameters
     ----------
     capacity : int
-        Rings kept.
+        Maximum number of cached rings.
     """
 
     def __init__(self, capacity: int = CACHED_RINGS):
@@ -84,7 +85,7 @@
         return len(self._rings)
 
     def ring(self, service: str, stage: Stage, worker_ids: tuple[str, ...]) -> HashRing:
-        """Return the ring of some workers, built when it is not known.
+        """Return the ring of some workers; build it if it is not cached.
 
         Parameters
         ----------
@@ -93,12 +94,12 @@
         stage : Stage
             Stage of the workers.
         worker_ids : tuple[str, ...]
-            The workers, sorted.
+            Ids of the workers, sorted.
 
         Returns
         -------
         HashRing
-            Their ring.
+            The ring of exactly these workers.
         """
         cache_key = (service, stage, worker_ids)
         ring = self._rings.get(cache_key)
@@ -112,8 +113,8 @@
         return ring
 
 
-class _Pool(msgspec.Struct, frozen=True):
-    """The eligible workers of one service, stage and model, on their rings."""
+class _EligibleWorkers(msgspec.Struct, frozen=True):
+    """The eligible workers of one service, stage and model: a ring of all, and one of each zone."""
 
     ring: HashRing
     zone_rings: dict[str, HashRing]
@@ -121,14 +122,14 @@
 
 
 class PairSelector:
-    """Gives the preference orders of one router's decisions.
+    """Ranks the candidate workers of one router's decisions.
 
     Parameters
     ----------
     avoidance : PairAvoidance
-        Pairs with a failed link; put last.
+        Pairs whose link failed recently; their decode workers are ranked last.
     candidate_limit : int
-        Candidates of one stage.
+        Maximum number of candidates of one stage.
     zone : str
         Zone of the router; empty when it is not known.
     """
@@ -140,21 +141,21 @@
         self._candidate_limit = candidate_limit
         self._own_zone = zone
         self._rings = RingCache()
-        self._pools: dict[tuple[str, Stage, str], _Pool] = {}
+        self._eligible_workers_by_key: dict[tuple[str, Stage, str], _EligibleWorkers] = {}
         self._workers: dict[tuple[str, Stage], list[WorkerRecord]] = {}
         self._zones: dict[str, str] = {}
         self._load_bound_factor = 1.0
         self._load_bound_minimum = float(MINIMUM_LOAD_BOUND)
 
     def update_view(self, view: FleetView) -> None:
-        """Decide from another snapshot of the fleet from now on.
+        """Rank by another snapshot of the fleet from now on.
 
         Parameters
         ----------
         view : FleetView
             The snapshot that the router has adopted.
         """
-        self._pools = {}
+        self._eligible_workers_by_key = {}
         self._workers = {}
         self._zones = {worker.worker_id: worker.zone for worker in view.workers}
         admission = view.configuration.admission
@@ -167,22 +168,22 @@
     def model_candidates(
         self, query: ModelQuery, in_flight: Mapping[str, int], now: float
     ) -> tuple[StageCandidates, ...]:
-        """Return the stages of a decision about a chat completion.
+        """Return the ranked candidates of each stage of a chat completion.
 
         Parameters
         ----------
         query : ModelQuery
-            What is asked for.
+            The attempt to find workers for.
         in_flight : Mapping[str, int]
-            Requests in flight on each worker as far as known; zero where unknown.
+            Requests in flight by worker id; a worker that is missing counts as zero.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         tuple[StageCandidates, ...]
-            Prefill and decode, or decode alone when the prompt was already prefilled. A stage
-            without candidates means that no worker is eligible.
+            Prefill and decode, or only decode if the prompt was already prefilled. A stage without
+            candidates has no eligible worker.
         """
         if query.prefill_worker_id:
             return (self.decode_candidates(query, query.prefill_worker_id, in_flight, now),)
@@ -193,23 +194,23 @@
     def prefill_candidates(
         self, query: ModelQuery, in_flight: Mapping[str, int]
     ) -> StageCandidates:
-        """Order prefill workers by the ring, from the prompt's key on, within the load bound.
+        """Rank the prefill workers in ring order from the prompt's key, within the load bound.
 
         Parameters
         ----------
         query : ModelQuery
-            What is asked for.
+            The attempt to find a worker for.
         in_flight : Mapping[str, int]
-            Requests in flight on each worker as far as known.
+            Requests in flight by worker id; a worker that is missing counts as zero.
 
         Returns
         -------
         StageCandidates
-            The worker that should hold the prefix first.
+            The worker whose prefix cache most likely holds the prefix comes first.
         """
-        pool = self._pool(query.service, Stage.PREFILL, query.model)
-        bound = self._load_bound(pool, in_flight)
-        considered = pool.ring.preference(query.key, CONSIDERED_WORKERS)
+        eligible = self._eligible_workers(query.service, Stage.PREFILL, query.model)
+        bound = self._load_bound(eligible, in_flight)
+        considered = eligible.ring.preference(query.key, CONSIDERED_WORKERS)
         ordered = sorted(
             considered,
             key=lambda worker_id: (
@@ -222,33 +223,35 @@
     def decode_candidates(
         self, query: ModelQuery, prefill_worker_id: str, in_flight: Mapping[str, int], now: float
     ) -> StageCandidates:
-        """Order decode workers by the cost of the link from a prefill worker, then by load.
+        """Rank the decode workers by the cost of the link from a prefill worker, then by load.
 
-        Avoided pairs come last, then workers over the load bound, then those in another zone than
-        the prefill worker, or than this router when no other worker prefills the prompt; the load
-        decides next and the ring makes the order stable. The load bound goes before the zone:
-        otherwise a zone with one decode worker would drown it.
+        Workers that were already tried come last. Before them come the decode workers of avoided
+        pairs, then workers over the load bound, then workers in another zone than the prefill
+        worker, or than this router if no other worker prefills the prompt. Workers that are equal
+        in all of this are ranked by load, and then in ring order, which makes the ranking stable.
+        The load bound takes precedence over the zone: otherwise the only decode worker of a zone
+        would be overloaded.
 
         Parameters
         ----------
         query : ModelQuery
-            What is asked for.
+            The attempt to find a worker for.
         prefill_worker_id : str
-            The prefill worker that was chosen or is likely to be; empty when there is none.
+            The prefill worker that was chosen, or is likely to be; empty if there is none.
         in_flight : Mapping[str, int]
-            Requests in flight on each worker as far as known.
+            Requests in flight by worker id; a worker that is missing counts as zero.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         StageCandidates
-            The cheapest decode worker first.
+            The decode worker with the lowest cost comes first.
         """
-        pool = self._pool(query.service, Stage.DECODE, query.model)
-        bound = self._load_bound(pool, in_flight)
+        eligible = self._eligible_workers(query.service, Stage.DECODE, query.model)
+        bound = self._load_bound(eligible, in_flight)
         zone = self._zones.get(prefill_worker_id, self._own_zone)
-        considered = self._considered_for_decode(pool, zone, request_key(query.request_id))
+        considered = self._considered_for_decode(eligible, zone, request_key(query.request_id))
 
         def cost(worker_id: str) -> tuple[bool, bool, bool, bool, int]:
             load = in_flight.get(worker_id, 0)
@@ -262,55 +265,70 @@
 
         ordered = sorted(considered, key=cost)
         if not query.prefill_worker_id:
-            # Whoever decides may choose another prefill worker, and wants a decode worker near it.
-            free = [worker_id for worker_id in ordered if not any(cost(worker_id)[:3])]
-            ordered = [*self._spread_over_zones(free), *ordered[len(free) :]]
+            # The decision may choose another prefill worker, and then needs a decode worker in that
+            # worker's zone.
+            unpenalized = [worker_id for worker_id in ordered if not any(cost(worker_id)[:3])]
+            ordered = [*self._spread_over_zones(unpenalized), *ordered[len(unpenalized) :]]
         return self._stage_candidates(Stage.DECODE, ordered, query.tried_decode)
 
     def _spread_over_zones(self, ordered: Sequence[str]) -> list[str]:
-        """Put the best of every other zone among the first candidates, after half of the best."""
+        """Move workers of other zones up, so that the candidates cover more zones.
+
+        The first half of the candidate limit keeps its order. Workers of the other zones follow,
+        one of each zone in turn; the remaining workers of the first worker's zone come last.
+        """
         retained = self._candidate_limit // 2
         by_zone: dict[str, list[str]] = {}
         for worker_id in ordered[retained:]:
             by_zone.setdefault(self._zones.get(worker_id, ""), []).append(worker_id)
-        nearest = by_zone.pop(self._zones.get(ordered[0], ""), []) if ordered else []
-        by_turns = [one for group in zip_longest(*by_zone.values()) for one in group]
-        return [*ordered[:retained], *(one for one in by_turns if one is not None), *nearest]
+        first_zone = by_zone.pop(self._zones.get(ordered[0], ""), []) if ordered else []
+        interleaved = [worker_id for turn in zip_longest(*by_zone.values()) for worker_id in turn]
+        return [
+            *ordered[:retained],
+            *(worker_id for worker_id in interleaved if worker_id is not None),
+            *first_zone,
+        ]
 
     def plain_candidates(self, query: PlainQuery, in_flight: Mapping[str, int]) -> StageCandidates:
-        """Order the workers of a plain service: the least loaded of a few first, near ones before.
+        """Rank the workers of a plain service: a few sampled ones by load, then the others.
 
-        Two are drawn anywhere and two in the router's own zone. One of another zone goes first only
-        when it is lighter by ``FAR_LOAD_MARGIN``: a near one is reached sooner, over a connection
-        that is more often open already, and its bytes cross no zone.
+        ``SAMPLED_WORKERS`` are sampled in the router's own zone and as many in all zones. A worker
+        of another zone ranks before one of the own zone only if it has fewer requests in flight by
+        more than ``OTHER_ZONE_LOAD_PENALTY``: a worker of the own zone has a lower latency, more
+        often has an open connection, and causes no traffic between zones.
 
         Parameters
         ----------
         query : PlainQuery
-            What is asked for.
+            The attempt to find a worker for.
         in_flight : Mapping[str, int]
-            Requests in flight on each worker as far as known.
+            Requests in flight by worker id; a worker that is missing counts as zero.
 
         Returns
         -------
         StageCandidates
-            The chosen few by their load, then ring order by request id; tried ones come last.
+            The sampled workers by load, then the others in ring order from the request id's key;
+            workers that were already tried come last.
         """
-        pool = self._pool(query.service, Stage.PLAIN, "")
+        eligible = self._eligible_workers(query.service, Stage.PLAIN, "")
         key = request_key(query.request_id)
-        anywhere = pool.ring.preference(key, CONSIDERED_WORKERS)
-        untried = [worker_id for worker_id in anywhere if worker_id not in query.tried]
-        near_ring = pool.zone_rings.get(self._own_zone)
-        near = near_ring.preference(key, CONSIDERED_WORKERS) if near_ring is not None else ()
-        near_untried = [worker_id for worker_id in near if worker_id not in query.tried]
-        drawn = dict.fromkeys((*near_untried[:DRAWN_WORKERS], *untried[:DRAWN_WORKERS]))
+        all_zones = eligible.ring.preference(key, CONSIDERED_WORKERS)
+        untried = [worker_id for worker_id in all_zones if worker_id not in query.tried]
+        same_zone_ring = eligible.zone_rings.get(self._own_zone)
+        same_zone = (
+            same_zone_ring.preference(key, CONSIDERED_WORKERS) if same_zone_ring is not None else ()
+        )
+        same_zone_untried = [worker_id for worker_id in same_zone if worker_id not in query.tried]
+        sampled = dict.fromkeys((*same_zone_untried[:SAMPLED_WORKERS], *untried[:SAMPLED_WORKERS]))
 
         def cost(worker_id: str) -> float:
-            is_far = bool(near_untried) and self._zones.get(worker_id, "") != self._own_zone
-            return in_flight.get(worker_id, 0) + (FAR_LOAD_MARGIN if is_far else 0.0)
+            is_other_zone = (
+                bool(same_zone_untried) and self._zones.get(worker_id, "") != self._own_zone
+            )
+            return in_flight.get(worker_id, 0) + (OTHER_ZONE_LOAD_PENALTY if is_other_zone else 0.0)
 
-        first = sorted(drawn, key=cost)
-        ordered = dict.fromkeys((*first, *untried, *anywhere))
+        first = sorted(sampled, key=cost)
+        ordered = dict.fromkeys((*first, *untried, *all_zones))
         return self._stage_candidates(Stage.PLAIN, ordered, query.tried)
 
     def eligible(self, service: str, stage: Stage, model: str = "") -> tuple[str, ...]:
@@ -323,14 +341,14 @@
         stage : Stage
             Stage of the workers.
         model : str
-            Model that they must serve; ignored for plain workers.
+            Model that the workers must serve; ignored for plain workers.
 
         Returns
         -------
         tuple[str, ...]
-            Their names.
+            Ids of the workers.
         """
-        return self._pool(service, stage, model).worker_ids
+        return self._eligible_workers(service, stage, model).worker_ids
 
     def _stage_candidates(
         self, stage: Stage, ordered: Iterable[str], tried: tuple[str, ...]
@@ -338,17 +356,17 @@
         candidates = tuple(ordered)[: self._candidate_limit]
         return StageCandidates(stage=stage, candidates=candidates, tried=tried)
 
-    def _pool(self, service: str, stage: Stage, model: str) -> _Pool:
-        pool_key = (service, stage, "" if stage is Stage.PLAIN else model)
-        pool = self._pools.get(pool_key)
-        if pool is None:
-            pool = self._build_pool(*pool_key)
-            if pool.worker_ids:
-                # Models are named by callers: an unknown one must not stay in memory.
-                self._pools[pool_key] = pool
-        return pool
-
-    def _build_pool(self, service: str, stage: Stage, model: str) -> _Pool:
+    def _eligible_workers(self, service: str, stage: Stage, model: str) -> _EligibleWorkers:
+        eligible_key = (service, stage, "" if stage is Stage.PLAIN else model)
+        eligible = self._eligible_workers_by_key.get(eligible_key)
+        if eligible is None:
+            eligible = self._build_eligible_workers(*eligible_key)
+            if eligible.worker_ids:
+                # Callers choose the model names: caching unknown models would let memory grow.
+                self._eligible_workers_by_key[eligible_key] = eligible
+        return eligible
+
+    def _build_eligible_workers(self, service: str, stage: Stage, model: str) -> _EligibleWorkers:
         workers = [
             worker
             for worker in self._workers.get((service, stage), [])
@@ -363,27 +381,27 @@
             for zone, zone_ids in by_zone.items()
         }
         ring = self._rings.ring(service, stage, worker_ids)
-        return _Pool(ring, zone_rings, worker_ids)
+        return _EligibleWorkers(ring, zone_rings, worker_ids)
 
-    def _load_bound(self, pool: _Pool, in_flight: Mapping[str, int]) -> float:
-        if not pool.worker_ids:
+    def _load_bound(self, eligible: _EligibleWorkers, in_flight: Mapping[str, int]) -> float:
+        if not eligible.worker_ids:
             return math.inf
-        total = sum(in_flight.get(worker_id, 0) for worker_id in pool.worker_ids)
-        mean = (total + 1) / len(pool.worker_ids)
+        total = sum(in_flight.get(worker_id, 0) for worker_id in eligible.worker_ids)
+        mean = (total + 1) / len(eligible.worker_ids)
         return max(math.ceil(self._load_bound_factor * mean), self._load_bound_minimum)
 
     @staticmethod
-    def _considered_for_decode(pool: _Pool, zone: str, key: int) -> list[str]:
-        """Take workers of the same zone and of all zones, so that neither crowds out the other."""
+    def _considered_for_decode(eligible: _EligibleWorkers, zone: str, key: int) -> list[str]:
+        """Return workers of one zone and then of all zones; each group gets a part of the limit."""
         half = CONSIDERED_WORKERS // 2
-        near_ring = pool.zone_rings.get(zone)
-        near = near_ring.preference(key, half) if near_ring is not None else ()
-        anywhere = pool.ring.preference(key, CONSIDERED_WORKERS)
-        return list(dict.fromkeys((*near, *anywhere)))[:CONSIDERED_WORKERS]
+        same_zone_ring = eligible.zone_rings.get(zone)
+        same_zone = same_zone_ring.preference(key, half) if same_zone_ring is not None else ()
+        all_zones = eligible.ring.preference(key, CONSIDERED_WORKERS)
+        return list(dict.fromkeys((*same_zone, *all_zones)))[:CONSIDERED_WORKERS]
 
 
 def model_query(service: str, model: str, request_id: str, prompt: str) -> ModelQuery:
-    """Make the query of a request's first attempt.
+    """Return the query of a request's first attempt.
 
     Parameters
     ----------
@@ -394,12 +412,12 @@
     request_id : str
         Identifier of the request.
     prompt : str
-        The whole prompt.
+        The complete prompt.
 
     Returns
     -------
     ModelQuery
-        A query with nothing tried yet.
+        A query without tried workers.
     """
     return ModelQuery(
         service=service, model=model, request_id=request_id, key=prefix_key(model, prompt)
