--- a/src/orchidpath/routing/admission.py
+++ b/src/orchidpath/routing/admission.py
@@ -1,8 +1,8 @@
-"""Admission: what one router has in flight at once, by count, by cost and by tenant.
+"""Admission control of one router: bounds on the requests in flight by count, cost and tenant.
 
-Nothing queues here. A request is either admitted or rejected at once with a retry-after, estimated
-from the rate at which requests complete. Every admitted request
-is released exactly once, whatever its end.
+Requests are never queued here. Each is either admitted, or rejected at once with a retry-after that
+is estimated from the rate at which requests complete. Every admitted request must be released
+exactly once, however it ends.
 """
 
 import math
@@ -12,23 +12,26 @@
 
 from orchidpath.wire.configuration import AdmissionPolicy
 
-CROWDED_SHARE = 0.5
-"""The tenant share binds only while the router would be fuller than this share of a bound."""
+CROWDED_FRACTION = 0.5
+"""The tenant share applies only above this fraction of the request bound or the cost bound."""
 
 INITIAL_DURATION_SECONDS = 1.0
-"""Assumed duration of a request before one has completed."""
+"""Assumed duration of a request until the first one has completed."""
 
 DURATION_WEIGHT = 0.1
-"""Weight of the newest completion in the moving average of durations."""
+"""Weight of the newest completion in the exponential moving average of durations."""
 
 MINIMUM_RETRY_AFTER_SECONDS = 0.1
-"""Shortest retry-after."""
+"""Lower bound of a retry-after, and of the estimated mean duration."""
 
 MAXIMUM_RETRY_AFTER_SECONDS = 30.0
-"""Longest retry-after."""
+"""Upper bound of a retry-after."""
 
-MAX_QUEUE_TURNOVERS = 2
-"""Places are reserved at most this many mean durations ahead: by then all have been freed."""
+MAXIMUM_MEAN_DURATIONS_AHEAD = 2
+"""Retries are scheduled at most this many mean durations ahead.
+
+By then all requests that are in flight now should have completed.
+"""
 
 
 class RejectionReason(StrEnum):
@@ -38,7 +41,7 @@
     COST_IN_FLIGHT = "cost_in_flight"
     TENANT_SHARE = "tenant_share"
     TOO_LARGE = "too_large"
-    """The request alone costs more than the bound: a retry can not help."""
+    """The request alone costs more than the bound, so a retry can't succeed."""
     DUPLICATE_REQUEST = "duplicate_request"
     """A request with the same id is in flight on this router."""
 
@@ -50,22 +53,22 @@
 
 
 class Rejected(msgspec.Struct, frozen=True, kw_only=True):
-    """The request was rejected; ``retry_after_seconds`` is None when a retry can't help."""
+    """The request was rejected; ``retry_after_seconds`` is None if a retry can't succeed."""
 
     reason: RejectionReason
     retry_after_seconds: float | None
 
 
 class _Load(msgspec.Struct):
-    """Requests in flight, what they cost, and until when their places are reserved."""
+    """Number and cost of the requests in flight, and when the last scheduled retry is due."""
 
     requests: int = 0
     cost_tokens: int = 0
-    reserved_until: float = -math.inf
+    last_retry_at: float = -math.inf
 
 
 class _InFlight(msgspec.Struct, frozen=True):
-    """One admitted request."""
+    """A request that was admitted and has not been released."""
 
     tenant: str
     cost_tokens: int
@@ -73,12 +76,12 @@
 
 
 class _Durations:
-    """How long requests stay in flight: those that completed and those still running.
+    """Estimates how long a request stays in flight, from completed and from running requests.
 
     The completion rate of a router that is filling up says little about the rate at which it
-    drains once full. By Little's law that rate is the number in flight over the mean duration.
-    The mean age of what is in flight bounds the duration from below, so that the estimate also
-    grows when nothing completes any more.
+    drains once full. By Little's law that rate is the number in flight divided by the mean
+    duration. The mean age of the running requests is a lower bound of the mean duration, so that
+    the estimate also grows while no request completes.
     """
 
     def __init__(self) -> None:
@@ -87,12 +90,12 @@
         self._sum_of_starts = 0.0
 
     def start(self, now: float) -> None:
-        """Count a request that begins."""
+        """Count a request that starts at ``now``, in monotonic seconds."""
         self._running += 1
         self._sum_of_starts += now
 
     def finish(self, admitted_at: float, now: float) -> None:
-        """Count a request that ends."""
+        """Count a request that ends, and add its duration to the moving average."""
         self._running -= 1
         self._sum_of_starts = self._sum_of_starts - admitted_at if self._running else 0.0
         duration = now - admitted_at
@@ -101,7 +104,7 @@
         self._completed_seconds += DURATION_WEIGHT * (duration - self._completed_seconds)
 
     def mean_seconds(self, now: float) -> float:
-        """Return the estimate of the mean duration; always above zero."""
+        """Return the estimated mean duration in seconds; always above zero."""
         completed = self._completed_seconds
         estimate = INITIAL_DURATION_SECONDS if completed is None else completed
         mean_age = now - self._sum_of_starts / self._running if self._running else 0.0
@@ -109,12 +112,12 @@
 
 
 class AdmissionController:
-    """Counts what is in flight on one router and admits no more than its policy allows.
+    """Tracks the requests in flight on one router and admits only what the policy allows.
 
     Parameters
     ----------
     policy : AdmissionPolicy
-        The bounds.
+        Bounds on the requests in flight.
     """
 
     def __init__(self, policy: AdmissionPolicy):
@@ -126,37 +129,37 @@
 
     @property
     def requests_in_flight(self) -> int:
-        """Number of requests admitted and not released."""
+        """Number of requests that were admitted and have not been released."""
         return self._total.requests
 
     @property
     def cost_tokens_in_flight(self) -> int:
-        """Cost of the requests admitted and not released."""
+        """Total cost in tokens of the requests in flight."""
         return self._total.cost_tokens
 
     def set_policy(self, policy: AdmissionPolicy) -> None:
-        """Apply other bounds from now on; requests already in flight stay.
+        """Apply new bounds to later requests; requests already in flight continue.
 
         Parameters
         ----------
         policy : AdmissionPolicy
-            The new bounds.
+            Bounds on the requests in flight.
         """
         self._policy = policy
 
     def admit(
         self, request_id: str, tenant: str, cost_tokens: int, now: float
     ) -> Admitted | Rejected:
-        """Admit a request, or say why not and when to retry.
+        """Admit a request, or reject it with a reason and a time to retry after.
 
         Parameters
         ----------
         request_id : str
             Identifier of the request.
         tenant : str
-            Whom the request is counted for.
+            Tenant whose share the request counts against.
         cost_tokens : int
-            Prompt tokens and expected output tokens; at least one is counted.
+            Prompt tokens plus expected output tokens; counted as at least one.
         now : float
             Monotonic time in seconds.
 
@@ -176,11 +179,11 @@
         )
         if rejected is not None:
             return rejected
-        self._take(request_id, tenant, cost_tokens, now)
+        self._record_admitted(request_id, tenant, cost_tokens, now)
         return Admitted(request_id=request_id)
 
     def release(self, request_id: str, now: float) -> bool:
-        """Free what a request held; releasing it again changes nothing.
+        """Release a request that ended; releasing it again has no effect.
 
         Parameters
         ----------
@@ -203,12 +206,12 @@
         load.requests -= 1
         load.cost_tokens -= entry.cost_tokens
         if load.requests == 0:
-            # Tenants are named by callers: an idle one must not stay in memory.
+            # Callers choose the tenant names: keeping idle tenants would let memory grow.
             del self._tenants[entry.tenant]
         self._durations.finish(entry.admitted_at, now)
         return True
 
-    def _take(self, request_id: str, tenant: str, cost_tokens: int, now: float) -> None:
+    def _record_admitted(self, request_id: str, tenant: str, cost_tokens: int, now: float) -> None:
         self._in_flight[request_id] = _InFlight(tenant, cost_tokens, now)
         self._durations.start(now)
         load = self._tenants.setdefault(tenant, _Load())
@@ -229,7 +232,7 @@
 
     def _check_tenant(self, tenant: str, cost_tokens: int, now: float) -> Rejected | None:
         load = self._tenants.get(tenant)
-        # A tenant with nothing in flight may always have one request, however small its share.
+        # The share never rejects the only request of a tenant, however small the share is.
         if load is None or not self._is_crowded_with(cost_tokens):
             return None
         policy = self._policy
@@ -238,14 +241,14 @@
         excess_tokens = load.cost_tokens + cost_tokens - share * policy.max_cost_tokens_in_flight
         if excess_requests <= 0 and excess_tokens <= 0:
             return None
-        # Only this tenant's own completions make room for it.
+        # The tenant gets below its share only when its own requests complete.
         completions = max(excess_requests, _completions_for(excess_tokens, load))
         return self._reject(RejectionReason.TENANT_SHARE, completions, load, now)
 
     def _is_crowded_with(self, cost_tokens: int) -> bool:
         policy = self._policy
-        crowded_requests = CROWDED_SHARE * policy.max_requests_in_flight
-        crowded_tokens = CROWDED_SHARE * policy.max_cost_tokens_in_flight
+        crowded_requests = CROWDED_FRACTION * policy.max_requests_in_flight
+        crowded_tokens = CROWDED_FRACTION * policy.max_cost_tokens_in_flight
         return (
             self._total.requests + 1 > crowded_requests
             or self._total.cost_tokens + cost_tokens > crowded_tokens
@@ -254,14 +257,15 @@
     def _reject(
         self, reason: RejectionReason, completions: float, load: _Load, now: float
     ) -> Rejected:
-        """Reserve the next free places in turn, so that rejected callers retry spread out."""
+        """Reject a request and schedule its retry after earlier ones, which spreads the retries."""
         duration = self._durations.mean_seconds(now)
         wait = max(completions, 1.0) * duration / max(load.requests, 1)
-        reserved_until = max(load.reserved_until, now) + wait
-        # Bounded, so that one caller who asks too often can't push the others' time out for long.
-        latest = now + max(MAX_QUEUE_TURNOVERS * duration, wait)
-        load.reserved_until = min(reserved_until, latest)
-        retry_after = _bounded_retry_after(load.reserved_until - now)
+        last_retry_at = max(load.last_retry_at, now) + wait
+        # Bounded, so that one caller who retries too often can't delay the retries of the others
+        # for long.
+        latest = now + max(MAXIMUM_MEAN_DURATIONS_AHEAD * duration, wait)
+        load.last_retry_at = min(last_retry_at, latest)
+        retry_after = _bounded_retry_after(load.last_retry_at - now)
         return Rejected(reason=reason, retry_after_seconds=retry_after)
 
 
@@ -270,7 +274,7 @@
 
 
 def _completions_for(excess_tokens: float, load: _Load) -> float:
-    """Return how many completions of average cost free that many tokens."""
+    """Return how many completions of average cost it takes to free ``excess_tokens``."""
     if load.requests == 0:
         return 1.0
     return max(excess_tokens, 0) * load.requests / load.cost_tokens
--- a/src/orchidpath/routing/kv_transfer_evidence.py
+++ b/src/orchidpath/routing/kv_transfer_evidence.py
@@ -1,19 +1,19 @@
-"""Charges a failed KV transfer to the side that the evidence points at.
+"""Attributes a failed KV transfer to the prefill worker, the decode worker or the link.
 
-The decode worker fetches the KV cache from the prefill worker, so a failure may lie with either of
-them or with the network between them. A worker must not be charged for another one's fault, so a
-single word of the decode worker is not enough to charge anybody:
+The decode worker fetches the KV cache from the prefill worker, so the cause of a failure may be
+either worker or the network between them. A worker must not be charged for a fault of another one,
+so a single report of a decode worker is not enough to charge any worker. The verdict is
 
-- the prefill worker itself denied the handle, or this router can't reach it either, or several
-  decode workers can't: the prefill side;
-- the same decode worker fails with several prefill workers: the decode side;
-- only one pair fails, or the evidence points both ways: the link. Both workers stay uncharged and
-  the pair is avoided for a while;
-- the handle expired, or did not belong to the request: neutral.
+- the prefill side, if the prefill worker itself denied the handle, if this router can't reach it
+  either, or if several decode workers fail with it;
+- the decode side, if the same decode worker fails with several prefill workers;
+- the link, if only one pair fails or the evidence points at both workers. Neither worker is
+  charged, and the pair is avoided for ``PAIR_AVOIDANCE_SECONDS``;
+- neutral, if the handle expired or did not belong to the request.
 
 Only failures since a worker last exchanged KV cache with any peer count against it: a worker that
-works with one peer and not with another has a link problem. In a network split, where failures
-point at both sides of a pair, nobody is charged.
+succeeds with one peer and fails with another has a link problem. In a network partition, where
+failures point at both workers of a pair, neither is charged.
 """
 
 import math
@@ -24,44 +24,44 @@
 from orchidpath.wire.messages import AttemptEffect
 
 EVIDENCE_WINDOW_SECONDS = 30.0
-"""Failures and successes of KV transfers count as evidence for this long."""
+"""How long a failed KV transfer counts as evidence."""
 
 REACHABILITY_WINDOW_SECONDS = 5.0
-"""This router's own view of whether it reaches a prefill worker counts for this long."""
+"""How long this router's own failure to reach a prefill worker counts as evidence."""
 
 PAIR_AVOIDANCE_SECONDS = 30.0
-"""A pair whose link failed is put last for this long."""
+"""How long a pair whose link failed is ranked last."""
 
 SEVERAL_PEERS = 2
-"""Distinct peers with which a worker must fail before it is charged for it."""
+"""Number of distinct peers with which a worker must fail before it is charged."""
 
 MAXIMUM_WORKERS = 1024
-"""Workers whose evidence is kept; the one updated longest ago is dropped first."""
+"""Workers whose evidence is retained; the least recently updated one is evicted first."""
 
 MAXIMUM_PEERS = 16
-"""Peers of one worker whose evidence is kept; the oldest is dropped first."""
+"""Peers of one worker whose evidence is retained; the least recently updated is evicted first."""
 
 MAXIMUM_AVOIDED_PAIRS = 1024
-"""Pairs avoided at once; the one avoided longest ago is dropped first."""
+"""Pairs that are avoided at once; the least recently added one is evicted first."""
 
 
 class TransferEvidence(StrEnum):
-    """What the decode worker reported about a failed KV transfer."""
+    """Cause of a failed KV transfer, as the decode worker reported it."""
 
     UNREACHABLE = "unreachable"
-    """It could not connect to the prefill worker."""
+    """The decode worker could not connect to the prefill worker."""
     TRANSFER_FAILED = "transfer_failed"
-    """The transfer was cut, stalled or malformed."""
+    """The transfer was cut off, stalled or malformed."""
     HANDLE_DENIED = "handle_denied"
-    """The prefill worker answered that it does not know the handle."""
+    """The prefill worker replied that it has no KV cache for the handle."""
     HANDLE_EXPIRED = "handle_lapsed"
     """The handle was older than its time to live."""
     HANDLE_MISMATCH = "handle_mismatch"
-    """The handle was made for another request, attempt or incarnation."""
+    """The handle was issued for another request, attempt or incarnation of the worker."""
 
 
 class TransferVerdict(StrEnum):
-    """Who is charged for a failed KV transfer."""
+    """The cause that a failed KV transfer is attributed to."""
 
     PREFILL_SIDE = "prefill_side"
     DECODE_SIDE = "decode_side"
@@ -70,7 +70,7 @@
 
 
 class TransferFailure(msgspec.Struct, frozen=True, kw_only=True):
-    """One failed KV transfer; ``handle_expires_at`` is when the handle was due to expire."""
+    """A failed KV transfer; ``handle_expires_at`` is the handle's expiry in monotonic seconds."""
 
     prefill_worker_id: str
     decode_worker_id: str
@@ -79,7 +79,7 @@
 
 
 class TransferCharge(msgspec.Struct, frozen=True, kw_only=True):
-    """What each worker of the pair is reported with."""
+    """The attempt effects to report for the two workers of a failed KV transfer."""
 
     prefill_effect: AttemptEffect
     decode_effect: AttemptEffect
@@ -102,23 +102,23 @@
 
 
 def charge_of(verdict: TransferVerdict) -> TransferCharge:
-    """Return the effects to report for a verdict.
+    """Return the attempt effects to report for a verdict.
 
     Parameters
     ----------
     verdict : TransferVerdict
-        Verdict of the ledger.
+        Verdict of :class:`TransferEvidenceTable`.
 
     Returns
     -------
     TransferCharge
-        ``TRANSIENT`` for the side at fault and the neutral ``GATEWAY`` for the other one.
+        ``TRANSIENT`` for the worker at fault; ``GATEWAY``, which charges no worker, otherwise.
     """
     return _CHARGES[verdict]
 
 
 class PairAvoidance:
-    """Pairs of workers that should not be tried together for a while."""
+    """Pairs of a prefill and a decode worker that are ranked last until a given time."""
 
     def __init__(self) -> None:
         self._avoided_until: dict[tuple[str, str], float] = {}
@@ -127,7 +127,7 @@
         return len(self._avoided_until)
 
     def avoid(self, prefill_worker_id: str, decode_worker_id: str, until: float) -> None:
-        """Avoid a pair until a time.
+        """Avoid a pair until the given time; replaces an earlier avoidance of the pair.
 
         Parameters
         ----------
@@ -144,7 +144,7 @@
         if len(self._avoided_until) > MAXIMUM_AVOIDED_PAIRS:
             del self._avoided_until[next(iter(self._avoided_until))]
 
-    def forgive(self, prefill_worker_id: str, decode_worker_id: str) -> None:
+    def remove(self, prefill_worker_id: str, decode_worker_id: str) -> None:
         """Stop avoiding a pair.
 
         Parameters
@@ -157,7 +157,7 @@
         self._avoided_until.pop((prefill_worker_id, decode_worker_id), None)
 
     def is_avoided(self, prefill_worker_id: str, decode_worker_id: str, now: float) -> bool:
-        """Say whether a pair is avoided now.
+        """Return whether a pair is avoided at the given time.
 
         Parameters
         ----------
@@ -171,19 +171,19 @@
         Returns
         -------
         bool
-            True until the avoidance has run out.
+            True until the avoidance expires.
         """
         return now < self._avoided_until.get((prefill_worker_id, decode_worker_id), -math.inf)
 
 
 class _PeerTimes:
-    """When each worker last met each of its peers; the oldest entries go first."""
+    """Time of the latest event of each worker with each peer; the oldest entries are evicted."""
 
     def __init__(self) -> None:
         self._times: dict[str, dict[str, float]] = {}
 
     def record(self, worker_id: str, peer_id: str, now: float) -> None:
-        """Note one meeting."""
+        """Record an event of a worker with a peer at ``now``."""
         peers = self._times.pop(worker_id, {})
         self._times[worker_id] = peers
         if len(self._times) > MAXIMUM_WORKERS:
@@ -194,41 +194,41 @@
             del peers[next(iter(peers))]
 
     def count_since(self, worker_id: str, start: float) -> int:
-        """Count the distinct peers met after a time."""
+        """Return the number of distinct peers with an event after ``start``."""
         return sum(time > start for time in self._times.get(worker_id, {}).values())
 
 
 class _LatestTimes:
-    """When something last happened to each worker; the oldest entries go first."""
+    """Time of the latest event of each worker; the oldest entries are evicted."""
 
     def __init__(self) -> None:
         self._times: dict[str, float] = {}
 
     def record(self, worker_id: str, now: float) -> None:
-        """Record that it happened."""
+        """Record an event of a worker at ``now``."""
         self._times.pop(worker_id, None)
         self._times[worker_id] = now
         if len(self._times) > MAXIMUM_WORKERS:
             del self._times[next(iter(self._times))]
 
-    def forget(self, worker_id: str) -> None:
-        """Drop what is known of a worker."""
+    def clear(self, worker_id: str) -> None:
+        """Remove the entry of a worker."""
         self._times.pop(worker_id, None)
 
     def latest(self, worker_id: str) -> float:
-        """Return when it last happened, or minus infinity."""
+        """Return the time of the latest event, or minus infinity if there is none."""
         return self._times.get(worker_id, -math.inf)
 
 
 class TransferEvidenceTable:
-    """Recent evidence about KV transfers; gives a verdict on each failed one.
+    """Collects evidence from recent KV transfers and returns a verdict on each failed one.
 
     Memory is bounded: at most ``MAXIMUM_WORKERS`` workers with ``MAXIMUM_PEERS`` peers each.
 
     Parameters
     ----------
     avoidance : PairAvoidance or None
-        Where pairs with a failed link are put; a new one by default.
+        Receives the pairs whose link failed; a new, empty one if None.
     """
 
     def __init__(self, avoidance: PairAvoidance | None = None):
@@ -239,14 +239,14 @@
         self._last_unreachable = _LatestTimes()
 
     def record_reached(self, prefill_worker_id: str) -> None:
-        """Record that this router got an answer from a prefill worker.
+        """Record that a prefill worker replied to this router.
 
         Parameters
         ----------
         prefill_worker_id : str
-            The worker that answered.
+            The worker that replied.
         """
-        self._last_unreachable.forget(prefill_worker_id)
+        self._last_unreachable.clear(prefill_worker_id)
 
     def record_unreachable(self, prefill_worker_id: str, now: float) -> None:
         """Record that this router itself could not reach a prefill worker.
@@ -254,14 +254,16 @@
         Parameters
         ----------
         prefill_worker_id : str
-            The worker that did not answer.
+            The worker that this router could not reach.
         now : float
             Monotonic time in seconds.
         """
         self._last_unreachable.record(prefill_worker_id, now)
 
     def record_success(self, prefill_worker_id: str, decode_worker_id: str, now: float) -> None:
-        """Record a KV transfer that worked: it clears the pair and speaks for both workers.
+        """Record a successful KV transfer.
+
+        The pair is no longer avoided, and earlier failures of both workers no longer count.
 
         Parameters
         ----------
@@ -272,24 +274,24 @@
         now : float
             Monotonic time in seconds.
         """
-        self.avoidance.forgive(prefill_worker_id, decode_worker_id)
+        self.avoidance.remove(prefill_worker_id, decode_worker_id)
         self._last_success.record(prefill_worker_id, now)
         self._last_success.record(decode_worker_id, now)
 
     def record_failure(self, failure: TransferFailure, now: float) -> TransferVerdict:
-        """Judge one failed KV transfer.
+        """Record a failed KV transfer and return the verdict on it.
 
         Parameters
         ----------
         failure : TransferFailure
-            The pair and what the decode worker reported.
+            The two workers and the cause that the decode worker reported.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         TransferVerdict
-            Whom to charge. ``LINK`` has also put the pair among the avoided ones.
+            The cause of the failure. After ``LINK`` the pair is avoided.
         """
         if _is_neutral(failure, now):
             return TransferVerdict.NEUTRAL
@@ -300,12 +302,12 @@
             return TransferVerdict.PREFILL_SIDE
         self._prefill_failures.record(prefill, decode, now)
         self._decode_failures.record(decode, prefill, now)
-        verdict = self._weigh(prefill, decode, now)
+        verdict = self._verdict_from_failures(prefill, decode, now)
         if verdict is TransferVerdict.LINK:
             self.avoidance.avoid(prefill, decode, now + PAIR_AVOIDANCE_SECONDS)
         return verdict
 
-    def _weigh(self, prefill: str, decode: str, now: float) -> TransferVerdict:
+    def _verdict_from_failures(self, prefill: str, decode: str, now: float) -> TransferVerdict:
         prefill_suspect = self._is_suspect(prefill, self._prefill_failures, now)
         decode_suspect = self._is_suspect(decode, self._decode_failures, now)
         if prefill_suspect and not decode_suspect:
@@ -315,7 +317,7 @@
         return TransferVerdict.LINK
 
     def _is_suspect(self, worker_id: str, failures: _PeerTimes, now: float) -> bool:
-        """Say whether a worker failed with several peers since it last worked with any."""
+        """Return whether a worker failed with several peers since its last success with any."""
         start = max(now - EVIDENCE_WINDOW_SECONDS, self._last_success.latest(worker_id))
         return failures.count_since(worker_id, start) >= SEVERAL_PEERS
 
@@ -325,6 +327,6 @@
 
 def _is_neutral(failure: TransferFailure, now: float) -> bool:
     if failure.evidence is TransferEvidence.HANDLE_DENIED:
-        # A prefill worker forgets an expired handle; denying it then is no fault.
+        # A prefill worker removes an expired handle: to deny it after that is correct.
         return now >= failure.handle_expires_at
     return failure.evidence in (TransferEvidence.HANDLE_EXPIRED, TransferEvidence.HANDLE_MISMATCH)
--- a/src/orchidpath/routing/retry_budget.py
+++ b/src/orchidpath/routing/retry_budget.py
@@ -1,14 +1,14 @@
 """The retry budget of one service on one router.
 
-Retries are a small share of the first attempts that this router made itself. As every router keeps
-to the share of its own traffic, all of them together keep to the same share of the service's whole
-traffic, with no message between them. A small minimum lets a service with little traffic retry at
-all; the routers divide it among themselves.
-
-The bound: whenever a retry is granted, the retries of the window that ends there are at most
-``budget_ratio`` of the first attempts of that window, plus ``budget_minimum_per_second`` times the
-window divided by the number of routers. Where that minimum would come to less than one retry, the
-window is widened until it comes to one, so the rate holds and no router is left without any.
+Retries are limited to a small share of the first attempts that this router made itself. Because
+every router stays within the share of its own traffic, all routers together stay within the same
+share of the service's total traffic, without exchanging messages. A small minimum, which is divided
+among the routers, lets a service with little traffic retry as well.
+
+Whenever a retry is granted, the retries in the window that ends at that time are at most
+``budget_ratio`` times the first attempts in that window, plus ``budget_minimum_per_second`` times
+the length of the window divided by the number of routers. If that minimum is less than one retry,
+the window is widened until it is one retry: the rate still holds, and every router can retry.
 """
 
 import math
@@ -18,22 +18,26 @@
 from orchidpath.wire.configuration import RetryPolicy
 
 BUCKET_SECONDS = 0.25
-"""Attempts are counted in buckets of this length."""
+"""Length of the time buckets in which attempts are counted."""
 
 MAXIMUM_WINDOW_SECONDS = 120.0
-"""The window is never widened beyond this; it also bounds memory."""
+"""Upper bound of the window; also bounds the number of buckets in memory."""
 
 _ROUNDING_SLACK = 1e-9
+"""Added to an allowance in retries, against floating-point error just below a whole number."""
 
 
 class _BucketedCount:
-    """Events counted in buckets of time, the oldest first; forgets what no window can hold."""
+    """Counts events in time buckets, the oldest first.
+
+    Buckets older than ``MAXIMUM_WINDOW_SECONDS`` are removed.
+    """
 
     def __init__(self) -> None:
         self._buckets: deque[tuple[int, int]] = deque()
 
     def add(self, now: float) -> None:
-        """Count one event."""
+        """Count one event at ``now``, in monotonic seconds."""
         index = math.floor(now / BUCKET_SECONDS)
         if self._buckets and self._buckets[-1][0] >= index:
             newest, count = self._buckets.pop()
@@ -44,20 +48,23 @@
         while self._buckets[0][0] < oldest_retained:
             self._buckets.popleft()
 
-    def certainly_since(self, start: float) -> int:
-        """Count the events of buckets that lie wholly at or after a time: never too many."""
+    def lower_bound_since(self, start: float) -> int:
+        """Return a lower bound of the events since ``start``: buckets entirely at or after it."""
         first = math.ceil(start / BUCKET_SECONDS)
         recent = takewhile(lambda bucket: bucket[0] >= first, reversed(self._buckets))
         return sum(count for _, count in recent)
 
-    def possibly_since(self, start: float) -> int:
-        """Count the events of buckets that end after a time: never too few."""
+    def upper_bound_since(self, start: float) -> int:
+        """Return an upper bound of the events since ``start``: buckets that end after it."""
         first = math.floor(start / BUCKET_SECONDS)
         recent = takewhile(lambda bucket: bucket[0] >= first, reversed(self._buckets))
         return sum(count for _, count in recent)
 
     def expiry_of_oldest(self, start: float, count: int) -> float | None:
-        """Return the end of the bucket that holds the last of that many oldest events."""
+        """Return the end of the bucket with the ``count``-th oldest event since ``start``.
+
+        None if there are fewer events.
+        """
         first = math.floor(start / BUCKET_SECONDS)
         remaining = count
         for index, events in self._buckets:
@@ -75,9 +82,9 @@
     Parameters
     ----------
     policy : RetryPolicy
-        Share, window and minimum.
+        Share, window and minimum of the budget.
     router_count : int
-        Routers that divide the minimum among themselves.
+        Number of routers among which the minimum is divided.
     """
 
     def __init__(self, policy: RetryPolicy, router_count: int = 1):
@@ -88,15 +95,15 @@
 
     @property
     def window_seconds(self) -> float:
-        """Length of the window applied, widened where the minimum would be under one retry."""
+        """Length of the window, widened if the minimum would be less than one retry in it."""
         window = self._policy.budget_window_seconds
         if self._policy.budget_minimum_per_second > 0:
-            one_retry = self._router_count / self._policy.budget_minimum_per_second
-            window = max(window, one_retry)
+            one_retry_seconds = self._router_count / self._policy.budget_minimum_per_second
+            window = max(window, one_retry_seconds)
         return min(window, MAXIMUM_WINDOW_SECONDS)
 
     def set_policy(self, policy: RetryPolicy) -> None:
-        """Apply another policy from now on; what was counted stays counted.
+        """Apply another policy from now on; attempts counted so far are retained.
 
         Parameters
         ----------
@@ -106,12 +113,12 @@
         self._policy = policy
 
     def set_router_count(self, router_count: int) -> None:
-        """Divide the minimum among another number of routers.
+        """Set the number of routers among which the minimum is divided.
 
         Parameters
         ----------
         router_count : int
-            Registered routers, this one included; fewer than one counts as one.
+            Number of registered routers, this one included; at least one is assumed.
         """
         self._router_count = max(router_count, 1)
 
@@ -126,7 +133,7 @@
         self._first_attempts.add(now)
 
     def try_spend(self, now: float) -> bool:
-        """Grant one retry if the budget holds it, and count it.
+        """Grant and count one retry if the budget allows it.
 
         Parameters
         ----------
@@ -138,14 +145,14 @@
         bool
             Whether the retry may be made.
         """
-        spent = self._retries.possibly_since(now - self.window_seconds)
+        spent = self._retries.upper_bound_since(now - self.window_seconds)
         if spent + 1 > self._allowance(now):
             return False
         self._retries.add(now)
         return True
 
     def record_extra(self, now: float) -> None:
-        """Count an order that turned out to be an extra one after it was sent, whatever is left.
+        """Count a dispatch that has proved to be an extra attempt, even if the budget is exhausted.
 
         Parameters
         ----------
@@ -155,7 +162,7 @@
         self._retries.add(now)
 
     def retry_after(self, now: float) -> float:
-        """Estimate when the next retry will be granted if first attempts go on as they do.
+        """Estimate when the next retry will be granted if first attempts continue at the same rate.
 
         Parameters
         ----------
@@ -165,10 +172,10 @@
         Returns
         -------
         float
-            Seconds; 0 when one would be granted now, at most the window.
+            Seconds to wait, at most the window; 0 if a retry would be granted now.
         """
         window = self.window_seconds
-        spent = self._retries.possibly_since(now - window)
+        spent = self._retries.upper_bound_since(now - window)
         excess = spent + 1 - math.floor(self._allowance(now))
         if excess <= 0:
             return 0.0
@@ -179,6 +186,6 @@
 
     def _allowance(self, now: float) -> float:
         window = self.window_seconds
-        share = self._policy.budget_ratio * self._first_attempts.certainly_since(now - window)
+        share = self._policy.budget_ratio * self._first_attempts.lower_bound_since(now - window)
         minimum = self._policy.budget_minimum_per_second * window / self._router_count
         return share + minimum + _ROUNDING_SLACK
