--- a/src/orchidpath/routing/decision_log.py
+++ b/src/orchidpath/routing/decision_log.py
@@ -1,11 +1,12 @@
-"""Lines of a router's decision log: what was decided on which state, and how it went; pure.
+"""Line formats of a router's decision log: decisions, the states they used, and their outcomes.
 
-One JSON object a line, told apart by ``type``. ``at_seconds`` is the router's monotonic clock: it
-orders the lines and is the virtual time of a replay (:mod:`orchidpath.tools.decision_replay`).
-``time`` is the wall clock and only for people. No prompt, body or tenant is logged.
+The module does no input or output. Each line is a JSON object whose ``type`` names its format.
+``at_seconds`` is the router's monotonic clock: it orders the lines and is the virtual time of a
+replay (:mod:`orchidpath.tools.decision_replay`). ``time`` is the wall clock, for human readers
+only. No prompt, body or tenant is logged.
 
-The log of one router holds its own decisions and reports. It does not hold other routers' reports,
-nor the neutral reports about a leader's answer that came too late to be used.
+The log contains the decisions and reports of one router. It contains neither the reports of other
+routers, nor the neutral reports about a leader's reply that arrived too late to be used.
 """
 
 from enum import StrEnum
@@ -24,40 +25,41 @@
 from orchidpath.wire.records import Stage
 
 MAX_LINE_BYTES = 1024 * 1024
-"""A longer line is damage: a decision has a bounded number of candidates."""
+"""Upper bound of a line; a longer one is damaged, as the candidates of a decision are bounded."""
 
 
 class DamagedLineError(OrchidpathError):
-    """The line is not one of a decision log."""
+    """The line is not a valid line of a decision log."""
 
 
 class DecidedBy(StrEnum):
-    """Whose state a decision was made on."""
+    """The process whose state a decision was made on."""
 
     LEADER = "leader"
+    """The state of the control leader."""
     ROUTER = "router"
-    """The router's last known state: the leader gave no answer, or there was nobody to choose."""
+    """The last state that the router has: the leader did not reply, or there was no candidate."""
 
 
 class PolicyLine(msgspec.Struct, frozen=True, kw_only=True, tag="policy"):
-    """Policy applied from here on: at each start, change, and beginning of a file.
+    """The policy that applies to the lines below; written at each start, change and new file.
 
     Attributes
     ----------
     time
-        Wall clock, ISO 8601.
+        Wall clock time in ISO 8601.
     at_seconds
-        Monotonic clock of the router.
+        Monotonic clock of the router, in seconds.
     router_id
-        The router.
+        Id of the router.
     incarnation
-        New for each start of the router's process.
+        Identifier of this start of the router process.
     configuration_version
         Version of the adopted configuration.
     circuit
-        Its figures of the circuits.
+        Circuit breaker policy of that configuration.
     load_bound_factor
-        Its factor of the load bound.
+        Factor of the load bound in that configuration.
     """
 
     time: str
@@ -70,30 +72,30 @@
 
 
 class DecisionLine(msgspec.Struct, frozen=True, kw_only=True, tag="decision"):
-    """One decision, with the candidates' states as they were read for it.
+    """A routing decision, with the states of the candidates that it was made on.
 
     Attributes
     ----------
     time, at_seconds
-        As in :class:`PolicyLine`; when the router had the decision.
+        As in :class:`PolicyLine`; the time at which the router had the decision.
     request_id, attempt_id, service
-        What was decided about.
+        The attempt that the decision is for.
     configuration_version
         Version of the configuration that the router applied.
-    stages
-        Candidates and tried workers of each stage.
+    per_stage
+        Candidates and tried workers of each stage; written as ``legs``.
     decided_by
-        Whose state ``states`` is.
+        The process whose state ``states`` is.
     term
-        Term of the leader that answered, or whose circuits were last known.
+        Term of the leader that replied, or of the leader whose circuits the router last received.
     states
-        The candidates as read; one that is missing here was not eligible.
+        States of the candidates; a candidate without a state was not eligible.
     choices
         The chosen workers; empty for a rejection.
     rejection
-        Why there is no choice.
+        Reason of a rejection; written as ``denial``.
     retry_after_seconds
-        When to come back after a rejection.
+        Time in seconds after which to retry a rejected request.
     """
 
     time: str
@@ -112,22 +114,22 @@
 
 
 class ReportLine(msgspec.Struct, frozen=True, kw_only=True, tag="report"):
-    """How an attempt ended for one worker.
+    """The outcome of an attempt for one worker.
 
     Attributes
     ----------
     time, at_seconds
-        As in :class:`PolicyLine`; when the router reported it.
+        As in :class:`PolicyLine`; the time at which the router reported the outcome.
     request_id, attempt_id, worker_id, stage
-        What is reported on.
+        The attempt and the worker that the outcome belongs to.
     effect
-        What the leader was told.
+        The effect that was reported to the leader.
     reason
-        The observation behind it, in words.
+        Description of the observation that the effect is based on.
     latency_seconds
-        From the order to its end; 0 when no order was sent.
+        Time in seconds from the dispatch to its end; 0 if nothing was dispatched.
     probe_generation
-        Set when the attempt was the worker's probe.
+        Generation of the worker's probe if the attempt was that probe, otherwise None.
     """
 
     time: str
@@ -143,12 +145,12 @@
 
 
 class DroppedLine(msgspec.Struct, frozen=True, kw_only=True, tag="dropped"):
-    """Lines are missing here, because the disk was slow or refused them.
+    """Lines that are missing here, because the disk was too slow or a write failed.
 
     Attributes
     ----------
     count
-        How many.
+        Number of missing lines.
     """
 
     count: int
@@ -162,44 +164,44 @@
 
 
 def encode_line(line: LogLine) -> bytes:
-    """Return a line with its end.
+    """Return a line encoded for the log.
 
     Parameters
     ----------
     line
-        The line.
+        The line to encode.
 
     Returns
     -------
     bytes
-        JSON and a newline.
+        The JSON object and a newline.
     """
     return _encoder.encode(line) + b"\n"
 
 
 def decode_line(content: bytes) -> LogLine:
-    """Read one line.
+    """Decode one line of the log.
 
     Parameters
     ----------
     content
-        The bytes of the line, with or without its end.
+        The bytes of the line, with or without its newline.
 
     Returns
     -------
     LogLine
-        The line.
+        The decoded line.
 
     Raises
     ------
     DamagedLineError
-        If it is anything else.
+        If the content is too long, is not valid JSON, or is no line of a decision log.
     """
     if len(content) > MAX_LINE_BYTES:
-        raise DamagedLineError(f"longer than {MAX_LINE_BYTES} bytes")
+        raise DamagedLineError(f"longer than the limit of {MAX_LINE_BYTES} bytes")
     try:
         return _decoder.decode(content)
     except msgspec.DecodeError as error:
         raise DamagedLineError(" ".join(str(error).split())) from error
     except RecursionError as error:
-        raise DamagedLineError("nested too deeply") from error
+        raise DamagedLineError("JSON is nested too deeply to decode") from error
--- a/src/orchidpath/routing/ring.py
+++ b/src/orchidpath/routing/ring.py
@@ -1,8 +1,8 @@
-"""The hash ring: which workers a key prefers, and how much of the key space a change moves.
+"""Consistent hash ring: ranks the workers for a key, and measures how much a change moves.
 
-Every worker holds several virtual nodes on a ring of 64-bit positions (brief, "The product"). A
-key belongs to the first virtual node at or after its hash, clockwise. Positions depend on the
-worker's name only, so every router builds the same ring from the same workers, in any process.
+Every worker has several virtual nodes on a ring of 64-bit positions (brief, "The product"). A key
+belongs to the first virtual node at or after its hash, clockwise. The positions depend only on the
+id of the worker, so every router process builds the same ring from the same workers.
 """
 
 from bisect import bisect_left
@@ -19,33 +19,34 @@
 """Number of positions on the ring."""
 
 PREFIX_BLOCK_CHARACTERS = 256
-"""Prompts are compared in whole blocks of this many characters."""
+"""Length of a block; prompts are compared in whole blocks."""
 
 PREFIX_BLOCKS = 4
-"""Leading blocks of a prompt that make its affinity key: 1024 characters."""
+"""Leading blocks of a prompt that its prefix key covers: 1024 characters in total."""
 
 CACHED_WORKER_POSITIONS = 4096
-"""Workers whose virtual nodes are kept, so that a membership change only sorts again."""
+"""Workers whose positions are cached, so that a membership change only has to sort them."""
 
 _FIELD_SEPARATOR = "\x00"
 
 
 def prefix_key(model: str, prompt: str) -> int:
-    """Hash the leading blocks of a prompt: requests that share them share the key.
+    """Return the hash of a prompt's leading blocks, which requests with the same prefix share.
 
-    The key covers the first ``PREFIX_BLOCKS`` blocks, rounded down to whole blocks, so a different
-    ending does not change it; a prompt shorter than one block is taken whole. The length is a
-    trade-off. A longer key separates prompts that share only a short preamble, which spreads them
-    better, but sends two prompts that differ within its length to different caches. A shorter key
-    gathers everything behind a common preamble on one worker; the load bound of
-    :mod:`orchidpath.routing.pairing` then moves the excess along the ring.
+    The hash covers at most the first ``PREFIX_BLOCKS`` blocks, rounded down to whole blocks, so a
+    different ending of the prompt does not change it. A prompt shorter than one block is hashed in
+    full. The length is a trade-off. A longer prefix distinguishes prompts that share only a short
+    preamble, which spreads them better over the workers, but two prompts that differ within that
+    length then use different prefix caches. A shorter prefix assigns all prompts with a common
+    preamble to one worker; the load bound of :mod:`orchidpath.routing.pairing` then moves the
+    excess along the ring.
 
     Parameters
     ----------
     model : str
-        Model of the request: caches of different models have nothing in common.
+        Model of the request; prefix caches of different models share nothing.
     prompt : str
-        The whole prompt.
+        The complete prompt.
 
     Returns
     -------
@@ -58,7 +59,9 @@
 
 
 def request_key(request_id: str) -> int:
-    """Hash a request id: spreads requests evenly, the same for every attempt of a request.
+    """Return the hash of a request id, which spreads requests evenly over the ring.
+
+    Every attempt of a request has the same key.
 
     Parameters
     ----------
@@ -74,16 +77,16 @@
 
 
 class HashRing:
-    """An immutable ring of virtual nodes; build it with :meth:`build`.
+    """An immutable consistent hash ring; create it with :meth:`build`.
 
     Parameters
     ----------
     positions : list[int]
         Positions of the virtual nodes in ascending order.
     owners : list[str]
-        The worker of each virtual node, in the same order.
+        Worker id of each virtual node, in the same order.
     worker_ids : tuple[str, ...]
-        The distinct workers on the ring, sorted.
+        Ids of the distinct workers on the ring, sorted.
     """
 
     __slots__ = ("_owners", "_positions", "worker_ids")
@@ -95,19 +98,19 @@
 
     @classmethod
     def build(cls, worker_ids: Iterable[str], virtual_nodes: int = VIRTUAL_NODES) -> "HashRing":
-        """Build the ring of some workers; their order does not matter.
+        """Build the ring of the given workers, in any order.
 
         Parameters
         ----------
         worker_ids : Iterable[str]
-            Names of the workers; repeated names count once.
+            Ids of the workers; duplicates are ignored.
         virtual_nodes : int
-            Virtual nodes of each worker.
+            Number of virtual nodes of each worker.
 
         Returns
         -------
         HashRing
-            The ring.
+            The ring of these workers.
 
         Raises
         ------
@@ -115,10 +118,10 @@
             If ``virtual_nodes`` is below one.
         """
         if virtual_nodes < 1:
-            raise ValueError("a worker needs at least one virtual node")
+            raise ValueError("virtual_nodes must be at least 1: every worker needs a virtual node")
         distinct = tuple(sorted(set(worker_ids)))
         owner_of: dict[int, str] = {}
-        # Backwards, so that the first name gets a position that two workers share.
+        # In reverse order, so that a position shared by two workers belongs to the first sorted id.
         for worker_id in reversed(distinct):
             owner_of.update(dict.fromkeys(_worker_positions(worker_id, virtual_nodes), worker_id))
         positions = sorted(owner_of)
@@ -126,7 +129,7 @@
         return cls(positions, owners, distinct)
 
     def walk(self, key_hash: int) -> Iterator[str]:
-        """Yield the distinct workers clockwise from a key, the owner first.
+        """Yield each worker once, clockwise from a key, starting with the key's owner.
 
         Parameters
         ----------
@@ -136,7 +139,7 @@
         Yields
         ------
         str
-            The next worker that was not yielded before.
+            Id of the next worker.
         """
         seen: set[str] = set()
         start = bisect_left(self._positions, key_hash)
@@ -156,12 +159,12 @@
         key_hash : int
             A 64-bit key.
         limit : int
-            At most this many workers.
+            Maximum number of workers; a negative value counts as 0.
 
         Returns
         -------
         tuple[str, ...]
-            Distinct workers, the key's owner first.
+            Ids of distinct workers, the key's owner first.
         """
         return tuple(islice(self.walk(key_hash), max(limit, 0)))
 
@@ -176,17 +179,17 @@
         Returns
         -------
         str or None
-            The owner; None on an empty ring.
+            Id of the owner; None if the ring is empty.
         """
         return next(self.walk(key_hash), None)
 
     def boundaries(self) -> list[int]:
-        """Return the positions after which the owner may change, ascending.
+        """Return the positions after which the owner of a key may change.
 
         Returns
         -------
         list[int]
-            Positions of the virtual nodes.
+            Positions of the virtual nodes, ascending.
         """
         return list(self._positions)
 
@@ -194,15 +197,14 @@
 def moved_share(old: HashRing, new: HashRing) -> float:
     """Return the share of the key space whose owner differs between two rings.
 
-    The lengths of the arcs are summed as whole numbers, so the share is exact up to the final
-    division.
+    The lengths of the arcs are summed as integers, so only the final division rounds.
 
     Parameters
     ----------
     old : HashRing
-        Ring before the change.
+        The ring before the change.
     new : HashRing
-        Ring after the change.
+        The ring after the change.
 
     Returns
     -------
@@ -213,10 +215,10 @@
     if not boundaries:
         return 0.0
     moved = 0
-    # The first arc reaches from the last boundary over the origin.
+    # The first arc starts at the last boundary and crosses the origin of the ring.
     previous = boundaries[-1] - RING_SIZE
     for boundary in boundaries:
-        # No virtual node lies inside an arc, so its last key speaks for all of its keys.
+        # No virtual node lies inside an arc, so all of its keys have the owner of the last one.
         if old.owner(boundary) != new.owner(boundary):
             moved += boundary - previous
         previous = boundary
@@ -224,7 +226,7 @@
 
 
 def _hash_text(text: str) -> int:
-    # A caller's JSON may hold lone surrogates, which strict UTF-8 refuses to encode.
+    # A caller's JSON may contain lone surrogates, which strict UTF-8 can't encode.
     return xxhash.xxh3_64_intdigest(text.encode("utf-8", "surrogatepass"))
 
 
--- a/src/orchidpath/routing/route_table.py
+++ b/src/orchidpath/routing/route_table.py
@@ -1,8 +1,8 @@
 """Finds the route of a request: by model for chat completions, by method and path otherwise.
 
-Built once for each configuration. Routes that clash are rejected before a configuration is accepted
-(:mod:`orchidpath.state.configuration_checks.validation`); should two still match, the first one
-listed wins on every router alike.
+A table is built once for each configuration. A configuration whose routes conflict is rejected
+(:mod:`orchidpath.state.configuration_checks.validation`). If two routes match a request
+nevertheless, every router uses the one that is listed first.
 """
 
 import msgspec
@@ -11,14 +11,14 @@
 
 
 class RouteMatch(msgspec.Struct, frozen=True, kw_only=True):
-    """The route of a request and the service that it leads to."""
+    """The route of a request and the service that the route refers to."""
 
     route: Route
     service: Service
 
 
 class _PathNode:
-    """One segment of the tree of path templates."""
+    """A node of the tree of path templates; each level of the tree is one path segment."""
 
     __slots__ = ("literals", "match", "template")
 
@@ -28,7 +28,7 @@
         self.match: RouteMatch | None = None
 
     def child(self, segment: str) -> "_PathNode":
-        """Return the node of a segment of a route's path, made when missing."""
+        """Return the child node of a segment of a route's path; create it if it is missing."""
         if not is_template_segment(segment):
             return self.literals.setdefault(segment, _PathNode())
         if self.template is None:
@@ -36,7 +36,7 @@
         return self.template
 
     def find(self, segments: tuple[str, ...]) -> RouteMatch | None:
-        """Match the rest of a path; a literal segment is tried before a template."""
+        """Match the remaining segments of a path; a literal segment is tried before a template."""
         if not segments:
             return self.match
         head, rest = segments[0], segments[1:]
@@ -48,13 +48,13 @@
 
 
 class RouteTable:
-    """The routes of one configuration, indexed.
+    """Index of the routes of one configuration.
 
     Parameters
     ----------
     configuration : Configuration
-        A validated configuration. Routes to a service that it lacks, or to one of the other kind,
-        match nothing.
+        A validated configuration. Routes to a service that it does not contain, or whose kind does
+        not fit the route, match no request.
     """
 
     def __init__(self, configuration: Configuration):
@@ -72,12 +72,12 @@
         Parameters
         ----------
         model : str
-            The model that the caller names.
+            Model name in the request.
 
         Returns
         -------
         RouteMatch or None
-            None when no route takes this model.
+            None if no route matches this model.
         """
         return self._by_model.get(model)
 
@@ -87,14 +87,14 @@
         Parameters
         ----------
         method : str
-            HTTP method, in any case.
+            HTTP method, in upper or lower case.
         path : str
             Path of the request; a query string is ignored.
 
         Returns
         -------
         RouteMatch or None
-            None when no route takes this method and path.
+            None if no route matches this method and path.
         """
         root = self._by_method.get(method.upper())
         if root is None:
@@ -117,7 +117,7 @@
 
 
 def is_template_segment(segment: str) -> bool:
-    """Say whether a segment of a route's path matches any value.
+    """Return whether a segment of a route's path is a template that matches any value.
 
     Parameters
     ----------
@@ -127,7 +127,7 @@
     Returns
     -------
     bool
-        True for a segment in braces.
+        True if the segment is enclosed in braces.
     """
     return segment.startswith("{") and segment.endswith("}")
 
@@ -143,6 +143,6 @@
     Returns
     -------
     tuple[str, ...]
-        The segments; a trailing slash gives an empty last one.
+        The segments; the last one is empty if the path ends with a slash.
     """
     return tuple(path.partition("?")[0].removeprefix("/").split("/"))
--- a/src/orchidpath/routing/stream.py
+++ b/src/orchidpath/routing/stream.py
@@ -1,8 +1,9 @@
-"""Validation of one decode stream: whose frame it is, its place, and the explicit terminal.
+"""Validates one decode stream: the identity and sequence of its frames, and its DONE frame.
 
-A caller must never get another request's answer, a gapped stream, or a cut one that looks complete
-(brief, "What must never happen"). Streams carry sequence numbers from 0 and end with a DONE frame
-(design page: a stream that misses its terminal is a transient failure).
+A caller must never receive the response of another request, a stream with a gap, or a truncated
+stream that looks complete (brief, "What must never happen"). The frames of a stream have sequence
+numbers from 0, and the last one is a DONE frame (design page: a stream without its DONE frame is a
+transient failure).
 """
 
 from enum import StrEnum
@@ -11,18 +12,24 @@
 
 
 class StreamVerdict(StrEnum):
-    """What the validator says about a frame, or about the end of the stream."""
+    """Result of the validation of a frame, or of the end of the stream."""
 
     ACCEPTED = "accepted"
+    """The frame is the next one of the stream."""
     COMPLETE = "complete"
+    """The DONE frame has arrived."""
     CROSSED = "crossed"
+    """The frame belongs to another request or attempt."""
     GAP = "gap"
+    """The sequence number of the frame is not the next one."""
     AFTER_TERMINAL = "after_terminal"
+    """A frame arrived after the DONE frame."""
     MISSING_TERMINAL = "missing_terminal"
+    """The stream ended without a DONE frame."""
 
     @property
     def is_broken(self) -> bool:
-        """Whether nothing of this stream may be relayed from now on."""
+        """Whether the stream is invalid, so that no more of it may be relayed to the caller."""
         return self not in {StreamVerdict.ACCEPTED, StreamVerdict.COMPLETE}
 
 
@@ -32,9 +39,9 @@
     Parameters
     ----------
     request_id
-        The request that the stream must echo.
+        Request id that every frame must carry.
     attempt_id
-        The attempt that the stream must echo.
+        Attempt id that every frame must carry.
     """
 
     def __init__(self, request_id: str, attempt_id: str) -> None:
@@ -45,33 +52,34 @@
         self.is_complete = False
 
     def check(self, frame: DecodeFrame) -> StreamVerdict:
-        """Judge the next frame; once a stream is broken it stays so.
+        """Validate the next frame; a stream that was invalid once remains invalid.
 
         Parameters
         ----------
         frame
-            The frame as it arrived.
+            The frame that arrived.
 
         Returns
         -------
         StreamVerdict
-            ACCEPTED, COMPLETE for the terminal, or why the stream is broken.
+            ACCEPTED, COMPLETE for the DONE frame, or the reason why the stream is invalid.
         """
         if self._broken is None:
-            verdict = self._judge(frame)
+            verdict = self._validate(frame)
             if not verdict.is_broken:
                 return verdict
             self._broken = verdict
         return self._broken
 
     def end(self) -> StreamVerdict:
-        """Judge the end of the response body: complete only after the explicit terminal."""
+        """Return the verdict at the end of the response body: COMPLETE only after a DONE frame."""
         if self._broken is not None:
             return self._broken
         return StreamVerdict.COMPLETE if self.is_complete else StreamVerdict.MISSING_TERMINAL
 
-    def _judge(self, frame: DecodeFrame) -> StreamVerdict:
-        # Identity first: a crossed frame's sequence says nothing about this stream.
+    def _validate(self, frame: DecodeFrame) -> StreamVerdict:
+        # The ids are checked first: the sequence number of a frame of another stream is meaningless
+        # here.
         if (frame.request_id, frame.attempt_id) != (self._request_id, self._attempt_id):
             return StreamVerdict.CROSSED
         if self.is_complete:
--- a/tests/routing/test_retry_backoff.py
+++ b/tests/routing/test_retry_backoff.py
@@ -1,4 +1,4 @@
-"""Full jitter stays within its bounds (paper, "Circuit breakers and bounded retries")."""
+"""Retry backoff with full jitter (paper, "Circuit breakers and bounded retries")."""
 
 from random import Random
 
@@ -23,7 +23,7 @@
     policy = RetryPolicy(backoff_base_seconds=base, backoff_cap_seconds=cap)
     wait = full_jitter(attempt_number, policy, Random(seed))
     assert 0.0 <= wait <= cap
-    # Beyond a thousand doublings the ceiling is above every cap tried here.
+    # After a thousand doublings the ceiling exceeds every cap of this test.
     assert wait <= base * 2.0 ** min(attempt_number - 1, 1000)
 
 
@@ -37,5 +37,5 @@
 
 
 def test_attempt_numbers_start_at_one() -> None:
-    with pytest.raises(ValueError, match="start at one"):
+    with pytest.raises(ValueError, match="attempt_number must be at least 1"):
         full_jitter(0, RetryPolicy(), Random(1))
