--- a/src/orchidpath/routing/admission.py
+++ b/src/orchidpath/routing/admission.py
@@ -241,7 +241,7 @@
         excess_tokens = load.cost_tokens + cost_tokens - share * policy.max_cost_tokens_in_flight
         if excess_requests <= 0 and excess_tokens <= 0:
             return None
-        # The tenant gets below its share only when its own requests complete.
+        # Only completions of this tenant's own requests bring it below its share.
         completions = max(excess_requests, _completions_for(excess_tokens, load))
         return self._reject(RejectionReason.TENANT_SHARE, completions, load, now)
 
@@ -261,7 +261,7 @@
         duration = self._durations.mean_seconds(now)
         wait = max(completions, 1.0) * duration / max(load.requests, 1)
         last_retry_at = max(load.last_retry_at, now) + wait
-        # Bounded, so that one caller who retries too often can't delay the retries of the others
+        # Bounded, so that one caller that retries too often can't delay the retries of the others
         # for long.
         latest = now + max(MAXIMUM_MEAN_DURATIONS_AHEAD * duration, wait)
         load.last_retry_at = min(last_retry_at, latest)
--- a/src/orchidpath/routing/freshness.py
+++ b/src/orchidpath/routing/freshness.py
@@ -35,7 +35,7 @@
 FIRST_ACKNOWLEDGE_PERIOD_SECONDS = 0.05
 """Minimum time between two acknowledgements of a router that holds no lease."""
 
-WITNESS_QUERY_RETRY_SECONDS = 0.25
+UPDATE_REQUEST_RETRY_SECONDS = 0.25
 """Minimum time between two requests for a missing revision.
 
 A newer revision that a heartbeat reply names is not requested either until this time has passed
@@ -87,7 +87,7 @@
 
 
 class AcknowledgeSoon(msgspec.Struct, frozen=True):
-    """Call `heartbeat` after ``delay_seconds``, once for all views adopted until then.
+    """Call :meth:`FreshnessCore.heartbeat` after ``delay_seconds``, once for all views until then.
 
     The leader confirms a revision only after this router has acknowledged it. While a fleet forms
     there are hundreds of revisions a second, and acknowledging the newest covers the older ones.
@@ -99,7 +99,9 @@
 FreshnessEffect = SendToLeader | SendToRouter | ViewAdopted | AcknowledgeSoon
 
 
-class _WitnessAnswer(msgspec.Struct, frozen=True):
+class _WitnessReply(msgspec.Struct, frozen=True):
+    """Latest reply of a witness: when its query was sent, and the revision that it named."""
+
     sent_at: float
     revision: int
 
@@ -152,12 +154,12 @@
         self._heartbeats = _SendTimes()
         self._queries = _SendTimes()
         self._leader_lease_from = float("-inf")
-        self._leader_answered_at = float("-inf")
-        self._witness_answers: dict[str, _WitnessAnswer] = {}
+        self._leader_replied_at = float("-inf")
+        self._witness_replies: dict[str, _WitnessReply] = {}
         self._next_heartbeat_at = now
         self._last_heartbeat_at = float("-inf")
         self._adopted_at = float("-inf")
-        self._queried_at = float("-inf")
+        self._update_requested_at = float("-inf")
         self._was_fresh = False
 
     @property
@@ -212,7 +214,7 @@
         self._next_heartbeat_at = now + ROUTER_HEARTBEAT_SECONDS
         self._last_heartbeat_at = now
         effects: list[FreshnessEffect] = [SendToLeader(self._heartbeat_message(now))]
-        if now - self._leader_answered_at > LEADER_TIMEOUT_SECONDS:
+        if now - self._leader_replied_at > LEADER_TIMEOUT_SECONDS:
             effects.extend(self._query_witnesses(now))
         return effects
 
@@ -228,7 +230,7 @@
         if reply.term < self._term or sent_at is None:
             return []
         self._term = reply.term
-        self._leader_answered_at = now
+        self._leader_replied_at = now
         self._known_revision = max(self._known_revision, reply.revision)
         if FreshnessGuard.LEASE_FROM_SEND_TIME in self._disabled:
             sent_at = now
@@ -236,7 +238,7 @@
         if is_behind and FreshnessGuard.ADOPT_BEFORE_LEASE not in self._disabled:
             # The leader has most likely pushed the update already: a request at once would have
             # every change sent twice.
-            updates_arrive = now - self._adopted_at < WITNESS_QUERY_RETRY_SECONDS
+            updates_arrive = now - self._adopted_at < UPDATE_REQUEST_RETRY_SECONDS
             return [] if updates_arrive else self._request_update(now)
         if reply.registered:
             self._leader_lease_from = max(self._leader_lease_from, sent_at)
@@ -293,10 +295,10 @@
             return effects
         if FreshnessGuard.LEASE_FROM_SEND_TIME in self._disabled:
             sent_at = now
-        previous = self._witness_answers.get(reply.witness_id)
+        previous = self._witness_replies.get(reply.witness_id)
         if previous is None or previous.sent_at <= sent_at:
-            answer = _WitnessAnswer(sent_at, reply.adopted_revision)
-            self._witness_answers[reply.witness_id] = answer
+            witness_reply = _WitnessReply(sent_at, reply.adopted_revision)
+            self._witness_replies[reply.witness_id] = witness_reply
         return effects
 
     def seed_query(self, now: float) -> FreshnessQuery:
@@ -313,9 +315,9 @@
         return max(ACKNOWLEDGE_SECONDS, earliest - now)
 
     def _request_update(self, now: float) -> list[FreshnessEffect]:
-        if now - self._queried_at < WITNESS_QUERY_RETRY_SECONDS:
+        if now - self._update_requested_at < UPDATE_REQUEST_RETRY_SECONDS:
             return []
-        self._queried_at = now
+        self._update_requested_at = now
         return [SendToLeader(FleetUpdateRequest(adopted_revision=self.revision))]
 
     def _has_leader_lease(self, now: float) -> bool:
@@ -335,10 +337,10 @@
             if witness_id == self._record.router_id:
                 answered += int(self._was_fresh)
                 continue
-            answer = self._witness_answers.get(witness_id)
-            if answer is None or now - answer.sent_at >= ROUTER_LEASE_SECONDS:
+            witness_reply = self._witness_replies.get(witness_id)
+            if witness_reply is None or now - witness_reply.sent_at >= ROUTER_LEASE_SECONDS:
                 continue
-            if answer.revision > self.revision:
+            if witness_reply.revision > self.revision:
                 return False
             answered += 1
         return bool(witnesses) and answered >= majority
--- a/src/orchidpath/routing/pairing.py
+++ b/src/orchidpath/routing/pairing.py
@@ -7,7 +7,8 @@
 worker is tried once before any is tried again (paper, "Circuit breakers and bounded retries").
 
 Load bound: a worker is over the bound if one more request would put it above
-``load_bound_factor`` times the mean load (consistent hashing with bounded loads). Workers over the
+``load_bound_factor`` times the mean load (consistent hashing with bounded loads). The bound is at
+least ``load_bound_minimum`` + 1 requests, and never below ``MINIMUM_LOAD_BOUND``. Workers over the
 bound come after the others, so a popular prefix overflows to the next workers on the ring.
 """
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: bounds by count, cost and tenant; no leaks; accurate retry-after."""
+"""Admission: bounds by count, cost and tenant, release of requests, and accurate retry-after."""
 
 import pytest
 from hypothesis import settings
@@ -98,7 +98,7 @@
 
 
 def full_controller(tenants: int = 10) -> AdmissionController:
-    """Return a controller with ten requests in flight, after ten of two seconds each."""
+    """Return a controller with ten requests in flight, after ten that took two seconds each."""
     controller = AdmissionController(POLICY)
     for start in (-2.0, 0.0):
         for number in range(10):
@@ -120,7 +120,7 @@
 def test_retry_after_follows_the_drain_rate_and_spreads_the_callers() -> None:
     controller = full_controller()
     waits = [wait_of(controller.admit(f"late-{n}", "late", 1, 0.0)) for n in range(30)]
-    # Ten requests of two seconds each drain at five a second.
+    # Ten requests of two seconds each complete at a rate of five a second.
     assert waits[:20] == pytest.approx([0.2 * place for place in range(1, 21)])
     assert waits[20:] == pytest.approx([4.0] * 10)
 
--- a/tests/routing/test_decision_log.py
+++ b/tests/routing/test_decision_log.py
@@ -1,3 +1,5 @@
+"""Encoding and decoding of the lines of a decision log."""
+
 import json
 
 import msgspec
@@ -96,13 +98,13 @@
     field = data.draw(st.sampled_from(sorted(table)))
     table[field] = value
     try:
-        read = decode_line(json.dumps(table).encode())
+        decoded = decode_line(json.dumps(table).encode())
     except DamagedLineError:
         return
     if field == "type":
         return
-    info = next(one for one in msgspec.structs.fields(type(read)) if one.encode_name == field)
-    assert getattr(read, info.name) == msgspec.convert(value, info.type)
+    info = next(info for info in msgspec.structs.fields(type(decoded)) if info.encode_name == field)
+    assert getattr(decoded, info.name) == msgspec.convert(value, info.type)
 
 
 def test_deep_nesting_and_length_are_reported_as_damage() -> None:
--- a/tests/routing/test_kv_transfer_evidence.py
+++ b/tests/routing/test_kv_transfer_evidence.py
@@ -1,4 +1,4 @@
-"""Failed KV transfers: which side is charged, by the evidence of several pairs."""
+"""Failed KV transfers: which worker is charged, from the evidence of several pairs."""
 
 import pytest
 from hypothesis import given, settings
@@ -25,7 +25,7 @@
 
 
 def fail(
-    attempt_table: TransferEvidenceTable,
+    evidence_table: TransferEvidenceTable,
     pair: str,
     now: float,
     evidence: TransferEvidence = CUT,
@@ -38,29 +38,31 @@
         evidence=evidence,
         handle_expires_at=expires_at,
     )
-    return attempt_table.record_failure(failure, now)
+    return evidence_table.record_failure(failure, now)
 
 
 @pytest.mark.parametrize("evidence", [UNREACHABLE, CUT])
 def test_one_pair_only_is_the_link_and_is_avoided_for_a_while(evidence: TransferEvidence) -> None:
-    attempt_table = TransferEvidenceTable()
+    evidence_table = TransferEvidenceTable()
     for now in range(5):
-        assert fail(attempt_table, "p1 d1", float(now), evidence) is LINK
+        assert fail(evidence_table, "p1 d1", float(now), evidence) is LINK
     expiry = 4.0 + PAIR_AVOIDANCE_SECONDS
-    assert attempt_table.avoidance.is_avoided("p1", "d1", expiry - 0.1)
-    assert not attempt_table.avoidance.is_avoided("p1", "d1", expiry)
-    assert not attempt_table.avoidance.is_avoided("p1", "d2", 4.0)
-    attempt_table.record_success("p1", "d1", 5.0)
-    assert not attempt_table.avoidance.is_avoided("p1", "d1", 5.0)
+    assert evidence_table.avoidance.is_avoided("p1", "d1", expiry - 0.1)
+    assert not evidence_table.avoidance.is_avoided("p1", "d1", expiry)
+    assert not evidence_table.avoidance.is_avoided("p1", "d2", 4.0)
+    evidence_table.record_success("p1", "d1", 5.0)
+    assert not evidence_table.avoidance.is_avoided("p1", "d1", 5.0)
 
 
 def test_rejected_handle_charges_the_prefill_side_unless_it_had_expired() -> None:
-    attempt_table = TransferEvidenceTable()
+    evidence_table = TransferEvidenceTable()
     assert (
-        fail(attempt_table, "p1 d1", 1.0, TransferEvidence.HANDLE_DENIED, expires_at=1.5) is PREFILL
+        fail(evidence_table, "p1 d1", 1.0, TransferEvidence.HANDLE_DENIED, expires_at=1.5)
+        is PREFILL
     )
     assert (
-        fail(attempt_table, "p1 d1", 1.5, TransferEvidence.HANDLE_DENIED, expires_at=1.5) is NEUTRAL
+        fail(evidence_table, "p1 d1", 1.5, TransferEvidence.HANDLE_DENIED, expires_at=1.5)
+        is NEUTRAL
     )
 
 
@@ -70,65 +72,65 @@
 def test_expired_and_foreign_handles_are_neutral_and_leave_no_evidence(
     evidence: TransferEvidence,
 ) -> None:
-    attempt_table = TransferEvidenceTable()
+    evidence_table = TransferEvidenceTable()
     for pair in ("p1 d1", "p2 d1", "p3 d1", "p1 d2"):
-        assert fail(attempt_table, pair, 1.0, evidence) is NEUTRAL
-    assert fail(attempt_table, "p4 d1", 2.0) is LINK
+        assert fail(evidence_table, pair, 1.0, evidence) is NEUTRAL
+    assert fail(evidence_table, "p4 d1", 2.0) is LINK
 
 
 def test_router_that_cannot_reach_the_prefill_worker_corroborates() -> None:
-    attempt_table = TransferEvidenceTable()
-    attempt_table.record_unreachable("p1", 0.0)
-    assert fail(attempt_table, "p1 d1", REACHABILITY_WINDOW_SECONDS, UNREACHABLE) is PREFILL
-    assert fail(attempt_table, "p1 d1", REACHABILITY_WINDOW_SECONDS + 0.1, UNREACHABLE) is LINK
-    attempt_table.record_unreachable("p2", 10.0)
-    attempt_table.record_reached("p2")
-    assert fail(attempt_table, "p2 d2", 10.0, UNREACHABLE) is LINK
+    evidence_table = TransferEvidenceTable()
+    evidence_table.record_unreachable("p1", 0.0)
+    assert fail(evidence_table, "p1 d1", REACHABILITY_WINDOW_SECONDS, UNREACHABLE) is PREFILL
+    assert fail(evidence_table, "p1 d1", REACHABILITY_WINDOW_SECONDS + 0.1, UNREACHABLE) is LINK
+    evidence_table.record_unreachable("p2", 10.0)
+    evidence_table.record_reached("p2")
+    assert fail(evidence_table, "p2 d2", 10.0, UNREACHABLE) is LINK
 
 
 def test_failures_that_are_certainly_the_prefill_sides_never_count_against_the_decode_side() -> (
     None
 ):
-    attempt_table = TransferEvidenceTable()
+    evidence_table = TransferEvidenceTable()
     for prefill in ("p1", "p2", "p3"):
-        attempt_table.record_unreachable(prefill, 1.0)
-        assert fail(attempt_table, f"{prefill} d1", 1.0) is PREFILL
-    assert fail(attempt_table, "p4 d1", 2.0) is LINK
+        evidence_table.record_unreachable(prefill, 1.0)
+        assert fail(evidence_table, f"{prefill} d1", 1.0) is PREFILL
+    assert fail(evidence_table, "p4 d1", 2.0) is LINK
 
 
 def test_same_decode_worker_with_several_prefill_workers_is_the_decode_side() -> None:
-    attempt_table = TransferEvidenceTable()
-    assert fail(attempt_table, "p1 d1", 1.0) is LINK
-    assert fail(attempt_table, "p2 d1", 2.0, UNREACHABLE) is DECODE
-    assert fail(attempt_table, "p3 d1", 3.0) is DECODE
+    evidence_table = TransferEvidenceTable()
+    assert fail(evidence_table, "p1 d1", 1.0) is LINK
+    assert fail(evidence_table, "p2 d1", 2.0, UNREACHABLE) is DECODE
+    assert fail(evidence_table, "p3 d1", 3.0) is DECODE
 
 
 def test_same_prefill_worker_with_several_decode_workers_is_the_prefill_side() -> None:
-    attempt_table = TransferEvidenceTable()
-    assert fail(attempt_table, "p1 d1", 1.0, UNREACHABLE) is LINK
-    assert fail(attempt_table, "p1 d2", 2.0, UNREACHABLE) is PREFILL
+    evidence_table = TransferEvidenceTable()
+    assert fail(evidence_table, "p1 d1", 1.0, UNREACHABLE) is LINK
+    assert fail(evidence_table, "p1 d2", 2.0, UNREACHABLE) is PREFILL
 
 
 def test_evidence_outside_the_window_does_not_count() -> None:
-    attempt_table = TransferEvidenceTable()
-    assert fail(attempt_table, "p1 d1", 0.0) is LINK
-    assert fail(attempt_table, "p2 d1", EVIDENCE_WINDOW_SECONDS) is LINK
+    evidence_table = TransferEvidenceTable()
+    assert fail(evidence_table, "p1 d1", 0.0) is LINK
+    assert fail(evidence_table, "p2 d1", EVIDENCE_WINDOW_SECONDS) is LINK
 
 
 def test_worker_that_has_since_worked_with_a_peer_is_not_charged() -> None:
-    attempt_table = TransferEvidenceTable()
-    fail(attempt_table, "p1 d1", 1.0)
-    attempt_table.record_success("p3", "d1", 2.0)
-    assert fail(attempt_table, "p2 d1", 3.0) is LINK
-    assert fail(attempt_table, "p1 d1", 4.0) is DECODE
+    evidence_table = TransferEvidenceTable()
+    fail(evidence_table, "p1 d1", 1.0)
+    evidence_table.record_success("p3", "d1", 2.0)
+    assert fail(evidence_table, "p2 d1", 3.0) is LINK
+    assert fail(evidence_table, "p1 d1", 4.0) is DECODE
 
 
 def test_network_partition_with_evidence_on_both_sides_charges_no_worker() -> None:
-    attempt_table = TransferEvidenceTable()
-    assert fail(attempt_table, "p1 d1", 1.0) is LINK
-    fail(attempt_table, "p2 d2", 1.0)
-    fail(attempt_table, "p2 d1", 1.0)
-    assert fail(attempt_table, "p1 d2", 1.0) is LINK
+    evidence_table = TransferEvidenceTable()
+    assert fail(evidence_table, "p1 d1", 1.0) is LINK
+    fail(evidence_table, "p2 d2", 1.0)
+    fail(evidence_table, "p2 d1", 1.0)
+    assert fail(evidence_table, "p1 d2", 1.0) is LINK
 
 
 def test_each_verdict_charges_one_side_at_most() -> None:
@@ -157,12 +159,12 @@
 def test_a_lone_pair_is_never_charged_without_certain_evidence(
     history: list[tuple[int, int, float, TransferEvidence]],
 ) -> None:
-    attempt_table = TransferEvidenceTable()
+    evidence_table = TransferEvidenceTable()
     now = 0.0
     for prefill, _, pause, evidence in history:
         now += pause
-        # Every prefill worker has its own decode worker: no peer can corroborate.
-        verdict = fail(attempt_table, f"p{prefill} d{prefill}", now, evidence)
+        # Every prefill worker has its own decode worker, so no other peer adds evidence.
+        verdict = fail(evidence_table, f"p{prefill} d{prefill}", now, evidence)
         assert verdict is not DECODE
         assert verdict is not PREFILL or evidence is TransferEvidence.HANDLE_DENIED
 
@@ -170,16 +172,16 @@
 def test_memory_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("MAXIMUM_WORKERS", "MAXIMUM_PEERS", "MAXIMUM_AVOIDED_PAIRS"):
         monkeypatch.setattr(kv_transfer_evidence, name, 4)
-    attempt_table = TransferEvidenceTable()
+    evidence_table = TransferEvidenceTable()
     for number in range(50):
-        fail(attempt_table, f"p{number} d{number}", float(number))
-        fail(attempt_table, f"p{number} d0", float(number))
-        attempt_table.record_unreachable(f"p{number}", float(number))
-        attempt_table.record_success(f"p{number}", f"d{number}", float(number))
-    assert len(attempt_table._prefill_failures._times) <= 4
-    assert len(attempt_table._decode_failures._times["d0"]) <= 4
-    assert len(attempt_table._last_unreachable._times) <= 4
-    assert len(attempt_table._last_success._times) <= 4
+        fail(evidence_table, f"p{number} d{number}", float(number))
+        fail(evidence_table, f"p{number} d0", float(number))
+        evidence_table.record_unreachable(f"p{number}", float(number))
+        evidence_table.record_success(f"p{number}", f"d{number}", float(number))
+    assert len(evidence_table._prefill_failures._times) <= 4
+    assert len(evidence_table._decode_failures._times["d0"]) <= 4
+    assert len(evidence_table._last_unreachable._times) <= 4
+    assert len(evidence_table._last_success._times) <= 4
     avoidance = PairAvoidance()
     for number in range(50):
         avoidance.avoid(f"p{number}", "d", 9.0)
--- a/tests/routing/test_pairing.py
+++ b/tests/routing/test_pairing.py
@@ -1,4 +1,4 @@
-"""Order of the prefill, decode and plain candidates."""
+"""Ranking of the prefill, decode and plain candidates."""
 
 from collections.abc import Sequence
 
@@ -151,7 +151,10 @@
 
 
 def zoned(name: str, count: int, zones: int, service: str = "wine") -> list[WorkerRecord]:
-    return [worker(f"{name}{one}", zone=f"z{one % zones}", service=service) for one in range(count)]
+    return [
+        worker(f"{name}{number}", zone=f"z{number % zones}", service=service)
+        for number in range(count)
+    ]
 
 
 def test_a_plain_worker_of_the_own_zone_goes_first_unless_it_is_much_busier() -> None:
@@ -161,9 +164,9 @@
         plain = PlainQuery(service="stock", request_id=f"r{number}")
         assert selector.plain_candidates(plain, {}).candidates[0] == "s3"
         assert selector.plain_candidates(plain, {"s3": 1}).candidates[0] == "s3"
-        busy = selector.plain_candidates(plain, {"s3": 3}).candidates
-        assert busy[0] != "s3"
-        assert "s3" in busy
+        loaded = selector.plain_candidates(plain, {"s3": 3}).candidates
+        assert loaded[0] != "s3"
+        assert "s3" in loaded
         again = PlainQuery(service="stock", request_id=f"r{number}", tried=("s3",))
         assert selector.plain_candidates(again, {}).candidates[0] != "s3"
 
@@ -182,7 +185,7 @@
     for number in range(50):
         model_query = query(request_id=f"r{number}")
         stage_candidates = selector.decode_candidates(model_query, "", {}, 0.0)
-        zones = [int(one[1:]) % 5 for one in stage_candidates.candidates]
+        zones = [int(worker_id[1:]) % 5 for worker_id in stage_candidates.candidates]
         assert zones[0] == 2
         assert len(set(zones)) > 1
         elsewhere = selector.decode_candidates(model_query, "p-unknown", {}, 0.0)
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: never above its share over any window, summed over several routers."""
+"""The retry budget: the retries of all routers together stay within the share in any window."""
 
 import math
 from collections.abc import Iterable
@@ -18,7 +18,8 @@
 
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=200)
 
-# Router, time since the previous event, whether a first attempt (otherwise a retry), how many.
+# Index of the router, seconds since the previous event, whether the event is a first attempt
+# (otherwise a retry), and the number of attempts.
 Event = tuple[int, float, bool, int]
 events = st.lists(
     st.tuples(st.integers(0, 2), st.floats(0, 3), st.booleans(), st.integers(1, 12)), max_size=80
@@ -29,7 +30,7 @@
     return sum(start <= time <= end for time in times)
 
 
-def play(budgets: list[RetryBudget], history: list[Event]) -> tuple[list[float], list[float]]:
+def replay(budgets: list[RetryBudget], history: list[Event]) -> tuple[list[float], list[float]]:
     """Return the times of all first attempts and of all granted retries."""
     firsts: list[float] = []
     retries: list[float] = []
@@ -53,11 +54,11 @@
 ) -> None:
     policy = RetryPolicy(budget_ratio=ratio, budget_minimum_per_second=minimum)
     routers = [RetryBudget(policy, router_count=3) for _ in range(3)]
-    firsts, retries = play(routers, history)
+    firsts, retries = replay(routers, history)
     window = routers[0].window_seconds
     for end in retries:
-        # Each router's newest retry lies within one window before the end, so first attempts of
-        # two windows can have granted them.
+        # Each router granted its newest retry within one window before the end, so the first
+        # attempts of two windows can count towards these retries.
         share = ratio * count_within(firsts, end - 2 * window, end)
         assert count_within(retries, end - window, end) <= share + minimum * window + SLACK
 
@@ -66,7 +67,7 @@
 @given(events)
 def test_one_router_stays_within_the_share_of_the_very_window(history: list[Event]) -> None:
     policy = RetryPolicy()
-    firsts, retries = play([RetryBudget(policy)], history)
+    firsts, retries = replay([RetryBudget(policy)], history)
     for end in retries:
         start = end - policy.budget_window_seconds
         allowed = policy.budget_ratio * count_within(firsts, start, end) + 5.0
@@ -130,5 +131,5 @@
     budget = RetryBudget(RetryPolicy())
     for number in range(20_000):
         budget.record_first_attempt(number * 0.1)
-    kept = len(budget._first_attempts._buckets)
-    assert kept <= math.ceil(MAXIMUM_WINDOW_SECONDS / BUCKET_SECONDS) + 2
+    retained = len(budget._first_attempts._buckets)
+    assert retained <= math.ceil(MAXIMUM_WINDOW_SECONDS / BUCKET_SECONDS) + 2
--- a/tests/routing/test_ring.py
+++ b/tests/routing/test_ring.py
@@ -1,4 +1,4 @@
-"""Properties of the hash ring: minimal movement, balance, prefix affinity, determinism."""
+"""The hash ring: minimal movement of keys, balance, prefix affinity and determinism."""
 
 import subprocess
 import sys
@@ -83,9 +83,11 @@
         "from orchidpath.routing.ring import HashRing, prefix_key;"
         "print(prefix_key('m', 'p'), HashRing.build({'a', 'b', 'c', 'd'}).preference(7, 4))"
     )
-    seen = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    completed = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    )
     expected = (prefix_key("m", "p"), HashRing.build({"a", "b", "c", "d"}).preference(7, 4))
-    assert seen.stdout.split(maxsplit=1) == [str(expected[0]), f"{expected[1]}\n"]
+    assert completed.stdout.split(maxsplit=1) == [str(expected[0]), f"{expected[1]}\n"]
 
 
 @DETERMINISTIC
--- a/tests/routing/test_route_table.py
+++ b/tests/routing/test_route_table.py
@@ -1,4 +1,4 @@
-"""Matching of requests to routes."""
+"""The route table: matching of requests to routes."""
 
 import pytest
 
--- a/tests/routing/test_stream.py
+++ b/tests/routing/test_stream.py
@@ -1,4 +1,4 @@
-"""Validation of decode streams."""
+"""Validation of the frames of a decode stream."""
 
 import pytest
 
