--- a/src/orchidpath/routing/pairing.py
+++ b/src/orchidpath/routing/pairing.py
@@ -132,7 +132,7 @@
     candidate_limit : int
         Maximum number of candidates of one stage.
     zone : str
-        Zone of the router; empty when it is not known.
+        Zone of the router; empty if it is unknown.
     """
 
     def __init__(
@@ -275,8 +275,8 @@
     def _spread_over_zones(self, ordered: Sequence[str]) -> list[str]:
         """Move workers of other zones up, so that the candidates cover more zones.
 
-        The first half of the candidate limit keeps its order. Workers of the other zones follow,
-        one of each zone in turn; the remaining workers of the first worker's zone come last.
+        The first ``candidate_limit // 2`` workers keep their order. Workers of the other zones
+        follow, one of each zone in turn; the rest of the first worker's zone comes last.
         """
         retained = self._candidate_limit // 2
         by_zone: dict[str, list[str]] = {}
--- a/tests/routing/test_kv_transfer_evidence.py
+++ b/tests/routing/test_kv_transfer_evidence.py
@@ -42,7 +42,9 @@
 
 
 @pytest.mark.parametrize("evidence", [UNREACHABLE, CUT])
-def test_one_pair_only_is_the_link_and_is_avoided_for_a_while(evidence: TransferEvidence) -> None:
+def test_a_single_failing_pair_is_attributed_to_the_link_and_avoided_for_a_while(
+    evidence: TransferEvidence,
+) -> None:
     evidence_table = TransferEvidenceTable()
     for now in range(5):
         assert fail(evidence_table, "p1 d1", float(now), evidence) is LINK
@@ -54,7 +56,7 @@
     assert not evidence_table.avoidance.is_avoided("p1", "d1", 5.0)
 
 
-def test_rejected_handle_charges_the_prefill_side_unless_it_had_expired() -> None:
+def test_a_denied_handle_charges_the_prefill_side_unless_it_had_expired() -> None:
     evidence_table = TransferEvidenceTable()
     assert (
         fail(evidence_table, "p1 d1", 1.0, TransferEvidence.HANDLE_DENIED, expires_at=1.5)
@@ -78,7 +80,7 @@
     assert fail(evidence_table, "p4 d1", 2.0) is LINK
 
 
-def test_router_that_cannot_reach_the_prefill_worker_corroborates() -> None:
+def test_a_router_that_cannot_reach_the_prefill_worker_charges_the_prefill_side() -> None:
     evidence_table = TransferEvidenceTable()
     evidence_table.record_unreachable("p1", 0.0)
     assert fail(evidence_table, "p1 d1", REACHABILITY_WINDOW_SECONDS, UNREACHABLE) is PREFILL
@@ -88,9 +90,7 @@
     assert fail(evidence_table, "p2 d2", 10.0, UNREACHABLE) is LINK
 
 
-def test_failures_that_are_certainly_the_prefill_sides_never_count_against_the_decode_side() -> (
-    None
-):
+def test_failures_that_are_certainly_of_the_prefill_side_do_not_count_against_decode() -> None:
     evidence_table = TransferEvidenceTable()
     for prefill in ("p1", "p2", "p3"):
         evidence_table.record_unreachable(prefill, 1.0)
@@ -98,14 +98,14 @@
     assert fail(evidence_table, "p4 d1", 2.0) is LINK
 
 
-def test_same_decode_worker_with_several_prefill_workers_is_the_decode_side() -> None:
+def test_one_decode_worker_failing_with_several_prefill_workers_is_charged() -> None:
     evidence_table = TransferEvidenceTable()
     assert fail(evidence_table, "p1 d1", 1.0) is LINK
     assert fail(evidence_table, "p2 d1", 2.0, UNREACHABLE) is DECODE
     assert fail(evidence_table, "p3 d1", 3.0) is DECODE
 
 
-def test_same_prefill_worker_with_several_decode_workers_is_the_prefill_side() -> None:
+def test_one_prefill_worker_failing_with_several_decode_workers_is_charged() -> None:
     evidence_table = TransferEvidenceTable()
     assert fail(evidence_table, "p1 d1", 1.0, UNREACHABLE) is LINK
     assert fail(evidence_table, "p1 d2", 2.0, UNREACHABLE) is PREFILL
@@ -117,7 +117,7 @@
     assert fail(evidence_table, "p2 d1", EVIDENCE_WINDOW_SECONDS) is LINK
 
 
-def test_worker_that_has_since_worked_with_a_peer_is_not_charged() -> None:
+def test_a_worker_that_has_since_succeeded_with_a_peer_is_not_charged() -> None:
     evidence_table = TransferEvidenceTable()
     fail(evidence_table, "p1 d1", 1.0)
     evidence_table.record_success("p3", "d1", 2.0)
--- a/tests/routing/test_pairing.py
+++ b/tests/routing/test_pairing.py
@@ -157,7 +157,7 @@
     ]
 
 
-def test_a_plain_worker_of_the_own_zone_goes_first_unless_it_is_much_busier() -> None:
+def test_a_plain_worker_of_the_own_zone_ranks_first_unless_its_load_is_much_higher() -> None:
     workers = zoned("s", 7, 7, service="stock")
     selector = selector_of(workers, zone="z3")
     for number in range(50):
@@ -171,7 +171,7 @@
         assert selector.plain_candidates(again, {}).candidates[0] != "s3"
 
 
-def test_a_zone_without_a_plain_worker_draws_from_all() -> None:
+def test_a_router_whose_zone_has_no_plain_worker_samples_all_zones() -> None:
     selector = selector_of(zoned("s", 4, 2, service="stock"), zone="z9")
     firsts = {
         selector.plain_candidates(PlainQuery(service="stock", request_id=f"r{n}"), {}).candidates[0]
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -65,7 +65,9 @@
 
 @DETERMINISTIC
 @given(events)
-def test_one_router_stays_within_the_share_of_the_very_window(history: list[Event]) -> None:
+def test_retries_of_one_router_stay_within_the_share_of_the_same_window(
+    history: list[Event],
+) -> None:
     policy = RetryPolicy()
     firsts, retries = replay([RetryBudget(policy)], history)
     for end in retries:
@@ -101,9 +103,7 @@
 
 @DETERMINISTIC
 @given(st.integers(1, 40), st.sampled_from([0.5, 1.0, 3.0]))
-def test_routers_divide_the_minimum_and_none_is_left_without(
-    router_count: int, minimum: float
-) -> None:
+def test_routers_divide_the_minimum_and_each_can_retry(router_count: int, minimum: float) -> None:
     policy = RetryPolicy(budget_minimum_per_second=minimum)
     routers = [RetryBudget(policy) for _ in range(router_count)]
     for router in routers:
