--- a/src/orchidpath/routing/kv_transfer_evidence.py
+++ b/src/orchidpath/routing/kv_transfer_evidence.py
@@ -211,7 +211,7 @@
         if len(self._times) > MAXIMUM_WORKERS:
             del self._times[next(iter(self._times))]
 
-    def clear(self, worker_id: str) -> None:
+    def discard(self, worker_id: str) -> None:
         """Remove the entry of a worker."""
         self._times.pop(worker_id, None)
 
@@ -246,7 +246,7 @@
         prefill_worker_id : str
             The worker that replied.
         """
-        self._last_unreachable.clear(prefill_worker_id)
+        self._last_unreachable.discard(prefill_worker_id)
 
     def record_unreachable(self, prefill_worker_id: str, now: float) -> None:
         """Record that this router itself could not reach a prefill worker.
--- a/src/orchidpath/routing/retry_budget.py
+++ b/src/orchidpath/routing/retry_budget.py
@@ -8,8 +8,9 @@
 Whenever a retry is granted, the retries in the window that ends at that time are at most
 ``budget_ratio`` times the first attempts in that window, plus ``budget_minimum_per_second`` times
 the length of the window divided by the number of routers. If that minimum is less than one retry,
-the window is widened, up to ``MAXIMUM_WINDOW_SECONDS``, until the minimum is one retry: the rate
-still holds, and every router can retry.
+the window is widened until the minimum is one retry: the rate still holds, and every router can
+retry. The window never exceeds ``MAXIMUM_WINDOW_SECONDS``; if one retry would take longer than
+that, a router without first attempts of its own gets no retry.
 """
 
 import math
