--- a/src/orchidpath/routing/pairing.py
+++ b/src/orchidpath/routing/pairing.py
@@ -114,7 +114,7 @@
         return ring
 
 
-class _EligibleWorkers(msgspec.Struct, frozen=True):
+class _WorkerPool(msgspec.Struct, frozen=True):
     """The eligible workers of one service, stage and model: a ring of all, and one of each zone."""
 
     ring: HashRing
@@ -142,7 +142,7 @@
         self._candidate_limit = candidate_limit
         self._own_zone = zone
         self._rings = RingCache()
-        self._eligible_workers_by_key: dict[tuple[str, Stage, str], _EligibleWorkers] = {}
+        self._pools: dict[tuple[str, Stage, str], _WorkerPool] = {}
         self._workers: dict[tuple[str, Stage], list[WorkerRecord]] = {}
         self._zones: dict[str, str] = {}
         self._load_bound_factor = 1.0
@@ -156,7 +156,7 @@
         view : FleetView
             The snapshot that the router has adopted.
         """
-        self._eligible_workers_by_key = {}
+        self._pools = {}
         self._workers = {}
         self._zones = {worker.worker_id: worker.zone for worker in view.workers}
         admission = view.configuration.admission
@@ -209,9 +209,9 @@
         StageCandidates
             The worker whose prefix cache most likely holds the prefix comes first.
         """
-        eligible = self._eligible_workers(query.service, Stage.PREFILL, query.model)
-        bound = self._load_bound(eligible, in_flight)
-        considered = eligible.ring.preference(query.key, CONSIDERED_WORKERS)
+        pool = self._pool(query.service, Stage.PREFILL, query.model)
+        bound = self._load_bound(pool, in_flight)
+        considered = pool.ring.preference(query.key, CONSIDERED_WORKERS)
         ordered = sorted(
             considered,
             key=lambda worker_id: (
@@ -249,10 +249,10 @@
         StageCandidates
             The decode worker with the lowest cost comes first.
         """
-        eligible = self._eligible_workers(query.service, Stage.DECODE, query.model)
-        bound = self._load_bound(eligible, in_flight)
+        pool = self._pool(query.service, Stage.DECODE, query.model)
+        bound = self._load_bound(pool, in_flight)
         zone = self._zones.get(prefill_worker_id, self._own_zone)
-        considered = self._considered_for_decode(eligible, zone, request_key(query.request_id))
+        considered = self._considered_for_decode(pool, zone, request_key(query.request_id))
 
         def cost(worker_id: str) -> tuple[bool, bool, bool, bool, int]:
             load = in_flight.get(worker_id, 0)
@@ -311,11 +311,11 @@
             The sampled workers by load, then the others in ring order from the request id's key;
             workers that were already tried come last.
         """
-        eligible = self._eligible_workers(query.service, Stage.PLAIN, "")
+        pool = self._pool(query.service, Stage.PLAIN, "")
         key = request_key(query.request_id)
-        all_zones = eligible.ring.preference(key, CONSIDERED_WORKERS)
+        all_zones = pool.ring.preference(key, CONSIDERED_WORKERS)
         untried = [worker_id for worker_id in all_zones if worker_id not in query.tried]
-        same_zone_ring = eligible.zone_rings.get(self._own_zone)
+        same_zone_ring = pool.zone_rings.get(self._own_zone)
         same_zone = (
             same_zone_ring.preference(key, CONSIDERED_WORKERS) if same_zone_ring is not None else ()
         )
@@ -349,7 +349,7 @@
         tuple[str, ...]
             Ids of the workers.
         """
-        return self._eligible_workers(service, stage, model).worker_ids
+        return self._pool(service, stage, model).worker_ids
 
     def _stage_candidates(
         self, stage: Stage, ordered: Iterable[str], tried: tuple[str, ...]
@@ -357,17 +357,17 @@
         candidates = tuple(ordered)[: self._candidate_limit]
         return StageCandidates(stage=stage, candidates=candidates, tried=tried)
 
-    def _eligible_workers(self, service: str, stage: Stage, model: str) -> _EligibleWorkers:
-        eligible_key = (service, stage, "" if stage is Stage.PLAIN else model)
-        eligible = self._eligible_workers_by_key.get(eligible_key)
-        if eligible is None:
-            eligible = self._build_eligible_workers(*eligible_key)
-            if eligible.worker_ids:
+    def _pool(self, service: str, stage: Stage, model: str) -> _WorkerPool:
+        pool_key = (service, stage, "" if stage is Stage.PLAIN else model)
+        pool = self._pools.get(pool_key)
+        if pool is None:
+            pool = self._build_pool(*pool_key)
+            if pool.worker_ids:
                 # Callers choose the model names: caching unknown models would let memory grow.
-                self._eligible_workers_by_key[eligible_key] = eligible
-        return eligible
+                self._pools[pool_key] = pool
+        return pool
 
-    def _build_eligible_workers(self, service: str, stage: Stage, model: str) -> _EligibleWorkers:
+    def _build_pool(self, service: str, stage: Stage, model: str) -> _WorkerPool:
         workers = [
             worker
             for worker in self._workers.get((service, stage), [])
@@ -382,22 +382,22 @@
             for zone, zone_ids in by_zone.items()
         }
         ring = self._rings.ring(service, stage, worker_ids)
-        return _EligibleWorkers(ring, zone_rings, worker_ids)
+        return _WorkerPool(ring, zone_rings, worker_ids)
 
-    def _load_bound(self, eligible: _EligibleWorkers, in_flight: Mapping[str, int]) -> float:
-        if not eligible.worker_ids:
+    def _load_bound(self, pool: _WorkerPool, in_flight: Mapping[str, int]) -> float:
+        if not pool.worker_ids:
             return math.inf
-        total = sum(in_flight.get(worker_id, 0) for worker_id in eligible.worker_ids)
-        mean = (total + 1) / len(eligible.worker_ids)
+        total = sum(in_flight.get(worker_id, 0) for worker_id in pool.worker_ids)
+        mean = (total + 1) / len(pool.worker_ids)
         return max(math.ceil(self._load_bound_factor * mean), self._load_bound_minimum)
 
     @staticmethod
-    def _considered_for_decode(eligible: _EligibleWorkers, zone: str, key: int) -> list[str]:
+    def _considered_for_decode(pool: _WorkerPool, zone: str, key: int) -> list[str]:
         """Return workers of one zone and then of all zones; each group gets a part of the limit."""
         half = CONSIDERED_WORKERS // 2
-        same_zone_ring = eligible.zone_rings.get(zone)
+        same_zone_ring = pool.zone_rings.get(zone)
         same_zone = same_zone_ring.preference(key, half) if same_zone_ring is not None else ()
-        all_zones = eligible.ring.preference(key, CONSIDERED_WORKERS)
+        all_zones = pool.ring.preference(key, CONSIDERED_WORKERS)
         return list(dict.fromkeys((*same_zone, *all_zones)))[:CONSIDERED_WORKERS]
 
 
--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -11,13 +11,13 @@
 from orchidpath.emulators.backend.backend_core import AttemptDispatch
 from orchidpath.emulators.worker.kv_cache import HandleClaim
 from orchidpath.routing.retry_budget import MAXIMUM_WINDOW_SECONDS
+from orchidpath.simulation.environment import MAX_CLOCK_RATE_ERROR, SimulatedEnvironment
 from orchidpath.simulation.fleet_checks import InvariantError
 from orchidpath.simulation.requests.exchange_messages import (
     REPEATABLE_KINDS,
     CallerRequest,
     RequestKind,
 )
-from orchidpath.simulation.world import MAX_CLOCK_RATE_ERROR, World
 from orchidpath.wire.backend import CacheHandle, DecodeFrame, ErrorBody, FrameKind, Ran
 from orchidpath.wire.configuration import RetryPolicy
 from orchidpath.wire.messages import AttemptEffect, AttemptReport, Choice
@@ -58,14 +58,14 @@
 class Unusable(msgspec.Struct, kw_only=True):
     """Since when an incarnation is to get no new order.
 
-    ``in_force_at`` is when a majority of the witnesses had adopted that: a leader that is
+    ``majority_adopted_at`` is when a majority of the witnesses had adopted that: a leader that is
     partitioned from them may have applied it long before, and the fleet's rule counts from here
     (docs/design/freshness.md).
     """
 
     applied_at: float
     revision: int
-    in_force_at: float | None = None
+    majority_adopted_at: float | None = None
 
 
 class RequestCounts(msgspec.Struct, kw_only=True):
@@ -89,15 +89,15 @@
 
     Parameters
     ----------
-    world
+    environment
         Gives the true time.
     retry
         The retry policy applied.
     """
 
-    def __init__(self, world: World, retry: RetryPolicy) -> None:
+    def __init__(self, environment: SimulatedEnvironment, retry: RetryPolicy) -> None:
         self.counts = RequestCounts()
-        self._world = world
+        self._environment = environment
         self._retry = retry
         self._submissions: dict[tuple[str, int], Submission] = {}
         self._submission_of_attempt: dict[str, Submission] = {}
@@ -116,41 +116,41 @@
 
     # Callers and routers
 
-    def submitted(self, request: CallerRequest) -> Submission:
+    def record_submission(self, request: CallerRequest) -> Submission:
         """Record that a router has got a request."""
         self.counts.submitted += 1
         submission = Submission(
-            request=request, arrived_at=self._world.time, texts=[], transients=[]
+            request=request, arrived_at=self._environment.time, texts=[], transients=[]
         )
         self._submissions[request.request_id, request.submission] = submission
         return submission
 
-    def refused_at_once(self, submission: Submission) -> None:
+    def check_immediate_rejection(self, submission: Submission) -> None:
         """Check that a router which takes a request not in says so without waiting."""
-        waited = self._world.time - submission.arrived_at
+        waited = self._environment.time - submission.arrived_at
         self._check(waited < DEADLINE_SLACK_SECONDS, f"a refusal waited for {waited:.3f} s")
 
-    def answered(self, submission: Submission, was_frozen: bool) -> None:
+    def check_response_time(self, submission: Submission, was_frozen: bool) -> None:
         """Check that an answer, or its first content, does not come after the deadline."""
         if was_frozen or submission.has_content:
             return
         allowed = submission.request.deadline_seconds * (1 + MAX_CLOCK_RATE_ERROR)
-        waited = self._world.time - submission.arrived_at
+        waited = self._environment.time - submission.arrived_at
         self._check(
             waited <= allowed + DEADLINE_SLACK_SECONDS,
             f"{_name(submission)} was answered after {waited:.3f} s, its deadline is {allowed:.3f}",
         )
 
-    def backed_off(self, submission: Submission, seconds: float) -> None:
+    def check_backoff(self, submission: Submission, seconds: float) -> None:
         """Check that nobody waits for a retry which its deadline does not allow."""
-        left = submission.arrived_at + submission.request.deadline_seconds - self._world.time
+        left = submission.arrived_at + submission.request.deadline_seconds - self._environment.time
         allowed = max(left, 0.0) * (1 + 2 * MAX_CLOCK_RATE_ERROR) + DEADLINE_SLACK_SECONDS
         self._check(
             seconds <= allowed,
             f"{_name(submission)} waits {seconds:.3f} s with {left:.3f} s left",
         )
 
-    def relayed(self, submission: Submission, frames: tuple[DecodeFrame, ...]) -> None:
+    def check_relayed_frames(self, submission: Submission, frames: tuple[DecodeFrame, ...]) -> None:
         """Check frames as the caller gets them."""
         self._check(not submission.is_ended, f"{_name(submission)} got frames after its end")
         is_first = not submission.has_content
@@ -163,7 +163,7 @@
         submission.has_content = True
         submission.texts += [frame.text for frame in frames if frame.kind is FrameKind.CONTENT]
 
-    def ended(self, submission: Submission) -> None:
+    def check_end(self, submission: Submission) -> None:
         """Check that an answer ends once."""
         self._check(not submission.is_ended, f"{_name(submission)} ended twice")
         submission.is_ended = True
@@ -177,11 +177,13 @@
 
     # Orders
 
-    def first_attempt(self, router: str, epoch: int, service: str, router_count: int) -> None:
+    def record_first_attempt(
+        self, router: str, epoch: int, service: str, router_count: int
+    ) -> None:
         """Count a first attempt towards a service's budget on one run of a router."""
         self._spending_of(router, epoch, service, router_count).firsts += 1
 
-    def retried(
+    def check_retry(
         self, submission: Submission, router: str, epoch: int, service: str, router_count: int
     ) -> None:
         """Check a retry against the commit rule and the service's budget."""
@@ -199,13 +201,13 @@
             f"attempts; the budget allows {allowed:.1f}",
         )
 
-    def decided(self, attempt_id: str, choices: tuple[Choice, ...]) -> None:
+    def record_decision(self, attempt_id: str, choices: tuple[Choice, ...]) -> None:
         """Note which workers the leader granted as probes."""
         for choice in choices:
             if choice.probe_generation is not None:
                 self._probe_choices[attempt_id, choice.worker_id] = choice.probe_generation
 
-    def ordered(
+    def check_dispatch(
         self, submission: Submission, router: str, epoch: int, worker: WorkerRecord, attempt_id: str
     ) -> None:
         """Check an order at the moment at which its first byte leaves a router.
@@ -226,7 +228,7 @@
         )
         self._check_probe(worker, attempt_id)
 
-    def heard_draining(self, router: str, epoch: int, record: WorkerRecord) -> None:
+    def record_announcement(self, router: str, epoch: int, record: WorkerRecord) -> None:
         """Record what a worker told a router of itself."""
         key = (router, epoch, record.worker_id, record.incarnation)
         if record.status is WorkerStatus.READY:
@@ -234,9 +236,9 @@
         else:
             self._heard_draining.add(key)
 
-    def agreed(self, revision: int, workers: tuple[WorkerRecord, ...]) -> None:
+    def record_applied_view(self, revision: int, workers: tuple[WorkerRecord, ...]) -> None:
         """Note which workers may get orders, as the control tier has just applied it."""
-        now = self._world.time
+        now = self._environment.time
         usable = {
             (one.worker_id, one.incarnation)
             for one in workers
@@ -251,13 +253,13 @@
                 self._unusable.setdefault(key, Unusable(applied_at=now, revision=revision))
         self._agreed = present
 
-    def in_force(self, revision: int) -> None:
+    def record_majority_adoption(self, revision: int) -> None:
         """Record that a majority of the witnesses has adopted a revision."""
         for unusable in self._unusable.values():
-            if unusable.in_force_at is None and unusable.revision <= revision:
-                unusable.in_force_at = self._world.time
+            if unusable.majority_adopted_at is None and unusable.revision <= revision:
+                unusable.majority_adopted_at = self._environment.time
 
-    def reported(self, submission: Submission, report: AttemptReport) -> None:
+    def check_report(self, submission: Submission, report: AttemptReport) -> None:
         """Check what a router is about to count against a worker."""
         if report.effect is not AttemptEffect.TRANSIENT:
             return
@@ -273,7 +275,7 @@
 
     # Back ends
 
-    def executed(self, incarnation: str, order: AttemptDispatch) -> None:
+    def check_execution(self, incarnation: str, order: AttemptDispatch) -> None:
         """Check the start of a prefill or an execution on a back end."""
         submission = self._submission_of_attempt.get(order.attempt_id)
         if submission is None:
@@ -328,10 +330,10 @@
         unusable = self._unusable.get(key)
         if unusable is None:
             return
-        since = unusable.applied_at if self.witnesses_reachable else unusable.in_force_at
+        since = unusable.applied_at if self.witnesses_reachable else unusable.majority_adopted_at
         if since is None:
             return
-        late = self._world.time - since
+        late = self._environment.time - since
         self._check(
             late <= NO_ORDER_AFTER_SECONDS * (1 + MAX_CLOCK_RATE_ERROR),
             f"{router} sent an order to {key[1]} {late:.3f} s after its draining or end was known",
@@ -352,7 +354,9 @@
     def _spending_of(self, router: str, epoch: int, service: str, router_count: int) -> Spending:
         spending = self._spending.setdefault(
             (router, epoch, service),
-            Spending(since=self._world.time, min_routers=router_count, most_routers=router_count),
+            Spending(
+                since=self._environment.time, min_routers=router_count, most_routers=router_count
+            ),
         )
         spending.min_routers = min(spending.min_routers, router_count)
         spending.most_routers = max(spending.most_routers, router_count)
@@ -363,7 +367,7 @@
         policy = self._retry
         minimum = policy.budget_minimum_per_second
         window = max(policy.budget_window_seconds, spending.most_routers / minimum)
-        seconds = self._world.time - spending.since + min(window, MAXIMUM_WINDOW_SECONDS)
+        seconds = self._environment.time - spending.since + min(window, MAXIMUM_WINDOW_SECONDS)
         share = policy.budget_ratio * spending.firsts
         return share + minimum * seconds / spending.min_routers + BUDGET_SLACK_RETRIES
 
