--- a/src/orchidpath/placement/planner.py
+++ b/src/orchidpath/placement/planner.py
@@ -1,8 +1,9 @@
-"""From the agreed workers and the desired counts to the plan that reaches them; pure.
+"""Computes the plan that brings the workers of a service to the desired counts per stage.
 
-The plan moves the fewest workers, keeps zones and failure domains even in both stages and, among
-equals, moves the smallest share of the prefill ring (docs/design/plans.md, "Whom to move"). It
-depends on agreed state only, so every control process computes the same plan under the same id.
+The plan moves as few workers as possible, keeps both stages balanced across zones and failure
+domains and, among equivalent choices, moves the smallest share of the prefill ring
+(docs/design/plans.md, "Whom to move"). It depends only on replicated state, so every control
+process computes the same plan with the same id. The module does no input or output.
 """
 
 import hashlib
@@ -19,10 +20,10 @@
 from orchidpath.wire.records import FleetView, Stage, WorkerRecord
 
 DRAIN_MARGIN_SECONDS = 10.0
-"""Added to the longest deadline of a service's routes for the wait until a worker is idle."""
+"""Added to the longest deadline of a service's routes to bound the time to drain a worker."""
 
 PLAN_ID_CHARACTERS = 16
-"""Characters of a plan's digest that make its id: 64 bits."""
+"""Length of a plan id: the first hexadecimal characters of the plan's digest, 64 bits."""
 
 
 class RefusalReason(StrEnum):
@@ -34,7 +35,7 @@
 
 
 class PlanRefusal(msgspec.Struct, frozen=True, kw_only=True):
-    """A service with desired counts that no step is planned for, and why."""
+    """A service with desired counts for which no step is planned, and the reason."""
 
     service: str
     reason: RefusalReason
@@ -42,7 +43,11 @@
 
 
 class StepPreview(msgspec.Struct, frozen=True, kw_only=True):
-    """One worker's change; ``ring_share`` is its share of the prefill ring before or after."""
+    """The stage change of one worker.
+
+    ``ring_share`` is the share of the prefill ring that the worker owns while it is a prefill
+    worker, that is, before or after the change.
+    """
 
     step: PlanStep
     zone: str
@@ -51,11 +56,11 @@
 
 
 class ServicePreview(msgspec.Struct, frozen=True, kw_only=True):
-    """What a plan means for one service.
+    """Effect of a plan on one service.
 
-    ``moved_ring_share`` is the share of the prefill ring's keys that get another owner, and so
-    lose their prefix cache. Times are bounds under one leader; each fail-over may add the bound of
-    one step.
+    ``moved_ring_share`` is the share of the prefill ring's keys that get another owner and
+    therefore lose their cached prefixes. Times are upper bounds without a change of leader; each
+    fail-over can add the bound of one step.
     """
 
     service: str
@@ -70,9 +75,10 @@
 
 
 class PlanPreview(msgspec.Struct, frozen=True, kw_only=True):
-    """What would move now, in this order; nothing without steps.
+    """The steps that a plan would execute now, in this order; empty if none are needed.
 
-    ``not_counted`` are workers of the services that are draining or cordoned.
+    ``not_counted`` are the workers of services with desired counts that are not serving, that is,
+    that are draining or cordoned.
     """
 
     plan: Plan
@@ -83,9 +89,10 @@
 
 
 class _ServiceMoves(msgspec.Struct, frozen=True):
-    """The workers of one service that change, and the service before.
+    """The workers of one service that change their stage, and both stages before the change.
 
-    ``shares`` are those of the ring of all prefill workers before or after.
+    ``shares`` are the ring shares of the prefill workers, on the ring before or after the change,
+    whichever is the larger.
     """
 
     service: Service
@@ -95,18 +102,18 @@
     shares: dict[str, float]
 
     def count_after(self, stage: Stage) -> int:
-        """Return how many workers a stage has once the moves are done."""
+        """Return the number of workers of a stage after all moves."""
         before = len(self.prefill if stage is Stage.PREFILL else self.decode)
         return before + sum(1 if worker.stage is not stage else -1 for worker in self.moved)
 
 
 def make_preview(view: FleetView) -> PlanPreview:
-    """Return the plan from the agreed state to the desired counts, and what it means.
+    """Return the plan from the replicated state to the desired counts, and its effects.
 
     Parameters
     ----------
     view
-        The agreed state: configuration and workers.
+        The replicated state: configuration and workers.
     """
     by_service = _by_service(view.workers)
     refusals: list[PlanRefusal] = []
@@ -116,16 +123,18 @@
         if service.kind is not ServiceKind.MODEL or not _has_desired_state(service):
             continue
         workers = by_service.get(service.name, [])
-        not_counted += [one.worker_id for one in workers if not is_serving(one)]
-        planned = _plan_service(service, [one for one in workers if is_serving(one)])
+        not_counted += [worker.worker_id for worker in workers if not is_serving(worker)]
+        planned = _plan_service(service, [worker for worker in workers if is_serving(worker)])
         if isinstance(planned, PlanRefusal):
             refusals.append(planned)
         else:
             moves.append(planned)
     return PlanPreview(
         plan=_make_plan(view, moves),
-        steps=tuple(step for one in moves for step in _step_previews(one)),
-        services=tuple(_service_preview(one, view.configuration) for one in moves),
+        steps=tuple(step for service_moves in moves for step in _step_previews(service_moves)),
+        services=tuple(
+            _service_preview(service_moves, view.configuration) for service_moves in moves
+        ),
         refusals=tuple(refusals),
         not_counted=tuple(not_counted),
     )
@@ -134,8 +143,8 @@
 def ring_shares(worker_ids: Sequence[str]) -> dict[str, float]:
     """Return each worker's share of the key space on a ring of these workers.
 
-    Only the keys of the workers that leave or join get another owner, so any number of them
-    moves the sum of their shares on the larger ring.
+    When workers leave or join, only the keys of these workers get another owner. The share of keys
+    that move is therefore the sum of these workers' shares on the larger ring.
     """
     ring = HashRing.build(worker_ids)
     lengths = dict.fromkeys(worker_ids, 0)
@@ -163,13 +172,13 @@
 
 
 def _plan_service(service: Service, workers: list[WorkerRecord]) -> _ServiceMoves | PlanRefusal:
-    """Choose the workers of one service that change, or say why none does.
+    """Choose the workers of one service that change their stage, or return why none does.
 
-    The desired counts are minimums; workers beyond both stay where they are. So at most one stage
-    lacks workers, and each move is needed.
+    The desired counts are minimums, and workers beyond both counts do not move. So at most one
+    stage lacks workers, and every move is needed.
     """
-    prefill = tuple(one for one in workers if one.stage is Stage.PREFILL)
-    decode = tuple(one for one in workers if one.stage is Stage.DECODE)
+    prefill = tuple(worker for worker in workers if worker.stage is Stage.PREFILL)
+    decode = tuple(worker for worker in workers if worker.stage is Stage.DECODE)
     desired = service.prefill_workers + service.decode_workers
     if service.prefill_workers < 1 or service.decode_workers < 1:
         message = "each stage needs a worker to serve"
@@ -181,9 +190,9 @@
     lacking_decode = service.decode_workers - len(decode)
     if lacking_prefill > 0:
         moved = _choose(decode, prefill, lacking_prefill, {})
-        shares = ring_shares([one.worker_id for one in (*prefill, *moved)])
+        shares = ring_shares([worker.worker_id for worker in (*prefill, *moved)])
     elif lacking_decode > 0:
-        shares = ring_shares([one.worker_id for one in prefill])
+        shares = ring_shares([worker.worker_id for worker in prefill])
         moved = _choose(prefill, decode, lacking_decode, shares)
     else:
         message = f"{len(prefill)} workers prefill and {len(decode)} decode"
@@ -201,20 +210,23 @@
     count: int,
     shares: dict[str, float],
 ) -> tuple[WorkerRecord, ...]:
-    """Choose the workers that leave a stage, one after another.
+    """Choose the workers that change from the source stage to the target stage, one by one.
 
-    Each time the zone, then the failure domain, where the source stage is furthest ahead of the
-    target stage: that keeps the sum of the squared counts of both stages smallest. Then the worker
-    with the smallest share of the ring, and so of the prefix caches; then by id.
+    Each choice takes a worker from the zone, then from the failure domain, with the largest surplus
+    of source workers over target workers. This minimizes the sum of the squared counts of both
+    stages. Ties are broken by the smallest ring share, and so the smallest loss of cached prefixes,
+    then by worker id.
     """
     zones = _Surplus(source, target, by_zone=True)
     domains = _Surplus(source, target, by_zone=False)
-    left = sorted(source, key=lambda one: (shares.get(one.worker_id, 0.0), one.worker_id))
+    remaining = sorted(
+        source, key=lambda worker: (shares.get(worker.worker_id, 0.0), worker.worker_id)
+    )
     chosen: list[WorkerRecord] = []
     for _ in range(count):
-        # max() keeps the first of equals, which is the one with the smallest share.
-        worker = max(left, key=lambda one: (zones.of(one), domains.of(one)))
-        left.remove(worker)
+        # max() returns the first of equal workers, which has the smallest ring share.
+        worker = max(remaining, key=lambda worker: (zones.of(worker), domains.of(worker)))
+        remaining.remove(worker)
         zones.move(worker)
         domains.move(worker)
         chosen.append(worker)
@@ -222,21 +234,21 @@
 
 
 class _Surplus:
-    """By how many workers one stage is ahead of the other, by zone or by failure domain."""
+    """Surplus of source workers over target workers in each zone or each failure domain."""
 
     def __init__(
         self, source: Sequence[WorkerRecord], target: Sequence[WorkerRecord], by_zone: bool
     ) -> None:
         self._by_zone = by_zone
-        self._counts = Counter(self._location(one) for one in source)
-        self._counts.subtract(self._location(one) for one in target)
+        self._counts = Counter(self._location(worker) for worker in source)
+        self._counts.subtract(self._location(worker) for worker in target)
 
     def of(self, worker: WorkerRecord) -> int:
-        """Return the surplus where a worker is."""
+        """Return the surplus in the zone or failure domain of a worker."""
         return self._counts[self._location(worker)]
 
     def move(self, worker: WorkerRecord) -> None:
-        """Record that a worker changes its stage."""
+        """Record that a worker changes from the source stage to the target stage."""
         self._counts[self._location(worker)] -= 2
 
     def _location(self, worker: WorkerRecord) -> str:
@@ -244,9 +256,9 @@
 
 
 def _make_plan(view: FleetView, moves: Sequence[_ServiceMoves]) -> Plan:
-    steps = tuple(_step(worker) for one in moves for worker in one.moved)
-    bounds = tuple(_bounds(one.service, view.configuration) for one in moves)
-    services = [one.service.name for one in moves]
+    steps = tuple(_step(worker) for service_moves in moves for worker in service_moves.moved)
+    bounds = tuple(_bounds(service_moves.service, view.configuration) for service_moves in moves)
+    services = [service_moves.service.name for service_moves in moves]
     basis = basis_digest(view.configuration_version, view.workers, services)
     content = msgspec.msgpack.encode((basis, steps, bounds))
     return Plan(
@@ -265,11 +277,11 @@
         incarnation=worker.incarnation,
         service=worker.service,
         from_stage=worker.stage,
-        to_stage=_other(worker.stage),
+        to_stage=_opposite(worker.stage),
     )
 
 
-def _other(stage: Stage) -> Stage:
+def _opposite(stage: Stage) -> Stage:
     return Stage.DECODE if stage is Stage.PREFILL else Stage.PREFILL
 
 
@@ -287,7 +299,7 @@
 
 
 def _step_previews(moves: _ServiceMoves) -> list[StepPreview]:
-    """Return each step with the share of the ring that its worker has as a prefill worker."""
+    """Return each step with the ring share that its worker owns as a prefill worker."""
     return [
         StepPreview(
             step=_step(worker),
--- a/src/orchidpath/placement/prefill_placement.py
+++ b/src/orchidpath/placement/prefill_placement.py
@@ -1,18 +1,21 @@
-"""Where prompts are prefilled: which workers cache a prefix, and what each has queued; pure.
-
-The leader decides every attempt, so it knows where each shared prefix was prefilled last and what
-every worker has queued. The cost of a prefill worker for a prompt is the time until the prompt is
-prefilled: the wait in its queue, and the prompt itself, without the shared prefix if the worker
-has it cached, at the worker's own pace. The hash ring gives the order among equal costs, so a new
-leader, which knows nothing yet, and a router that decides alone choose much the same.
-
-A decode worker may prefill a short prompt itself ("decode-side prefill"): more slowly and between
-the tokens of its streams, but without a KV transfer. That is chosen when its weighted cost is
-lower.
-
-All of this is soft state: an estimate, rebuilt by use. A wrong estimate costs a recomputed prefix.
-Costs are in prompt tokens, or in seconds where a worker's measured pace is known; how the weights
-were found is told in docs/measured-decisions.md and docs/large-deployments.md.
+"""Cost-based placement of prefills: estimates of cached prefixes and of prefill queues.
+
+The leader decides every attempt, so it can track where each shared prefix was prefilled last and
+which prompts every worker has queued. The cost of a prefill worker for a prompt is the time until
+the prompt is prefilled. It consists of the wait in the worker's queue and of the prefill itself at
+the worker's own pace; the shared prefix is left out if the worker has it cached. Workers of equal
+cost are taken in the order of the hash ring. A new leader without any estimates and a router that
+decides without the leader therefore choose mostly the same workers.
+
+A decode worker can also prefill a short prompt itself ("decode-side prefill"). This is slower and
+alternates with the decode steps of its running requests, but it needs no KV transfer. It is chosen
+when its weighted cost is lower.
+
+All of this is soft state: estimates that are rebuilt from new decisions and reports. A wrong
+estimate causes at most the recomputation of a prefix. Costs are in prompt tokens, except that
+prefill workers are compared in seconds at their own pace. docs/measured-decisions.md and
+docs/large-deployments.md explain the weights. The module does no input or output; callers pass in
+the time.
 """
 
 from collections import OrderedDict
@@ -33,60 +36,81 @@
 from orchidpath.wire.records import Stage
 
 PREFIX_CACHE_SHARE = 0.8
-"""Share of a worker's KV cache assumed to hold shared prefixes; running requests use the rest."""
+"""Share of a worker's KV cache that is assumed to hold shared prefixes.
+
+Running requests use the rest.
+"""
 
 DEFAULT_CAPACITY_TOKENS = 400_000
-"""KV cache of a worker, in tokens, when the configuration does not say."""
+"""KV cache capacity of a worker, in tokens, if the configuration does not set one."""
 
 RECOMPUTE_WEIGHT = 2.0
-"""Weight of a shared token that a worker must recompute: it also delays the requests behind."""
+"""Cost of recomputing one shared token, in tokens.
+
+It is above 1 because the recomputation also delays the requests queued behind it.
+"""
 
 DECODE_SIDE_PREFILL_WEIGHT = 5.0
-"""Weight of a token prefilled by a decode worker: half the pace, and its streams slow meanwhile."""
+"""Cost of prefilling one token on a decode worker, in tokens.
+
+A decode worker prefills at half the pace, and its running requests decode more slowly during the
+prefill.
+"""
 
 MAX_DECODE_SIDE_PREFILL_TOKENS = 6_000
-"""Most tokens that a decode worker prefills: KV transfers to it wait until it is done."""
+"""Upper bound on a decode-side prefill, in tokens.
+
+KV transfers to the decode worker wait until the prefill is complete.
+"""
 
 KV_TRANSFER_TOKENS = 1_500
-"""Fixed cost of a KV transfer, in tokens that could be prefilled meanwhile."""
+"""Fixed cost of a KV transfer, in tokens that could be prefilled during it."""
 
 TRANSFERRED_TOKEN_WEIGHT = 0.05
-"""Cost of transferring the KV cache of one token, in tokens that could be prefilled meanwhile."""
+"""Cost of transferring the KV cache of one token, in tokens that could be prefilled during it."""
 
 CROSS_ZONE_TRANSFER_WEIGHT = 0.25
-"""Cost of transferring the KV cache of one token to another zone, in tokens, beyond the same-zone
-cost: it takes longer and the traffic between zones is paid for."""
+"""Extra cost of transferring the KV cache of one token to another zone, in tokens.
+
+A cross-zone transfer takes longer than one within the zone, and cross-zone traffic is billed.
+"""
 
 CROSS_ZONE_REQUEST_TOKENS = 1_000
-"""Cost of a decode worker in another zone than the router's, in tokens.
+"""Extra cost of a decode worker outside the router's zone, in tokens.
 
-The request and its stream cross zones, over a connection that is seldom open already.
+The request and its stream cross zones, and a connection usually has to be opened first.
 """
 
 STREAM_TOKENS = 500
-"""Cost of one attempt in flight on a worker, in tokens."""
+"""Cost of each attempt in flight on a worker, in tokens."""
 
 QUEUED_TOKEN_WEIGHT = 0.5
-"""Cost, for a KV transfer, of a token that the decode worker has queued to prefill itself."""
+"""Cost of one token queued for decode-side prefill on a decode worker, in tokens.
+
+The queued prefills delay KV transfers to that worker.
+"""
 
 MAX_PENDING_PREFIXES = 40_000
-"""Bound on the prefixes remembered as about to be cached, one an attempt and worker."""
+"""Upper bound on the tracked prefixes that a worker will soon cache.
+
+There is one entry per attempt and worker.
+"""
 
 MIN_POSTPONED_TOKENS = 2_000
-"""A request is postponed only for a shared prefix of at least this many tokens."""
+"""Minimum length of a shared prefix, in tokens, for which a request is postponed."""
 
 MAX_POSTPONEMENT_SECONDS = 0.15
-"""Longest time after which a postponed request asks for a decision again."""
+"""Longest time after which a postponed request is submitted for a decision again."""
 
 MIN_POSTPONEMENT_SECONDS = 0.03
-"""Shortest time after which a postponed request asks for a decision again."""
+"""Shortest time after which a postponed request is submitted for a decision again."""
 
 MAX_OVERDUE_SECONDS = 1.0
-"""No request is postponed for a prefill that should have ended this long ago."""
+"""Requests are not postponed for a prefill that is overdue by more than this time."""
 
 
 class _CachedPrefixes:
-    """Prefixes that one worker is assumed to have cached; the least recently used goes first."""
+    """LRU estimate of the shared prefixes that one worker has cached."""
 
     def __init__(self) -> None:
         self._tokens: OrderedDict[int, int] = OrderedDict()
@@ -96,7 +120,7 @@
         return prefix_key in self._tokens
 
     def use(self, prefix_key: int, tokens: int, capacity_tokens: int) -> None:
-        """Mark a prefix as used now, and evict others beyond the capacity."""
+        """Mark a prefix as most recently used, and evict others while over capacity."""
         self._total += tokens - self._tokens.pop(prefix_key, 0)
         self._tokens[prefix_key] = tokens
         while self._total > capacity_tokens and len(self._tokens) > 1:
@@ -104,7 +128,7 @@
 
 
 class PrefillPlacement:
-    """Orders the candidates of decisions by the cost of prefilling the prompt there.
+    """Orders the candidate workers of a decision by the cost of running the attempt on them.
 
     Notes
     -----
@@ -122,27 +146,32 @@
         self._zones: Mapping[str, str] = {}
 
     def set_policy(self, policy: PlacementPolicy) -> None:
-        """Set which mechanisms are in use."""
+        """Set which placement mechanisms are enabled."""
         self._policy = policy
 
     def set_capacity(self, kv_capacity_tokens: int) -> None:
-        """Set the KV cache of a worker, in tokens; 0 when it is not known."""
+        """Set the KV cache capacity of each worker, in tokens; 0 selects the default."""
         self._capacity_tokens = kv_capacity_tokens or DEFAULT_CAPACITY_TOKENS
 
     def set_workers(self, worker_ids: frozenset[str]) -> None:
-        """Forget workers that were removed: a new incarnation has nothing cached."""
-        for worker_id in [one for one in self._cached_prefixes if one not in worker_ids]:
+        """Discard the state of workers that were removed.
+
+        A new incarnation of a worker starts with an empty cache.
+        """
+        for worker_id in [
+            worker_id for worker_id in self._cached_prefixes if worker_id not in worker_ids
+        ]:
             del self._cached_prefixes[worker_id]
-        for key in [one for one in self._prefilling if one[0] not in worker_ids]:
+        for key in [key for key in self._prefilling if key[0] not in worker_ids]:
             del self._prefilling[key]
         self._queues.set_workers(worker_ids)
 
     def set_zones(self, zones: Mapping[str, str]) -> None:
-        """Set the zone of every worker."""
+        """Set the zone of each worker, by worker id."""
         self._zones = zones
 
     def waiting_tokens(self, worker_id: str) -> int:
-        """Return the tokens that a worker has queued for prefill, as far as is known."""
+        """Return the estimated number of tokens queued for prefill on a worker."""
         return self._queues.waiting_tokens(worker_id)
 
     def order(
@@ -152,24 +181,25 @@
         now: float,
         router_zone: str = "",
     ) -> DecisionRequest:
-        """Return the request with its candidates in the order of their cost.
+        """Return the request with its candidates sorted by increasing cost.
 
         Parameters
         ----------
         request
-            A request whose prefill candidates are in the order of the ring, and whose decode
-            candidates are in the order of their links.
+            A request whose prefill candidates are in hash ring order and whose decode candidates
+            are in the order of their links.
         in_flight
-            Returns the attempts in flight on a worker.
+            Returns the number of attempts in flight on a worker.
         now
             Monotonic seconds.
         router_zone
-            Zone of the router that asks; empty when it is not known.
+            Zone of the router that sent the request; empty if unknown.
 
         Returns
         -------
         DecisionRequest
-            Without prefill candidates when the decode worker is to prefill the prompt.
+            The request with sorted candidates. It has no prefill candidates if a decode worker is
+            to prefill the prompt.
         """
         prompt = request.prompt
         by_stage = {candidates.stage: candidates for candidates in request.per_stage}
@@ -179,8 +209,10 @@
         decode = by_stage[Stage.DECODE]
         prefill = by_stage.get(Stage.PREFILL)
         if prefill is None:
-            near_cost = self._near_cost(request, in_flight, router_zone)
-            return msgspec.structs.replace(request, per_stage=(_sorted(decode, near_cost),))
+            transfer_free_cost = self._transfer_free_cost(request, in_flight, router_zone)
+            return msgspec.structs.replace(
+                request, per_stage=(_sorted(decode, transfer_free_cost),)
+            )
         prefill = self._order_prefill(prefill, prompt, now)
         decode_side_cost = self._decode_side_cost(prompt, in_flight)
         decode_side = _sorted(decode, decode_side_cost)
@@ -190,12 +222,12 @@
         return msgspec.structs.replace(request, per_stage=(prefill, _sorted(decode, pair_cost)))
 
     def decided(self, request: DecisionRequest, reply: DecisionReply, now: float) -> float:
-        """Record where a prompt is going to be prefilled, and which workers will cache it.
+        """Record the workers chosen for an attempt: its prefill, and the prefixes to be cached.
 
         Returns
         -------
         float
-            Seconds until the prefill is expected to end; 0 when there is none.
+            Seconds until the prefill is expected to end; 0 if no prefill was recorded.
         """
         prompt = request.prompt
         if prompt is None or request.attempt_id in self._queues:
@@ -220,15 +252,15 @@
         return expected_seconds
 
     def postponed_seconds(self, request: DecisionRequest, now: float) -> float:
-        """Return after how long a request should ask again; 0 when it can be decided now.
+        """Return the seconds by which to postpone a request; 0 if it can be decided now.
 
-        A worker that is prefilling a shared prefix does not have it cached yet: a second prompt
-        with the same prefix, sent there meanwhile, would have all of it computed twice.
+        A worker that is still prefilling a shared prefix does not have it cached yet. A second
+        prompt with the same prefix sent to it before then would compute the prefix again.
 
         Parameters
         ----------
         request
-            A request in the order of :meth:`order`.
+            A request as returned by :meth:`order`.
         now
             Monotonic seconds.
         """
@@ -250,7 +282,7 @@
         return max(remaining_seconds, MIN_POSTPONEMENT_SECONDS)
 
     def reported(self, reports: Sequence[AttemptReport], now: float) -> None:
-        """Record prefills that have ended."""
+        """Record the prefills that a batch of reports says have completed or failed."""
         for report in reports:
             attempt_id = report.attempt_id.removesuffix(PREFILL_DONE_SUFFIX)
             was_completed = attempt_id != report.attempt_id
@@ -267,16 +299,16 @@
         waiting = QUEUED_TOKEN_WEIGHT * self.waiting_tokens(worker_id)
         return waiting + STREAM_TOKENS * in_flight(worker_id)
 
-    def _near_cost(
+    def _transfer_free_cost(
         self, request: DecisionRequest, in_flight: Callable[[str], int], router_zone: str
     ) -> Callable[[str], float]:
-        """Return the cost of a decode worker that needs no KV transfer from a prefill worker."""
-        prefers_near = self._policy.near_requests and not request.is_read and bool(router_zone)
+        """Return the cost function of decode workers for a request without a prefill stage."""
+        prefers_local = self._policy.near_requests and not request.is_read and bool(router_zone)
 
         def cost(worker_id: str) -> float:
-            is_far = prefers_near and self._zones.get(worker_id, "") != router_zone
+            is_cross_zone = prefers_local and self._zones.get(worker_id, "") != router_zone
             return self._load_cost(worker_id, in_flight) + (
-                CROSS_ZONE_REQUEST_TOKENS if is_far else 0.0
+                CROSS_ZONE_REQUEST_TOKENS if is_cross_zone else 0.0
             )
 
         return cost
@@ -284,7 +316,7 @@
     def _decode_side_cost(
         self, prompt: PromptShape, in_flight: Callable[[str], int]
     ) -> Callable[[str], float]:
-        """Return the cost of a decode worker that prefills the prompt itself."""
+        """Return the cost function of decode workers that prefill the prompt themselves."""
 
         def cost(worker_id: str) -> float:
             tokens = self.waiting_tokens(worker_id) + self._uncached_tokens(worker_id, prompt)
@@ -295,13 +327,17 @@
     def _pair_cost(
         self, prefill: StageCandidates, prompt: PromptShape, in_flight: Callable[[str], int]
     ) -> Callable[[str], float]:
-        """Return the cost of a decode worker that pulls the KV cache from the prefill worker."""
+        """Return the cost function of decode workers that pull KV cache from a prefill worker."""
         prefill_zone = self._zones.get(next(iter(prefill.candidates), ""), "")
-        far_cost = CROSS_ZONE_TRANSFER_WEIGHT * (prompt.own_tokens + prompt.shared_tokens)
+        cross_zone_cost = CROSS_ZONE_TRANSFER_WEIGHT * (prompt.own_tokens + prompt.shared_tokens)
 
         def cost(worker_id: str) -> float:
-            is_far = self._policy.near_pairs and self._zones.get(worker_id, "") != prefill_zone
-            return self._load_cost(worker_id, in_flight) + (far_cost if is_far else 0.0)
+            is_cross_zone = (
+                self._policy.near_pairs and self._zones.get(worker_id, "") != prefill_zone
+            )
+            return self._load_cost(worker_id, in_flight) + (
+                cross_zone_cost if is_cross_zone else 0.0
+            )
 
         return cost
 
@@ -320,15 +356,20 @@
         return _sorted(candidates, cost)
 
     def _cached_workers(self, candidates: StageCandidates, prompt: PromptShape) -> set[str]:
-        """Return the candidates that have the shared prefix cached, or will have it soon."""
+        """Return the candidates that have the shared prefix cached or are prefilling it.
+
+        If there are none, return the first candidate.
+        """
         if not self._policy.prefix_affinity:
             return set(candidates.candidates)
         found = {
-            one
-            for one in candidates.candidates
-            if self._has_cached(one, prompt) or self._prefilling_attempt(one, prompt) is not None
+            worker_id
+            for worker_id in candidates.candidates
+            if self._has_cached(worker_id, prompt)
+            or self._prefilling_attempt(worker_id, prompt) is not None
         }
-        # A former leader, and every router that decides alone, sends it to the first one.
+        # Former leaders, and routers that decide without the leader, send prompts with this prefix
+        # to the first candidate, so it is the one most likely to have the prefix cached.
         return found or set(candidates.candidates[:1])
 
     def _is_decode_side_cheaper(
@@ -339,7 +380,7 @@
         prompt: PromptShape,
         now: float,
     ) -> bool:
-        """Whether the first decode candidate prefills the prompt at a lower cost than a pair."""
+        """Return whether decode-side prefill on the first decode candidate is the cheaper way."""
         if not prefill.candidates or not decode_side.candidates or not self._policy.direct_reads:
             return False
         decode_worker = decode_side.candidates[0]
@@ -361,7 +402,7 @@
         return cached is not None and prompt.prefix_key in cached
 
     def _prefilling_attempt(self, worker_id: str, prompt: PromptShape) -> str | None:
-        """Return the attempt for which a worker is prefilling the shared prefix of a prompt."""
+        """Return the attempt that is prefilling the shared prefix of a prompt on a worker."""
         attempt_id = self._prefilling.get((worker_id, prompt.prefix_key))
         return attempt_id if attempt_id is not None and attempt_id in self._queues else None
 
@@ -378,7 +419,10 @@
 
 
 def _sorted(candidates: StageCandidates, cost: Callable[[str], float]) -> StageCandidates:
-    """Return candidates by cost; workers tried already come last, equal costs keep their order."""
+    """Return the candidates by increasing cost, with workers that were already tried last.
+
+    Candidates of equal cost keep their order.
+    """
 
     def key(worker_id: str) -> tuple[bool, float]:
         return worker_id in candidates.tried, cost(worker_id)
