--- a/src/orchidpath/placement/__init__.py
+++ b/src/orchidpath/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Desired state, plans and role changes."""
+"""Placement: where prompts are prefilled, and which workers prefill and which decode."""
--- a/src/orchidpath/placement/execution.py
+++ b/src/orchidpath/placement/execution.py
@@ -1,8 +1,8 @@
-"""What the leader does next for the running plan; pure.
+"""Computes the leader's next actions for the running plan.
 
-Asked on every tick with the replicated progress and what this leadership has seen since it began.
-Nothing is remembered here, so a new leader continues from the replicated phase alone
-(docs/design/plans.md, "Execution").
+The leader calls :func:`next_actions` on every tick with the replicated progress of the plan and
+with its own observations since it was elected. This module has no state, so a new leader continues
+from the replicated phases alone (docs/design/plans.md, "Execution"). It does no input or output.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -22,27 +22,33 @@
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
 COMMAND_REPEAT_SECONDS = 1.0
-"""A command that has had no effect is sent again after this long, with a higher sequence."""
+"""Time after which a command without effect is sent again, with a higher sequence number."""
 
 CORDON_SECONDS = 10.0
-"""Bound on the wait until every serving router knows of a cordon; 1.7 s when one is
-partitioned."""
+"""Bound on the wait until every serving router has applied a cordon.
+
+It takes 1.7 s when a router is partitioned.
+"""
 
 SWITCH_SECONDS = 60.0
-"""Bound on the change itself; a prefill worker first waits until its KV cache handles expire."""
+"""Bound on the stage change itself.
+
+A prefill worker first waits until the handles of its KV cache expire.
+"""
 
 RESUME_SECONDS = 15.0
-"""Bound on the wait until a worker takes requests again."""
+"""Bound on the wait until a worker accepts requests again after its stage change."""
 
 RETURN_SECONDS = 15.0
-"""Bound on the wait until a worker whose step was given up takes requests in its old stage."""
+"""Bound on the wait until a worker accepts requests in its old stage after a rollback."""
 
 
 class StepWatch(msgspec.Struct, frozen=True, kw_only=True):
-    """What this leadership has seen of a step in its present phase.
+    """The leader's observations of one step in its current phase, since the leader was elected.
 
-    ``since`` is when it first saw the phase, ``ordered_at`` when it last sent a command in
-    it; ``accepted`` is the newest command that the worker accepted in it.
+    ``since`` is when the leader first saw the step in this phase, and ``ordered_at`` when it last
+    sent a command in this phase, both in monotonic seconds. ``accepted`` is the newest command
+    that the worker accepted in this phase.
     """
 
     since: float
@@ -51,7 +57,7 @@
 
 
 class Advance(msgspec.Struct, frozen=True, kw_only=True):
-    """Propose a step's next phase, with a reason when the step is given up."""
+    """Propose the next phase of a step; ``reason`` is set if the step failed."""
 
     step: int
     expected: StepPhase
@@ -68,7 +74,7 @@
 
 
 class Stop(msgspec.Struct, frozen=True, kw_only=True):
-    """Propose that the plan stops."""
+    """Propose to stop the plan, for the given reason."""
 
     reason: str
 
@@ -77,10 +83,11 @@
 
 
 class PlanSituation(msgspec.Struct, frozen=True, kw_only=True):
-    """All that the next actions depend on besides the replicated plan.
+    """Inputs to the next actions in addition to the replicated plan.
 
-    ``watches`` has one entry a step. ``confirmed_revision`` is the newest revision applied at
-    every serving router.
+    ``workers`` and ``in_flight`` are keyed by worker id; ``in_flight`` counts requests.
+    ``confirmed_revision`` is the newest revision that every serving router has applied.
+    ``watches`` has one entry per step of the plan. ``now`` is in monotonic seconds.
     """
 
     workers: Mapping[str, WorkerRecord]
@@ -91,14 +98,16 @@
 
 
 def next_actions(record: PlanRecord, situation: PlanSituation) -> list[PlanInstruction]:
-    """Return what to do now; asking again before it took effect gives the same, at most.
+    """Return the actions to take now.
+
+    Calling this again before the actions have taken effect returns the same actions or fewer.
 
     Parameters
     ----------
     record
         The newest plan and its replicated progress.
     situation
-        The agreed workers, and what this leadership has seen.
+        The replicated worker records and the leader's own observations.
     """
     actions: list[PlanInstruction] = []
     for position, progress in enumerate(record.progress.steps):
@@ -112,16 +121,20 @@
 
 
 def _begin_actions(record: PlanRecord, situation: PlanSituation) -> list[PlanInstruction]:
-    """Start the next waiting step of each service that may cordon one worker more.
+    """Start the next waiting step of each service that may cordon another worker.
 
-    One step a service at a time, because whether the next may start depends on this cordon.
+    Only one step per service starts at a time, because whether the next one may start depends on
+    the cordon of this one.
     """
     actions: list[PlanInstruction] = []
-    seen: set[str] = set()
+    seen_services: set[str] = set()
     for position, step in enumerate(record.plan.steps):
-        if record.progress.steps[position].phase is not StepPhase.WAITING or step.service in seen:
+        if (
+            record.progress.steps[position].phase is not StepPhase.WAITING
+            or step.service in seen_services
+        ):
             continue
-        seen.add(step.service)
+        seen_services.add(step.service)
         if cordoned_count(record, step.service) >= record.plan.bounds_of(step.service).max_cordoned:
             continue
         objection = begin_objection(record, position, situation.workers.values())
@@ -144,7 +157,7 @@
         return _abandon(position, phase, f"{step.worker_id} was lost")
     if worker.incarnation != step.incarnation:
         return _abandon(position, phase, f"{step.worker_id} was restarted")
-    # Up to this phase nothing was changed, so giving up means a rollback.
+    # The worker's stage has not been changed in these phases, so the step can be rolled back.
     reversible = phase in {StepPhase.CORDONING, StepPhase.DRAINING}
     if reversible and record.progress.status in {PlanStatus.CANCELLING, PlanStatus.STOPPING}:
         return Advance(step=position, expected=phase, phase=StepPhase.RETURNING)
@@ -152,14 +165,14 @@
     if following is not None:
         return Advance(step=position, expected=phase, phase=following)
     if situation.now - situation.watches[position].since > _bound_seconds(record, position):
-        return _give_up(position, phase, step.worker_id)
+        return _time_out(position, phase, step.worker_id)
     return _command_instruction(record, position, situation)
 
 
 def _following_phase(
     record: PlanRecord, position: int, worker: WorkerRecord, situation: PlanSituation
 ) -> StepPhase | None:
-    """Return the phase that a step may go on to now, if its worker is where it must be."""
+    """Return the phase that a step may enter now; None if its conditions are not met yet."""
     step = record.plan.steps[position]
     progress = record.progress.steps[position]
     resumed = (
@@ -176,8 +189,8 @@
             return StepPhase.SWITCHING
         case StepPhase.SWITCHING if worker.stage is step.to_stage:
             return StepPhase.RESUMING
-        # An announcement alone may be older than a DRAIN still in flight: only the worker's own
-        # reply to RESUME proves that it will execute no earlier command any more.
+        # The announcement alone may be older than a DRAIN that is still in flight. Only the
+        # worker's own reply to RESUME proves that it will not execute any earlier command.
         case StepPhase.RESUMING if resumed and worker.stage is step.to_stage:
             return StepPhase.RELEASED
         case StepPhase.RETURNING if resumed:
@@ -188,7 +201,7 @@
 def _command_instruction(
     record: PlanRecord, position: int, situation: PlanSituation
 ) -> SendStepCommand | None:
-    """Return the command that the phase needs, unless it was sent a moment ago."""
+    """Return the command that the phase needs; None if it needs none or was sent recently."""
     phase = record.progress.steps[position].phase
     if phase is StepPhase.CORDONING:
         return None
@@ -214,8 +227,8 @@
     return bounds[record.progress.steps[position].phase]
 
 
-def _give_up(position: int, phase: StepPhase, worker_id: str) -> Advance:
-    """Give a step up after its bound: roll back if the worker may still answer, else abandon."""
+def _time_out(position: int, phase: StepPhase, worker_id: str) -> Advance:
+    """End a step that exceeded its bound: abandon it in the last phases, else roll it back."""
     reason = f"{worker_id} took too long: {phase}"
     if phase in {StepPhase.RESUMING, StepPhase.RETURNING}:
         return _abandon(position, phase, reason)
@@ -229,15 +242,16 @@
 def workers_to_resume(
     abandoned: Iterable[AbandonedWorker], workers: Mapping[str, WorkerRecord]
 ) -> list[WorkerRecord]:
-    """Return the abandoned workers that have come back draining and are in no plan.
+    """Return the abandoned workers that are reachable again, draining and not cordoned.
 
-    Without RESUME they would drain for ever: a worker that was unreachable for a while still
-    executes earlier commands. One that shuts down anyway stays draining; RESUME does no harm.
+    Without a RESUME command these workers would drain forever, because a worker that was
+    unreachable for a while still executes earlier commands. A worker that is shutting down stays
+    draining, so RESUME does no harm there.
     """
     found = []
-    for one in abandoned:
-        worker = workers.get(one.worker_id)
-        if worker is None or worker.incarnation != one.incarnation:
+    for entry in abandoned:
+        worker = workers.get(entry.worker_id)
+        if worker is None or worker.incarnation != entry.incarnation:
             continue
         if worker.status is WorkerStatus.DRAINING and not worker.cordoned:
             found.append(worker)
@@ -245,9 +259,9 @@
 
 
 def step_bound_seconds(drain_seconds: float) -> float:
-    """Return how many seconds a step cordons its worker at most, under one leader.
+    """Return the maximum seconds that a step cordons its worker, without a change of leader.
 
-    A step that runs into the bound of its change also waits for the return.
+    A step that exceeds the bound of the stage change also waits for the worker's return.
     """
     forward_seconds = CORDON_SECONDS + drain_seconds + SWITCH_SECONDS
     return forward_seconds + max(RESUME_SECONDS, RETURN_SECONDS)
--- a/src/orchidpath/placement/recommendation.py
+++ b/src/orchidpath/placement/recommendation.py
@@ -1,8 +1,9 @@
-"""Which split of a service's workers suits the observed load: a recommendation, never an action.
+"""Recommends the split of a service's workers into prefill and decode for the observed load.
 
-Prefill and decode are each loaded by their own tokens. The recommended split gives both stages the
-same utilization; it is recommended only if the busier stage gains enough, so that a load that
-swings around a threshold does not make workers switch back and forth (docs/design/plans.md).
+Prompt tokens load the prefill stage, and output tokens load the decode stage. The recommended split
+comes closest to equal utilization of both stages. A change is recommended only if it relieves the
+more utilized stage enough, so that a load that varies around a threshold does not make workers
+switch back and forth (docs/design/plans.md). This module never changes the split itself.
 """
 
 import math
@@ -13,28 +14,28 @@
 
 
 class NoSplitError(OrchidpathError):
-    """There are too few workers for two stages, or a rate or capacity is out of range."""
+    """Raised if a stage has no worker, or if a rate or capacity is out of range."""
 
 
 class TokenRates(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens a second of a service: prompt tokens (without cached ones) and output tokens."""
+    """Token rates of a service: uncached prompt tokens and output tokens per second."""
 
     prompt_tokens_per_second: float
     output_tokens_per_second: float
 
 
 class WorkerCapacity(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens a second that one worker processes in either stage."""
+    """Tokens per second that one worker processes in each stage."""
 
     prompt_tokens_per_second: float
     output_tokens_per_second: float
 
 
 class SplitPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """When a split is worth a change.
+    """Conditions under which a change of the split is recommended.
 
-    ``minimum_gain`` is by how much of its present utilization the busier stage must be relieved.
-    ``half_life_seconds`` is the age at which a measurement counts half.
+    ``minimum_gain`` is the share by which the utilization of the more utilized stage must decrease.
+    ``half_life_seconds`` is the age at which a measurement has half its weight.
     """
 
     minimum_gain: float = 0.1
@@ -42,9 +43,10 @@
 
 
 class Recommendation(msgspec.Struct, frozen=True, kw_only=True):
-    """The split to put into the configuration; ``change`` is false if the present one is to stay.
+    """The recommended split; ``change`` is false if it is the current split.
 
-    Utilizations are those of the busier stage; above 1 the split is overloaded.
+    Utilizations are those of the more utilized stage, with the current and the recommended split.
+    A utilization above 1 means that the stage is overloaded.
     """
 
     prefill_workers: int
@@ -55,12 +57,12 @@
 
 
 class RateAverage:
-    """Token rates, averaged so that older measurements count less and less.
+    """Exponentially weighted moving average of token rates.
 
     Parameters
     ----------
     half_life_seconds
-        Age at which a measurement counts half.
+        Age at which a measurement has half its weight.
     """
 
     def __init__(self, half_life_seconds: float) -> None:
@@ -69,13 +71,13 @@
         self._measured_at = 0.0
 
     def add(self, rates: TokenRates, now: float) -> TokenRates:
-        """Add the rates measured since the last measurement, and return the average."""
+        """Add the rates measured since the previous call, and return the new average."""
         if self._rates is None:
             self._rates = rates
         else:
             age_seconds = max(0.0, now - self._measured_at)
             retained_share = 0.5 ** (age_seconds / self._half_life_seconds)
-            self._rates = _mix(self._rates, rates, retained_share)
+            self._rates = _weighted_average(self._rates, rates, retained_share)
         self._measured_at = now
         return self._rates
 
@@ -87,66 +89,72 @@
     decode_workers: int,
     policy: SplitPolicy,
 ) -> Recommendation:
-    """Return the split of the present workers that suits the load.
+    """Return the recommended split of the current workers for the load.
 
     Parameters
     ----------
     rates
-        Averaged rates.
+        Averaged token rates of the service.
     capacity
         Capacity of one worker.
     prefill_workers, decode_workers
-        The present split.
+        Number of workers in each stage now.
     policy
-        When a change is worth it.
+        Conditions under which a change is recommended.
 
     Raises
     ------
     NoSplitError
-        Fewer than two workers, an empty stage, or a capacity that is not positive.
+        If a stage has no worker, a capacity is not positive or a rate is negative.
     """
     if min(prefill_workers, decode_workers) < 1:
-        raise NoSplitError("each stage needs a worker")
+        raise NoSplitError(
+            f"each stage needs a worker: got {prefill_workers} prefill and {decode_workers} decode"
+        )
     if min(capacity.prompt_tokens_per_second, capacity.output_tokens_per_second) <= 0:
-        raise NoSplitError("capacities must be above zero")
+        raise NoSplitError(f"capacities must be positive: {capacity}")
     if min(rates.prompt_tokens_per_second, rates.output_tokens_per_second) < 0:
-        raise NoSplitError("rates must not be below zero")
+        raise NoSplitError(f"token rates must not be negative: {rates}")
     prompt_load = rates.prompt_tokens_per_second / capacity.prompt_tokens_per_second
     output_load = rates.output_tokens_per_second / capacity.output_tokens_per_second
     total = prefill_workers + decode_workers
     desired = _desired_prefill(prompt_load, output_load, total)
-    now_used = max(prompt_load / prefill_workers, output_load / decode_workers)
-    then_used = max(prompt_load / desired, output_load / (total - desired))
-    if desired == prefill_workers or then_used >= now_used * (1.0 - policy.minimum_gain):
+    current_utilization = max(prompt_load / prefill_workers, output_load / decode_workers)
+    desired_utilization = max(prompt_load / desired, output_load / (total - desired))
+    if desired == prefill_workers or desired_utilization >= current_utilization * (
+        1.0 - policy.minimum_gain
+    ):
         return Recommendation(
             prefill_workers=prefill_workers,
             decode_workers=decode_workers,
             change=False,
-            utilization_now=now_used,
-            utilization_then=now_used,
+            utilization_now=current_utilization,
+            utilization_then=current_utilization,
         )
     return Recommendation(
         prefill_workers=desired,
         decode_workers=total - desired,
         change=True,
-        utilization_now=now_used,
-        utilization_then=then_used,
+        utilization_now=current_utilization,
+        utilization_then=desired_utilization,
     )
 
 
 def _desired_prefill(prompt_load: float, output_load: float, total: int) -> int:
-    """Return the number of prefill workers that makes the busier stage least busy."""
+    """Return the number of prefill workers that minimizes the higher of both utilizations."""
     if prompt_load + output_load == 0:
         return total // 2
-    even = total * prompt_load / (prompt_load + output_load)
-    candidates = {min(max(number, 1), total - 1) for number in (math.floor(even), math.ceil(even))}
+    balanced = total * prompt_load / (prompt_load + output_load)
+    candidates = {
+        min(max(number, 1), total - 1) for number in (math.floor(balanced), math.ceil(balanced))
+    }
     return min(
         sorted(candidates),
         key=lambda number: max(prompt_load / number, output_load / (total - number)),
     )
 
 
-def _mix(old: TokenRates, new: TokenRates, retained_share: float) -> TokenRates:
+def _weighted_average(old: TokenRates, new: TokenRates, retained_share: float) -> TokenRates:
     return TokenRates(
         prompt_tokens_per_second=retained_share * old.prompt_tokens_per_second
         + (1.0 - retained_share) * new.prompt_tokens_per_second,
