--- a/src/orchidpath/routing/request/__init__.py
+++ b/src/orchidpath/routing/request/__init__.py
@@ -1,5 +1,5 @@
-"""The state machine of one chat or plain request: events in, instructions out.
+"""The state machine of one chat or plain request, which maps events to instructions.
 
-Begin with the table of transitions in :mod:`.request_machine`. Imported by the router's
-chat path and by the simulation; it does no input or output.
+Start reading at the transition table in :mod:`.request_machine`. The router's chat path and the
+simulation use this package. It does no input or output.
 """
--- a/src/orchidpath/routing/request/attempt_reports.py
+++ b/src/orchidpath/routing/request/attempt_reports.py
@@ -1,7 +1,8 @@
-"""Reports of one request: once for each attempt and worker, one transient failure a worker.
+"""Reports of how the attempts of one request ended, one report for each attempt and worker.
 
-Each worker counts at most one failure per logical request (paper, "Circuit breakers and bounded
-retries"); a further one is reported as neutral, so that its in-flight mark is still freed.
+Each worker is charged with at most one transient failure per logical request (paper, "Circuit
+breakers and bounded retries"). Further transient failures are reported as neutral, so that the
+attempt is still removed from the worker's count of attempts in flight.
 """
 
 from types import MappingProxyType
@@ -23,16 +24,16 @@
         ErrorCode.UPSTREAM_FAILED: TransferEvidence.TRANSFER_FAILED,
     }
 )
-"""What a decode worker's error code says about its KV transfer (backend protocol)."""
+"""Evidence about the KV transfer in each error code of a decode worker (backend protocol)."""
 
 
 def transfer_evidence(error: ErrorBody | None) -> TransferEvidence | None:
-    """Return what a decode worker's error says about the KV transfer; None when nothing."""
+    """Return the evidence about the KV transfer in a decode worker's error; None if none."""
     return _TRANSFER_EVIDENCE_BY_CODE.get(error.code) if error is not None else None
 
 
 class AttemptRecord(msgspec.Struct, kw_only=True):
-    """One attempt: the pair (or the one worker) chosen for it, and what was reported of each."""
+    """One attempt: the worker chosen for each stage, and the stages not reported yet."""
 
     attempt_id: str
     choices: dict[Stage, Choice]
@@ -40,24 +41,24 @@
 
     @classmethod
     def of(cls, attempt_id: str, choices: tuple[Choice, ...]) -> "AttemptRecord":
-        """Make the record of a decided attempt."""
+        """Return the record of an attempt for which these workers were chosen."""
         by_stage = {choice.stage: choice for choice in choices}
         return cls(attempt_id=attempt_id, choices=by_stage, unreported=set(by_stage))
 
     def worker(self, stage: Stage) -> str:
-        """Return the worker of a stage."""
+        """Return the id of the worker chosen for a stage."""
         return self.choices[stage].worker_id
 
 
 class ReportBuffer:
-    """Makes the reports of one request.
+    """Creates the reports of one request.
 
     Parameters
     ----------
     request_id
-        The request.
+        Id of the request.
     disabled_guards
-        For tests only: safety rules to leave out.
+        Safety rules that are not enforced; for tests only.
     """
 
     def __init__(
@@ -77,16 +78,16 @@
         attempt
             The attempt.
         stage
-            Which of its workers.
+            Stage of the worker to report.
         effect
-            Effect on that worker.
+            Effect of the attempt on that worker.
         reason
-            In words, for the decision trace.
+            Readable reason, for the decision trace.
 
         Returns
         -------
         list of Report
-            Empty when that worker was reported before or has no part in the attempt.
+            Empty if the worker was reported before or if the attempt has no worker of that stage.
         """
         if stage not in attempt.unreported:
             return []
@@ -96,7 +97,7 @@
             request_id=self._request_id,
             attempt_id=attempt.attempt_id,
             worker_id=choice.worker_id,
-            effect=self._once(choice.worker_id, effect),
+            effect=self._limit_transient_failures(choice.worker_id, effect),
             probe_generation=choice.probe_generation,
         )
         return [Report(report=report, stage=stage, reason=reason)]
@@ -104,7 +105,7 @@
     def report_rest(
         self, attempt: AttemptRecord, effect: AttemptEffect, reason: str
     ) -> list[Report]:
-        """Report every worker of an attempt that was not reported yet."""
+        """Report every worker of an attempt that has not been reported yet."""
         reports: list[Report] = []
         for stage in sorted(attempt.unreported):
             reports.extend(self.report(attempt, stage, effect, reason))
@@ -119,11 +120,11 @@
             *self.report(attempt, Stage.DECODE, charge.decode_effect, reason),
         ]
 
-    def _once(self, worker_id: str, effect: AttemptEffect) -> AttemptEffect:
+    def _limit_transient_failures(self, worker_id: str, effect: AttemptEffect) -> AttemptEffect:
         if effect is not AttemptEffect.TRANSIENT:
             return effect
-        counted = worker_id in self._failed_workers
-        if counted and Guard.ONE_FAILURE_A_WORKER not in self._disabled:
+        was_charged = worker_id in self._failed_workers
+        if was_charged and Guard.ONE_FAILURE_A_WORKER not in self._disabled:
             return AttemptEffect.GATEWAY
         self._failed_workers.add(worker_id)
         return effect
--- a/src/orchidpath/routing/request/core.py
+++ b/src/orchidpath/routing/request/core.py
@@ -1,7 +1,7 @@
-"""State of one request and the steps that its transitions share; see :mod:`.request_machine`.
+"""State of one request, and the steps shared by the transitions of :mod:`.request_machine`.
 
-Steps return instructions and leave the request in the phase that follows. Nothing here looks at
-events; which step follows which event is decided in :mod:`.request_machine`.
+Each step returns instructions and sets the next phase of the request. The steps do not depend on
+events: :mod:`.request_machine` selects the steps for each event.
 """
 
 import math
@@ -26,7 +26,7 @@
 from orchidpath.routing.request.decode import DecodeProgress
 from orchidpath.routing.request.dispatch_log import DispatchLog
 from orchidpath.routing.request.errors import (
-    GiveUp,
+    RequestFailure,
     no_candidates,
     out_of_budget,
     stream_broken,
@@ -41,17 +41,20 @@
 from orchidpath.wire.records import Stage
 
 CANCEL_TIMEOUT_SECONDS = 1.0
-"""How long a caller waits for the guarantee that a call of unknown fate did not run."""
+"""Maximum wait for a worker's guarantee that a dispatch in doubt was not executed."""
 
 DEADLINE_CHARGE_SHARE = 0.5
-"""A worker that took a dispatch for this share of the route's deadline counts as timed out."""
+"""Share of the route's deadline after which an unfinished dispatch counts as a timeout.
+
+At the deadline, a worker is charged only if its dispatch was running for at least this share.
+"""
 
 ATTEMPT_ID_BITS = 96
-"""Enough that no two attempts of a fleet share an id."""
+"""Length of a random attempt id, large enough to be unique in a fleet."""
 
 
 class Phase(StrEnum):
-    """Where a request stands."""
+    """Phase of a request in the state machine."""
 
     NEW = "new"
     DECIDING = "deciding"
@@ -65,7 +68,10 @@
 
 
 class SharedRouting(msgspec.Struct, frozen=True, kw_only=True):
-    """What the requests of one router share; the budget is that of the request's service."""
+    """State that the requests of one router share.
+
+    ``retry_budget`` is shared by the requests of one service only.
+    """
 
     retry_budget: RetryBudget
     kv_transfer_evidence: TransferEvidenceTable
@@ -73,16 +79,16 @@
 
 
 class RequestCore:
-    """What is known about one request, and the steps that several transitions take.
+    """State of one request, and the steps that several transitions share.
 
     Parameters
     ----------
     plan
         The request.
     shared
-        Retry budget of the request's service, KV transfer evidence and randomness.
+        Retry budget of the request's service, KV transfer evidence and random number generator.
     disabled_guards
-        For tests only: safety rules to leave out.
+        Safety rules that are not enforced; for tests only.
     """
 
     def __init__(
@@ -104,16 +110,16 @@
         self._timer_number = 0
         self._sent_at = 0.0
         self._handle_expires_at = math.inf
-        self._give_up = no_candidates("no worker could serve this request")
+        self._last_failure = no_candidates("no worker could serve this request")
 
     @property
     def phase(self) -> Phase:
-        """Where the request stands."""
+        """Current phase of the request."""
         return self._phase
 
     @property
     def is_ended(self) -> bool:
-        """Whether the caller has got everything that it will get."""
+        """Whether the request has ended, so that nothing more is sent to the caller."""
         return self._phase is Phase.ENDED
 
     def _next_attempt(self, now: float) -> list[RequestInstruction]:
@@ -135,7 +141,7 @@
         )
 
     def _record_dispatch(self, stage: Stage, now: float) -> str:
-        # In doubt from here on: the shell may have written bytes when it fails.
+        # The dispatch is in doubt from here on: if the shell fails, it may have sent bytes before.
         worker_id = self._current().worker(stage)
         self._retries.record_dispatch(stage, worker_id)
         self._dispatches.add(self._attempt_id, worker_id, stage)
@@ -159,17 +165,17 @@
         failed = self._reports.report(attempt, stage, effect, reason)
         if stage is Stage.DECODE:
             return [*failed, *self._reports.report_rest(attempt, AttemptEffect.SUCCESS, "read")]
-        return [*failed, *self._neutral(attempt, "not used")]
+        return [*failed, *self._report_neutral(attempt, "not used")]
 
-    def _neutral(self, attempt: AttemptRecord, reason: str) -> Sequence[RequestInstruction]:
+    def _report_neutral(self, attempt: AttemptRecord, reason: str) -> Sequence[RequestInstruction]:
         return self._reports.report_rest(attempt, AttemptEffect.GATEWAY, reason)
 
     def _await_not_executed_guarantee(self, now: float) -> RequestInstruction:
         seconds = min(CANCEL_TIMEOUT_SECONDS, max(self._plan.deadline - now, 0.0))
         return self._timer(events.TimerKind.CANCEL, seconds, Phase.CANCELLING)
 
-    def _cancels(self) -> Sequence[RequestInstruction]:
-        """Cancel what may still run, and free the KV cache of a prefill that is not used."""
+    def _cancel_instructions(self) -> Sequence[RequestInstruction]:
+        """Cancel the dispatch that may still run, and free the KV cache of an unused prefill."""
         workers = []
         dispatch = self._dispatches.current
         if dispatch is not None and self._dispatches.is_in_doubt():
@@ -192,15 +198,15 @@
         return self._dispatches.may_retry()
 
     def _start_retry(self, wait_seconds: float, now: float) -> list[RequestInstruction]:
-        """Retry if every bound allows it, otherwise answer at once (paper, bounded retries)."""
+        """Start a retry if all limits allow it, otherwise reject (paper, bounded retries)."""
         if not self._may_retry() or not self._retries.attempts_left():
-            return self._reject(self._give_up)
+            return self._reject(self._last_failure)
         if not self._retries.fits(wait_seconds, now):
-            return self._reject(self._give_up)
+            return self._reject(self._last_failure)
         budget = self._shared.retry_budget
         if not budget.try_spend(now) and Guard.RETRY_BUDGET not in self._disabled:
-            give_up = out_of_budget(self._give_up.message, budget.retry_after(now))
-            return self._reject(give_up)
+            failure = out_of_budget(self._last_failure.message, budget.retry_after(now))
+            return self._reject(failure)
         if wait_seconds == 0.0:
             return self._next_attempt(now)
         return [self._timer(events.TimerKind.BACKOFF, wait_seconds, Phase.BACKING_OFF)]
@@ -215,9 +221,10 @@
         return events.StartTimer(kind=kind, number=self._timer_number, seconds=seconds)
 
     def _charge_deadline(self, now: float) -> Sequence[RequestInstruction]:
-        """Charge a worker that took most of the time of what the route allows.
+        """Charge the worker of a dispatch that ran for a large part of the route's deadline.
 
-        A shorter deadline is the caller's choice, and no worker is charged for it.
+        If the dispatch ran for less time, no worker is charged: the caller may have chosen a
+        shorter deadline than the route allows.
         """
         dispatch = self._dispatches.current
         elapsed_seconds = now - self._sent_at
@@ -227,19 +234,19 @@
         effect = classify(AttemptObservation(observed=Observed.TIMED_OUT))
         return self._reports.report(self._attempt, dispatch.stage, effect, "held past the deadline")
 
-    def _drop(self, reason: str) -> list[RequestInstruction]:
-        """Let go of the running attempt; neutral for every worker not reported yet."""
+    def _abort_attempt(self, reason: str) -> list[RequestInstruction]:
+        """Abort the current attempt, and report its unreported workers as neutral."""
         if self._attempt is None:
             return []
         return [
             events.AbortExchange(attempt_id=self._attempt_id),
-            *self._cancels(),
-            *self._neutral(self._attempt, reason),
+            *self._cancel_instructions(),
+            *self._report_neutral(self._attempt, reason),
         ]
 
-    def _reject(self, give_up: GiveUp) -> list[RequestInstruction]:
+    def _reject(self, failure: RequestFailure) -> list[RequestInstruction]:
         self._phase = Phase.ENDED
-        return [events.Reject(error=give_up.body(self._plan.request_id, self._ran()))]
+        return [events.Reject(error=failure.body(self._plan.request_id, self._ran()))]
 
     def _break_stream(self, reason: str) -> RequestInstruction:
         self._phase = Phase.ENDED
@@ -247,7 +254,7 @@
         return events.BreakStream(error=error)
 
     def _ran(self) -> Ran:
-        return Ran.NO if Guard.HONEST_RAN in self._disabled else self._dispatches.ran()
+        return Ran.NO if Guard.ACCURATE_RAN in self._disabled else self._dispatches.ran()
 
     def _current(self) -> AttemptRecord:
         assert self._attempt is not None
--- a/src/orchidpath/routing/request/decode.py
+++ b/src/orchidpath/routing/request/decode.py
@@ -1,7 +1,8 @@
-"""One attempt's decode stream: its validation, the buffer before the commit, and the commit rule.
+"""Validation, buffering and commit of one attempt's decode stream.
 
-Text streams are validated and buffered until the first semantic frame or the terminal; roles,
-usage and keepalives do not commit (paper, "Circuit breakers and bounded retries").
+Frames are validated, and buffered until the first content frame or the terminal frame commits the
+response. Role, usage and keepalive frames do not commit it (paper, "Circuit breakers and bounded
+retries").
 """
 
 from types import MappingProxyType
@@ -19,23 +20,24 @@
         StreamVerdict.MISSING_TERMINAL: Observed.MISSING_TERMINAL,
     }
 )
-"""What each way in which a stream can be broken counts as."""
+"""Observation that is classified for each kind of broken stream."""
 
 _AFTER_KV_TRANSFER = frozenset({FrameKind.CONTENT, FrameKind.USAGE, FrameKind.DONE})
-"""Frames that a decode worker can only send once it holds the KV cache."""
+"""Frames that a decode worker can send only after it has received the KV cache."""
 
 
 class DecodeProgress:
-    """How far one decode stream has come.
+    """Progress of one decode stream.
 
     Parameters
     ----------
     request_id, attempt_id
-        Whose stream it must be.
+        Ids that every frame of the stream must carry.
     streaming
-        Whether content goes to the caller as it comes; otherwise only the terminal commits.
+        Whether content is sent to the caller as it arrives. If not, only the terminal frame commits
+        the response.
     disabled_guards
-        For tests only: safety rules to leave out.
+        Safety rules that are not enforced; for tests only.
     """
 
     def __init__(
@@ -54,20 +56,20 @@
         self.has_content = False
 
     def check(self, frame: DecodeFrame) -> StreamVerdict:
-        """Judge the next frame; see :class:`~orchidpath.routing.stream.StreamValidator`."""
+        """Validate the next frame; see :class:`~orchidpath.routing.stream.StreamValidator`."""
         return self._validator.check(frame)
 
     def end(self) -> StreamVerdict:
-        """Judge the end of the response body."""
+        """Validate the end of the response body."""
         return self._validator.end()
 
     def observe(self, frame: DecodeFrame) -> bool:
-        """Record what a valid frame proves.
+        """Record whether a valid frame has content and whether it proves the KV transfer.
 
         Returns
         -------
         bool
-            Whether it is the first one that proves the KV transfer.
+            Whether the frame is the first of the stream that proves the KV transfer.
         """
         self.has_content = self.has_content or frame.kind is FrameKind.CONTENT
         if self.is_kv_transferred or frame.kind not in _AFTER_KV_TRANSFER:
@@ -76,10 +78,10 @@
         return True
 
     def frames_to_relay(self, frame: DecodeFrame) -> tuple[DecodeFrame, ...]:
-        """Take a valid frame in and return what may reach the caller now, in order."""
+        """Add a valid frame, and return the frames to send to the caller now, in order."""
         if self.is_committed:
             return (frame,)
-        # A keepalive before the commit has no reader, and must not fill the buffer.
+        # Nothing reaches the caller before the commit, so keepalives would only fill the buffer.
         if frame.kind is not FrameKind.KEEPALIVE:
             self._buffer.append(frame)
         if not self._commits(frame):
--- a/src/orchidpath/routing/request/dispatch_log.py
+++ b/src/orchidpath/routing/request/dispatch_log.py
@@ -1,8 +1,8 @@
-"""The dispatches of one request: what may have run, and what may be sent again.
+"""Log of one request's dispatches, which determines whether the request may be sent again.
 
-Holds the at-most-once rule (brief, "What must never happen"): a call that may not be repeated is
-sent again only if no earlier dispatch of it can have run, and ``ran=no`` is only ever said of a
-request none of whose dispatches can run.
+It implements the at-most-once rule (brief, "What must never happen"): a call that must not be
+repeated is sent again only if no earlier dispatch of it can run, and ``ran=no`` is returned only
+for a request none of whose dispatches can run.
 """
 
 from enum import StrEnum
@@ -15,23 +15,23 @@
 
 
 class DispatchState(StrEnum):
-    """What is known about one dispatch."""
+    """Outcome of one dispatch, as far as the router can determine it."""
 
     IN_DOUBT = "in_doubt"
-    """Bytes of it may have left and nothing is known of its fate."""
+    """Bytes of it may have been sent, and its outcome is unknown."""
     NEVER_LEFT = "never_left"
-    """No byte of it left this router."""
+    """No byte of it was sent by this router."""
     NOT_EXECUTED_GUARANTEED = "promised_not_run"
-    """Its worker guaranteed that it did not run and never will."""
+    """Its worker guaranteed that it has not run and will not run."""
     COMPLETED = "completed"
-    """It ran to its end."""
+    """It ran to completion."""
 
 
 _CANNOT_RUN = frozenset({DispatchState.NEVER_LEFT, DispatchState.NOT_EXECUTED_GUARANTEED})
 
 
 class Dispatch(msgspec.Struct, kw_only=True):
-    """One dispatch of one attempt."""
+    """One dispatch of an attempt to a worker."""
 
     attempt_id: str
     worker_id: str
@@ -40,12 +40,12 @@
 
 
 class DispatchLog:
-    """Every dispatch of one request, in doubt from the moment it is handed to the shell.
+    """All dispatches of one request; each is in doubt from its hand-over to the shell.
 
     Parameters
     ----------
     route
-        Says what may be repeated.
+        Route of the request, which determines whether a call may be repeated.
     """
 
     def __init__(self, route: Route) -> None:
@@ -62,7 +62,7 @@
         self._dispatches.append(Dispatch(attempt_id=attempt_id, worker_id=worker_id, stage=stage))
 
     def resolve(self, state: DispatchState) -> None:
-        """Record the outcome of the newest dispatch; a resolved one is not changed."""
+        """Record the outcome of the newest dispatch unless it was recorded before."""
         current = self.current
         if current is not None and current.state is DispatchState.IN_DOUBT:
             current.state = state
@@ -73,12 +73,13 @@
         return current is not None and current.state is DispatchState.IN_DOUBT
 
     def may_retry(self) -> bool:
-        """Whether a further attempt cannot make a call run twice that must not.
+        """Return whether a further attempt is safe, given the dispatches made so far.
 
-        A prefill counts as running too, whether it completed or is in doubt, unless the route
-        says ``repeat_prompt_read``: then only a decode that may have run bars a retry. Nothing
-        that a prefill made can reach the caller twice in any case, since its handle is never
-        used by another attempt; the route decides about the work.
+        A further attempt is safe if the route is repeatable or if no earlier dispatch can have run.
+        A prefill that completed or is in doubt prevents a retry, too, unless the route sets
+        ``repeat_prompt_read``. With that setting, only a decode that may have run does. Repeating a
+        prefill never sends output to the caller twice, because its handle is not used by any other
+        attempt; the setting is only about the repeated work.
 
         Returns
         -------
@@ -89,13 +90,13 @@
         return not any(self._prevents_retry(dispatch) for dispatch in self._dispatches)
 
     def would_guarantee_allow_retry(self) -> bool:
-        """Whether a guarantee about the newest dispatch would allow a further attempt."""
+        """Return whether a retry would be safe if the newest dispatch was not executed."""
         if self._route.repeatable:
             return True
         return not any(self._prevents_retry(dispatch) for dispatch in self._dispatches[:-1])
 
     def ran(self) -> Ran:
-        """Return the honest answer to a caller who gets no result."""
+        """Return whether the call may have run, for a caller who gets no result."""
         if all(dispatch.state in _CANNOT_RUN for dispatch in self._dispatches):
             return Ran.NO
         return Ran.UNKNOWN
--- a/src/orchidpath/routing/request/errors.py
+++ b/src/orchidpath/routing/request/errors.py
@@ -1,4 +1,4 @@
-"""Errors that the request state machine answers with, by the reason for which it gives up."""
+"""Errors that the request state machine returns to callers whose requests fail."""
 
 from types import MappingProxyType
 
@@ -8,18 +8,24 @@
 from orchidpath.wire.messages import AttemptEffect, DecisionReply, Rejection
 
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
-"""Told to a caller when nothing better is known (paper, ``retryAfterSeconds``)."""
+"""Retry-after returned to a caller if no more specific value is known.
 
+Source: paper, ``retryAfterSeconds``.
+"""
 
-class GiveUp(msgspec.Struct, frozen=True, kw_only=True):
-    """Why the caller gets no result; the ledger adds whether the call ran."""
+
+class RequestFailure(msgspec.Struct, frozen=True, kw_only=True):
+    """Reason for which a request ends without a result.
+
+    Whether the call ran is not part of it; the dispatch log of the request determines that.
+    """
 
     code: ErrorCode
     message: str
     retry_after_seconds: float | None = DEFAULT_RETRY_AFTER_SECONDS
 
     def body(self, request_id: str, ran: Ran) -> ErrorBody:
-        """Make the error as the caller sees it."""
+        """Return the error body that is sent to the caller."""
         return ErrorBody(
             code=self.code,
             message=self.message,
@@ -29,7 +35,7 @@
         )
 
 
-DEADLINE_PASSED = GiveUp(
+DEADLINE_PASSED = RequestFailure(
     code=ErrorCode.DEADLINE_EXCEEDED, message="the request's deadline has passed"
 )
 
@@ -42,7 +48,8 @@
 
 _REJECTION_CODES = MappingProxyType(
     {
-        # Paper: every circuit open is 503 deployments_in_cooldown; shared capacity is 429.
+        # Paper: the status is 503 deployments_in_cooldown if every circuit is open, and 429 if the
+        # shared capacity is used up.
         Rejection.CIRCUITS_OPEN: ErrorCode.ALL_CIRCUITS_OPEN,
         Rejection.SHARED_CAPACITY: ErrorCode.RATE_LIMITED,
     }
@@ -56,46 +63,50 @@
 )
 
 
-def failed_attempt(effect: AttemptEffect, reason: str, retry_after_seconds: float | None) -> GiveUp:
-    """Return how to give up after an attempt that failed with an effect."""
+def failed_attempt(
+    effect: AttemptEffect, reason: str, retry_after_seconds: float | None
+) -> RequestFailure:
+    """Return the failure of a request whose last attempt failed with this effect."""
     code = _EFFECT_CODES.get(effect, ErrorCode.UPSTREAM_FAILED)
     if effect is AttemptEffect.REQUEST:
-        return GiveUp(code=code, message=reason, retry_after_seconds=retry_after_seconds)
-    after = DEFAULT_RETRY_AFTER_SECONDS if retry_after_seconds is None else retry_after_seconds
-    return GiveUp(code=code, message=reason, retry_after_seconds=after)
+        return RequestFailure(code=code, message=reason, retry_after_seconds=retry_after_seconds)
+    retry_after = (
+        DEFAULT_RETRY_AFTER_SECONDS if retry_after_seconds is None else retry_after_seconds
+    )
+    return RequestFailure(code=code, message=reason, retry_after_seconds=retry_after)
 
 
-def denied(reply: DecisionReply) -> GiveUp:
-    """Return how to give up when a decision names no worker."""
+def denied(reply: DecisionReply) -> RequestFailure:
+    """Return the failure of a request for which the decision selected no worker."""
     code = _REJECTION_CODES.get(reply.rejection, ErrorCode.NO_WORKER)
     message = _REJECTION_MESSAGES.get(reply.rejection, "no worker may be tried for this request")
-    after = reply.retry_after_seconds or DEFAULT_RETRY_AFTER_SECONDS
-    return GiveUp(code=code, message=message, retry_after_seconds=after)
+    retry_after = reply.retry_after_seconds or DEFAULT_RETRY_AFTER_SECONDS
+    return RequestFailure(code=code, message=message, retry_after_seconds=retry_after)
 
 
-def no_candidates(reason: str) -> GiveUp:
-    """Return how to give up when the fleet has no worker for the request."""
-    return GiveUp(code=ErrorCode.NO_WORKER, message=reason)
+def no_candidates(reason: str) -> RequestFailure:
+    """Return the failure of a request that no worker of the fleet can serve."""
+    return RequestFailure(code=ErrorCode.NO_WORKER, message=reason)
 
 
-def not_fresh(retry_after_seconds: float) -> GiveUp:
-    """Return how to give up when this router's lease to serve has expired."""
+def not_fresh(retry_after_seconds: float) -> RequestFailure:
+    """Return the failure of a request while this router's lease to serve has expired."""
     message = "this router may not serve at the moment"
-    return GiveUp(
+    return RequestFailure(
         code=ErrorCode.NOT_FRESH, message=message, retry_after_seconds=retry_after_seconds
     )
 
 
-def out_of_budget(last_failure: str, retry_after_seconds: float) -> GiveUp:
-    """Return how to give up when the service's retry budget is spent."""
+def out_of_budget(last_failure: str, retry_after_seconds: float) -> RequestFailure:
+    """Return the failure of a request whose service has used up its retry budget."""
     message = f"no retry is left in the service's budget; the last failure: {last_failure}"
-    return GiveUp(
+    return RequestFailure(
         code=ErrorCode.RETRY_BUDGET_SPENT,
         message=message,
         retry_after_seconds=retry_after_seconds,
     )
 
 
-def stream_broken(reason: str) -> GiveUp:
-    """Return how a committed stream breaks; no retry-after is given."""
-    return GiveUp(code=ErrorCode.STREAM_BROKEN, message=reason, retry_after_seconds=None)
+def stream_broken(reason: str) -> RequestFailure:
+    """Return the failure of a request whose committed stream breaks; it has no retry-after."""
+    return RequestFailure(code=ErrorCode.STREAM_BROKEN, message=reason, retry_after_seconds=None)
--- a/src/orchidpath/routing/request/events.py
+++ b/src/orchidpath/routing/request/events.py
@@ -1,6 +1,7 @@
-"""Events into and instructions out of the request state machine (:mod:`.request_machine`).
+"""Events and instructions of the request state machine (:mod:`.request_machine`).
 
-All of them are plain values: the machine decides, the router's shell sends, reads and waits.
+Both are plain values. The machine makes the decisions; the router's shell executes the instructions
+(sends, reads and waits) and passes the results back as events.
 """
 
 from enum import StrEnum
@@ -15,10 +16,11 @@
 
 
 class RequestPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What the machine must know of a request before its first attempt.
+    """Parameters of a request that are fixed before its first attempt.
 
-    ``streaming`` is false when the caller waits for one JSON body: then nothing reaches the caller
-    before the terminal, and that is what commits the response. ``deadline`` is monotonic seconds.
+    ``is_model`` is true for a request that needs a prefill and a decode worker. ``streaming`` is
+    false if the caller waits for one JSON body: nothing reaches the caller before the terminal
+    frame, which then commits the response. ``deadline`` is in monotonic seconds.
     """
 
     request_id: str
@@ -30,45 +32,45 @@
 
 
 class SendRefusal(StrEnum):
-    """Why the shell did not put an order on the wire, checked right before the first byte."""
+    """Why the shell did not send a dispatch; it checks this immediately before the first byte."""
 
     NOT_FRESH = "not_fresh"
     WORKER_UNAVAILABLE = "worker_unavailable"
 
 
 class TimerKind(StrEnum):
-    """What a timer waits for."""
+    """Purpose of a timer."""
 
     BACKOFF = "backoff"
     CANCEL = "cancel"
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """Admission let the request in."""
+    """Admission control accepted the request."""
 
 
 class AdmissionRejected(msgspec.Struct, frozen=True, kw_only=True):
-    """Admission shed the request; nothing was sent."""
+    """Admission control rejected the request; nothing was sent."""
 
     error: ErrorBody
 
 
 class DecisionMade(msgspec.Struct, frozen=True, kw_only=True):
-    """Workers were chosen for an attempt, or rejected (from the leader or from the fallback)."""
+    """The leader or the fallback decided an attempt: it chose workers or rejected the attempt."""
 
     attempt_id: str
     reply: DecisionReply
 
 
 class NoCandidates(msgspec.Struct, frozen=True, kw_only=True):
-    """The adopted view holds no worker that could serve a stage of the attempt."""
+    """The router's current view has no worker that can serve one of the attempt's stages."""
 
     attempt_id: str
     reason: str
 
 
 class SendRefused(msgspec.Struct, frozen=True, kw_only=True):
-    """The last check before the first byte failed: nothing of this order left the router."""
+    """The check before the first byte failed, so no byte of the dispatch left the router."""
 
     attempt_id: str
     refusal: SendRefusal
@@ -76,7 +78,7 @@
 
 
 class PrefillSucceeded(msgspec.Struct, frozen=True, kw_only=True):
-    """The prompt was prefilled; the reply's identifiers have not been checked yet."""
+    """The prefill worker replied with a handle; the reply's ids have not been checked yet."""
 
     attempt_id: str
     request_id: str
@@ -84,10 +86,11 @@
 
 
 class AttemptFailed(msgspec.Struct, frozen=True, kw_only=True):
-    """The exchange of the attempt's current order failed.
+    """The exchange of the attempt's current dispatch failed.
 
-    ``dispatch_left`` is false only if no byte of the order left this router. ``error`` is the back
-    end's own answer; it is a guarantee only if ``echoed_attempt_id`` is this attempt's.
+    ``dispatch_left`` is false only if no byte of the dispatch left this router. ``error`` is the
+    worker's own error response. Its statement that the call did not run counts as a guarantee only
+    if ``echoed_attempt_id`` is the id of this attempt.
     """
 
     attempt_id: str
@@ -99,20 +102,20 @@
 
 
 class DecodeFrameReceived(msgspec.Struct, frozen=True, kw_only=True):
-    """One frame arrived on the attempt's exchange."""
+    """A frame arrived on the attempt's decode stream."""
 
     attempt_id: str
     frame: DecodeFrame
 
 
 class DecodeEnded(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of the decode stream ended without an error of the transport."""
+    """The body of the decode stream ended without a transport error."""
 
     attempt_id: str
 
 
 class CallReplied(msgspec.Struct, frozen=True, kw_only=True):
-    """A plain call was answered; the identifiers have not been checked yet."""
+    """A worker replied to a plain call; the reply's ids have not been checked yet."""
 
     attempt_id: str
     replied_request_id: str
@@ -121,10 +124,10 @@
 
 
 class CancelAnswered(msgspec.Struct, frozen=True, kw_only=True):
-    """A back end answered a cancellation; ``attempt_id`` is the one that its answer names.
+    """A worker replied to a cancellation; ``attempt_id`` is the id in its reply.
 
-    ``is_same_incarnation`` says that the process which answered is the one that got the order: a
-    worker that has restarted knows nothing of what it ran before.
+    ``is_same_incarnation`` is true if the process that replied also received the dispatch. A worker
+    that has restarted has no record of what it ran before, so its reply guarantees nothing.
     """
 
     worker_id: str
@@ -145,7 +148,7 @@
 
 
 class ClientDisconnected(msgspec.Struct, frozen=True):
-    """The caller closed its connection, or reads nothing any more."""
+    """The caller closed its connection or stopped reading from it."""
 
 
 RequestEvent = (
@@ -167,7 +170,10 @@
 
 
 class StageTried(msgspec.Struct, frozen=True, kw_only=True):
-    """Workers of one stage that this request has used in this pass, or must not use again."""
+    """Workers of one stage that the request has already tried or that it must not use.
+
+    ``tried`` workers are used again only after all others; ``excluded`` workers are not used.
+    """
 
     stage: Stage
     tried: tuple[str, ...]
@@ -175,21 +181,24 @@
 
 
 class RequestDecision(msgspec.Struct, frozen=True, kw_only=True):
-    """List the candidates, ask for fresh circuits, and register the attempt."""
+    """Request a decision from the leader or the fallback, which registers the attempt.
+
+    The router lists the candidates; ``per_stage`` holds the workers tried and excluded so far.
+    """
 
     attempt_id: str
     per_stage: tuple[StageTried, ...]
 
 
 class SendPrefill(msgspec.Struct, frozen=True, kw_only=True):
-    """Dispatch the prefill."""
+    """Dispatch the prefill to a worker."""
 
     worker_id: str
     attempt_id: str
 
 
 class SendDecode(msgspec.Struct, frozen=True, kw_only=True):
-    """Dispatch the decode with the handle that this attempt's prefill gave."""
+    """Dispatch the decode with the KV cache handle returned by this attempt's prefill."""
 
     worker_id: str
     attempt_id: str
@@ -197,7 +206,7 @@
 
 
 class SendCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Dispatch the plain call."""
+    """Dispatch the plain call to a worker."""
 
     worker_id: str
     attempt_id: str
@@ -210,7 +219,7 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell the worker that the attempt is not wanted, within ``timeout_seconds``."""
+    """Cancel the attempt on a worker, waiting at most ``timeout_seconds`` for the reply."""
 
     worker_id: str
     attempt_id: str
@@ -218,7 +227,7 @@
 
 
 class StartTimer(msgspec.Struct, frozen=True, kw_only=True):
-    """Send :class:`TimerElapsed` after ``seconds``."""
+    """Pass :class:`TimerElapsed` to the machine after ``seconds``."""
 
     kind: TimerKind
     number: int
@@ -226,35 +235,38 @@
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """From here on the response belongs to the caller: no retry can follow."""
+    """Commit the response to the caller; no retry is possible after this."""
 
 
 class Relay(msgspec.Struct, frozen=True, kw_only=True):
-    """Pass frames on to the caller, in this order."""
+    """Send frames to the caller, in this order."""
 
     frames: tuple[DecodeFrame, ...]
 
 
 class Finish(msgspec.Struct, frozen=True, kw_only=True):
-    """The response is complete; ``body`` is set for a plain call."""
+    """Complete the response; ``body`` is set for a plain call."""
 
     body: bytes | None = None
 
 
 class Reject(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer with an error; nothing has reached the caller before."""
+    """Reply with an error; nothing has been sent to the caller before."""
 
     error: ErrorBody
 
 
 class BreakStream(msgspec.Struct, frozen=True, kw_only=True):
-    """End a committed stream so that it cannot look complete: error frame, no clean end."""
+    """End a committed stream with an error frame and without a regular end.
+
+    The caller therefore cannot take the stream for complete.
+    """
 
     error: ErrorBody
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell the leader how the attempt ended for one worker; also for the decision trace."""
+    """Report to the leader and to the decision trace how an attempt ended for one worker."""
 
     report: AttemptReport
     stage: Stage
@@ -278,7 +290,7 @@
 )
 
 SEND_INSTRUCTIONS = (SendPrefill, SendDecode, SendCall)
-"""Instructions that put a dispatch on the wire."""
+"""Instructions that send a dispatch to a worker."""
 
 TERMINAL_INSTRUCTIONS = (Finish, Reject, BreakStream)
-"""Instructions after which the caller gets nothing more."""
+"""Instructions after which nothing more is sent to the caller."""
--- a/src/orchidpath/routing/request/guards.py
+++ b/src/orchidpath/routing/request/guards.py
@@ -1,10 +1,10 @@
-"""Names of the request machine's safety rules, so that a test can leave one out."""
+"""Names of the request machine's safety rules, so that tests can disable them."""
 
 from enum import StrEnum
 
 
 class Guard(StrEnum):
-    """Safety rules that a test may turn off to see that its checks catch what they hold."""
+    """Safety rules that a test can disable, to verify that its checks detect each violation."""
 
     GUARANTEE_BEFORE_RETRY = "promise_before_resend"
     ECHO_CHECKED_GUARANTEE = "echo_checked_promise"
@@ -13,7 +13,7 @@
     NO_RETRY_AFTER_COMMIT = "no_retry_after_commit"
     ONLY_CONTENT_COMMITS = "only_content_commits"
     EXPLICIT_TERMINAL = "explicit_terminal"
-    HONEST_RAN = "honest_ran"
+    ACCURATE_RAN = "honest_ran"
     HANDLE_BOUND_TO_ATTEMPT = "handle_bound_to_attempt"
     EVENTS_OF_THIS_ATTEMPT = "events_of_this_attempt"
     ONE_FAILURE_A_WORKER = "one_failure_a_worker"
@@ -22,4 +22,4 @@
 
 
 NO_GUARD_DISABLED: frozenset[Guard] = frozenset()
-"""What every caller but a test passes."""
+"""Default for all callers other than tests: every safety rule is enforced."""
--- a/src/orchidpath/routing/request/request_machine.py
+++ b/src/orchidpath/routing/request/request_machine.py
@@ -1,17 +1,19 @@
-"""The state machine of one request: attempts, retries, the commit rule and at-most-once.
-
-Pure: events and the time come in, instructions go out. ``_TRANSITIONS`` at the end lists what each
-phase takes; an event that its phase does not take, or that belongs to an earlier attempt, is late
-or crossed and changes nothing.
-
-Rules and where they come from:
-
-- each eligible worker once before reuse, full jitter between transient retries, commit at the
-  first content frame, no retry after it, one transient failure a worker (paper, "Circuit breakers
-  and bounded retries");
-- a call that may not be repeated is sent again only when no earlier dispatch of it can run, and
-  ``ran=no`` is only said when that is so (brief, "What must never happen");
-- an attempt has its own id, and a handle is used by the attempt whose prefill gave it and no other.
+"""The state machine of one request: attempts, retries, the commit rule and at-most-once execution.
+
+The machine does no input or output. It receives events together with the time and returns
+instructions. ``_TRANSITIONS`` at the end of this module lists the events that each phase accepts.
+An event that the current phase does not accept, or that belongs to an earlier attempt, is ignored.
+
+The machine implements these rules:
+
+- Every eligible worker is tried once before any is reused, transient failures are retried with full
+  jitter, the response commits at the first content frame, nothing is retried after the commit, and
+  each worker is charged with at most one transient failure (paper, "Circuit breakers and bounded
+  retries").
+- A call that must not be repeated is sent again only if no earlier dispatch of it can run, and
+  ``ran=no`` is returned only if that is the case (brief, "What must never happen").
+- Each attempt has its own id, and a KV cache handle is used only by the attempt whose prefill
+  returned it.
 """
 
 from collections.abc import Callable, Sequence
@@ -38,66 +40,66 @@
 from orchidpath.wire.records import Stage
 
 _WAIT_BEFORE_RETRY = frozenset({AttemptEffect.TRANSIENT, AttemptEffect.THROTTLE})
-"""Effects after which an immediate retry would only add to the load."""
+"""Effects after which a retry waits, because an immediate retry would only add load."""
 
 
 class RequestMachine(RequestCore):
-    """Decides everything about one request; see the module's documentation.
+    """Makes all decisions about one request, as described in the documentation of the module.
 
     Parameters
     ----------
     plan
         The request.
     shared
-        Retry budget of the request's service, KV transfer evidence and randomness.
+        Retry budget of the request's service, KV transfer evidence and random number generator.
     disabled_guards
-        For tests only: safety rules to leave out.
+        Safety rules that are not enforced; for tests only.
     """
 
     def handle(self, event: events.RequestEvent, now: float) -> list[RequestInstruction]:
-        """Take one event.
+        """Process one event.
 
         Parameters
         ----------
         event
-            What happened.
+            The event.
         now
             Monotonic seconds.
 
         Returns
         -------
         list of RequestInstruction
-            To be carried out in this order.
+            Instructions to be executed in this order; empty if the event is ignored.
         """
         transition = _TRANSITIONS.get((self._phase, type(event)))
-        if transition is None or self._is_late(event):
+        if transition is None or self._is_outdated(event):
             return []
         return transition(self, event, now)
 
-    def _is_late(self, event: events.RequestEvent) -> bool:
+    def _is_outdated(self, event: events.RequestEvent) -> bool:
         if Guard.EVENTS_OF_THIS_ATTEMPT in self._disabled:
             return False
         if isinstance(event, events.TimerElapsed):
             return event.number != self._timer_number
         return getattr(event, "attempt_id", self._attempt_id) != self._attempt_id
 
-    # Decisions
-
     def _start(self, _event: events.Admitted, now: float) -> list[RequestInstruction]:
         self._shared.retry_budget.record_first_attempt(now)
         return self._next_attempt(now)
 
-    def _shed(self, event: events.AdmissionRejected, _now: float) -> list[RequestInstruction]:
+    def _admission_rejected(
+        self, event: events.AdmissionRejected, _now: float
+    ) -> list[RequestInstruction]:
         self._phase = Phase.ENDED
         return [events.Reject(error=event.error)]
 
-    def _decided(self, event: events.DecisionMade, now: float) -> list[RequestInstruction]:
+    def _decision_made(self, event: events.DecisionMade, now: float) -> list[RequestInstruction]:
         attempt = AttemptRecord.of(event.attempt_id, event.reply.choices)
         if (
             event.reply.rejection is not Rejection.NONE
             or set(attempt.choices) != self._retries.stages
         ):
-            return [*self._neutral(attempt, "not used"), *self._reject(denied(event.reply))]
+            return [*self._report_neutral(attempt, "not used"), *self._reject(denied(event.reply))]
         self._attempt = attempt
         if self._plan.is_model:
             self._phase = Phase.PREFILLING
@@ -110,31 +112,38 @@
     def _no_candidates(self, event: events.NoCandidates, now: float) -> list[RequestInstruction]:
         wait_seconds = self._retries.seconds_until_a_worker_returns(now)
         if wait_seconds is not None and self._retries.fits(wait_seconds, now):
-            # Nothing was sent: the retry that was granted for this attempt is still to be made.
+            # Nothing was sent, so this attempt does not count. The retry that was granted for it is
+            # made after the wait.
             self._retries.attempts_made -= 1
             return [self._timer(events.TimerKind.BACKOFF, wait_seconds, Phase.BACKING_OFF)]
         if self._retries.attempts_made > 1:
-            return self._reject(self._give_up)
+            return self._reject(self._last_failure)
         return self._reject(no_candidates(event.reason))
 
-    def _decided_too_late(
+    def _decision_made_too_late(
         self, event: events.DecisionMade, _now: float
     ) -> list[RequestInstruction]:
-        # The leader has registered an attempt that will never be sent: free its marks.
+        # The leader has registered an attempt that will never be sent. The neutral reports remove
+        # it from the attempts in flight.
         attempt = AttemptRecord.of(event.attempt_id, event.reply.choices)
-        return [*self._neutral(attempt, "request ended")]
-
-    # Orders
+        return [*self._report_neutral(attempt, "request ended")]
 
     def _send_refused(self, event: events.SendRefused, now: float) -> list[RequestInstruction]:
         self._dispatches.resolve(DispatchState.NEVER_LEFT)
-        instructions = [*self._cancels(), *self._neutral(self._current(), event.refusal.value)]
+        instructions = [
+            *self._cancel_instructions(),
+            *self._report_neutral(self._current(), event.refusal.value),
+        ]
         if event.refusal is events.SendRefusal.NOT_FRESH:
             return [*instructions, *self._reject(not_fresh(event.retry_after_seconds))]
-        self._give_up = failed_attempt(AttemptEffect.GATEWAY, "the worker is unavailable", None)
+        self._last_failure = failed_attempt(
+            AttemptEffect.GATEWAY, "the worker is unavailable", None
+        )
         return [*instructions, *self._start_retry(0.0, now)]
 
-    def _prompt_read(self, event: events.PrefillSucceeded, now: float) -> list[RequestInstruction]:
+    def _prefill_succeeded(
+        self, event: events.PrefillSucceeded, now: float
+    ) -> list[RequestInstruction]:
         if not self._is_own_handle(event.request_id, event.handle):
             return self._crossed(Stage.PREFILL, now)
         self._dispatches.resolve(DispatchState.COMPLETED)
@@ -155,9 +164,9 @@
         expected = (self._plan.request_id, self._attempt_id, worker_id)
         return request_id == self._plan.request_id and bound_to == expected
 
-    # Results
-
-    def _frame(self, event: events.DecodeFrameReceived, now: float) -> list[RequestInstruction]:
+    def _decode_frame_received(
+        self, event: events.DecodeFrameReceived, now: float
+    ) -> list[RequestInstruction]:
         verdict = self._decode.check(event.frame)
         if verdict.is_broken:
             return self._broken_stream(verdict, now)
@@ -187,7 +196,7 @@
         self._shared.kv_transfer_evidence.record_success(prefill, decode, now)
         return self._reports.report(attempt, Stage.PREFILL, AttemptEffect.SUCCESS, "handed over")
 
-    def _called(self, event: events.CallReplied, now: float) -> list[RequestInstruction]:
+    def _call_replied(self, event: events.CallReplied, now: float) -> list[RequestInstruction]:
         echo = (event.replied_request_id, event.replied_attempt_id)
         if echo != (self._plan.request_id, self._attempt_id):
             return self._crossed(Stage.PLAIN, now)
@@ -199,8 +208,6 @@
         reports = self._reports.report_rest(self._current(), AttemptEffect.SUCCESS, "completed")
         return [*reports, events.Finish(body=body)]
 
-    # Failures
-
     def _decode_ended(self, _event: events.DecodeEnded, now: float) -> list[RequestInstruction]:
         if Guard.EXPLICIT_TERMINAL in self._disabled:
             return [*self._complete(None)]
@@ -236,7 +243,7 @@
     def _accept_not_executed_guarantee(
         self, error: ErrorBody | None, echoed_attempt_id: str
     ) -> None:
-        """Resolve the dispatch if the error guarantees that this very attempt was not executed."""
+        """Resolve the dispatch if the error guarantees that this attempt was not executed."""
         if error is None or error.ran is not Ran.NO or self._decode.has_content:
             return
         named = {echoed_attempt_id, error.attempt_id or echoed_attempt_id}
@@ -253,15 +260,15 @@
     ) -> list[RequestInstruction]:
         effect = classify(observation)
         retry_after_seconds = error.retry_after_seconds if error is not None else None
-        self._give_up = failed_attempt(effect, reason, retry_after_seconds)
+        self._last_failure = failed_attempt(effect, reason, retry_after_seconds)
         worker_id = self._current().worker(stage)
         self._retries.record_attempt_failure(worker_id, effect, retry_after_seconds, now)
         instructions: list[RequestInstruction] = [
             events.AbortExchange(attempt_id=self._attempt_id),
             *self._charge(stage, effect, error, reason, now),
-            *self._cancels(),
+            *self._cancel_instructions(),
         ]
-        # Nothing may be sent again once content has reached the caller (paper, commit rule).
+        # No retry may follow once content has reached the caller (paper, commit rule).
         if self._phase is Phase.STREAMING and Guard.NO_RETRY_AFTER_COMMIT not in self._disabled:
             return [*instructions, self._break_stream(reason)]
         in_doubt = self._dispatches.is_in_doubt() and not self._may_retry()
@@ -270,30 +277,29 @@
         is_handle_expiry = error is not None and error.code is ErrorCode.HANDLE_EXPIRED
         wait_seconds = 0.0
         if effect in _WAIT_BEFORE_RETRY or is_handle_expiry:
-            # Handles expire all at once: without the jitter the prefills would come at once, too.
+            # Many handles may expire at the same time. Without jitter, the repeated prefills would
+            # start at the same time, too.
             wait_seconds = self._jitter()
         return [*instructions, *self._start_retry(wait_seconds, now)]
 
-    # Cancellation
-
     def _cancel_answered(
         self, event: events.CancelAnswered, now: float
     ) -> list[RequestInstruction]:
         dispatch = self._dispatches.current
         assert dispatch is not None
-        # The prefill worker's answer about the same attempt says nothing about the decode.
+        # A prefill worker's answer about the same attempt does not tell whether the decode ran.
         is_dispatched_worker = event.worker_id == dispatch.worker_id
         if (
             not is_dispatched_worker
             and Guard.GUARANTEE_OF_THE_DISPATCHED_WORKER not in self._disabled
         ):
             return []
-        if event.ran is not Ran.NO or not self._may_know(event):
-            return self._reject(self._give_up)
+        if event.ran is not Ran.NO or not self._is_same_incarnation(event):
+            return self._reject(self._last_failure)
         self._dispatches.resolve(DispatchState.NOT_EXECUTED_GUARANTEED)
         return self._start_retry(self._jitter(), now)
 
-    def _may_know(self, event: events.CancelAnswered) -> bool:
+    def _is_same_incarnation(self, event: events.CancelAnswered) -> bool:
         if Guard.GUARANTEE_OF_THE_SAME_INCARNATION in self._disabled:
             return True
         return event.is_same_incarnation
@@ -301,28 +307,24 @@
     def _cancel_unanswered(
         self, _event: events.TimerElapsed, _now: float
     ) -> list[RequestInstruction]:
-        return self._reject(self._give_up)
-
-    # Retries
+        return self._reject(self._last_failure)
 
-    def _backed_off(self, _event: events.TimerElapsed, now: float) -> list[RequestInstruction]:
+    def _backoff_elapsed(self, _event: events.TimerElapsed, now: float) -> list[RequestInstruction]:
         return self._next_attempt(now)
 
-    # Ends
-
     def _deadline_passed(
         self, _event: events.DeadlinePassed, now: float
     ) -> list[RequestInstruction]:
-        # The deadline bounds the time to the commit; after it only a stall ends a stream.
+        # The deadline bounds the time until the commit. A committed stream ends only on a stall.
         if self._phase is Phase.STREAMING:
             return []
         charged = self._charge_deadline(now)
-        return [*charged, *self._drop("deadline passed"), *self._reject(DEADLINE_PASSED)]
+        return [*charged, *self._abort_attempt("deadline passed"), *self._reject(DEADLINE_PASSED)]
 
     def _client_disconnected(
         self, _event: events.ClientDisconnected, _now: float
     ) -> list[RequestInstruction]:
-        instructions = self._drop("client gone")
+        instructions = self._abort_attempt("client gone")
         self._phase = Phase.ENDED
         return instructions
 
@@ -331,26 +333,26 @@
 
 _TRANSITIONS: dict[tuple[Phase, type], _Transition] = {
     (Phase.NEW, events.Admitted): RequestMachine._start,
-    (Phase.NEW, events.AdmissionRejected): RequestMachine._shed,
-    (Phase.DECIDING, events.DecisionMade): RequestMachine._decided,
+    (Phase.NEW, events.AdmissionRejected): RequestMachine._admission_rejected,
+    (Phase.DECIDING, events.DecisionMade): RequestMachine._decision_made,
     (Phase.DECIDING, events.NoCandidates): RequestMachine._no_candidates,
     (Phase.PREFILLING, events.SendRefused): RequestMachine._send_refused,
-    (Phase.PREFILLING, events.PrefillSucceeded): RequestMachine._prompt_read,
+    (Phase.PREFILLING, events.PrefillSucceeded): RequestMachine._prefill_succeeded,
     (Phase.PREFILLING, events.AttemptFailed): RequestMachine._attempt_failed,
     (Phase.DECODING, events.SendRefused): RequestMachine._send_refused,
-    (Phase.DECODING, events.DecodeFrameReceived): RequestMachine._frame,
+    (Phase.DECODING, events.DecodeFrameReceived): RequestMachine._decode_frame_received,
     (Phase.DECODING, events.DecodeEnded): RequestMachine._decode_ended,
     (Phase.DECODING, events.AttemptFailed): RequestMachine._attempt_failed,
-    (Phase.STREAMING, events.DecodeFrameReceived): RequestMachine._frame,
+    (Phase.STREAMING, events.DecodeFrameReceived): RequestMachine._decode_frame_received,
     (Phase.STREAMING, events.DecodeEnded): RequestMachine._decode_ended,
     (Phase.STREAMING, events.AttemptFailed): RequestMachine._attempt_failed,
     (Phase.CALLING, events.SendRefused): RequestMachine._send_refused,
-    (Phase.CALLING, events.CallReplied): RequestMachine._called,
+    (Phase.CALLING, events.CallReplied): RequestMachine._call_replied,
     (Phase.CALLING, events.AttemptFailed): RequestMachine._attempt_failed,
     (Phase.CANCELLING, events.CancelAnswered): RequestMachine._cancel_answered,
     (Phase.CANCELLING, events.TimerElapsed): RequestMachine._cancel_unanswered,
-    (Phase.BACKING_OFF, events.TimerElapsed): RequestMachine._backed_off,
-    (Phase.ENDED, events.DecisionMade): RequestMachine._decided_too_late,
+    (Phase.BACKING_OFF, events.TimerElapsed): RequestMachine._backoff_elapsed,
+    (Phase.ENDED, events.DecisionMade): RequestMachine._decision_made_too_late,
     **{
         (phase, events.DeadlinePassed): RequestMachine._deadline_passed
         for phase in Phase
--- a/src/orchidpath/routing/request/retries.py
+++ b/src/orchidpath/routing/request/retries.py
@@ -1,7 +1,8 @@
-"""Bounds on the attempts of one request: which workers were tried, how often, how long to wait.
+"""Limits on the attempts of one request: workers already tried, attempts made, waits.
 
-Sources: paper, "Circuit breakers and bounded retries" (a first pass over the eligible workers
-before any reuse, full jitter, a retry time honoured only when it fits the deadline); design page.
+Sources: the design page, and the paper, "Circuit breakers and bounded retries" (each eligible
+worker is tried before any is reused, retries use full jitter, and a retry-after is applied only if
+it fits the deadline).
 """
 
 from orchidpath.routing.request.events import RequestPlan, StageTried
@@ -10,21 +11,24 @@
 from orchidpath.wire.records import Stage
 
 MAXIMUM_WAIT_SHARE = 0.5
-"""A wait before a retry must fit into this share of the time left, so the retry has time to run."""
+"""Largest share of the remaining time that may be spent waiting before a retry.
+
+The rest is left for the retry to run.
+"""
 
 _NOT_RETRIED = frozenset({AttemptEffect.REQUEST, AttemptEffect.CONFIGURATION})
-"""After these a worker would answer the same again."""
+"""Effects after which a retry on the same worker would have the same result."""
 
 
 class RetryState:
-    """What the attempts of one request have used up.
+    """Tracks the attempts made for one request and the workers that it has tried.
 
     Parameters
     ----------
     plan
         The request.
     disabled_guards
-        For tests only: safety rules to leave out.
+        Safety rules that are not enforced; for tests only.
     """
 
     def __init__(
@@ -39,11 +43,11 @@
 
     @property
     def stages(self) -> frozenset[Stage]:
-        """Stages for which every attempt needs a worker."""
+        """Stages for which each attempt needs a worker."""
         return frozenset(self._tried)
 
     def per_stage(self, now: float) -> tuple[StageTried, ...]:
-        """Return what a decision must know of the attempts so far."""
+        """Return the tried and the excluded workers of each stage, for the next decision."""
         waiting = {worker_id for worker_id, until in self._not_before.items() if until > now}
         excluded = tuple(sorted(self._excluded | waiting))
         return tuple(
@@ -52,21 +56,21 @@
         )
 
     def record_dispatch(self, stage: Stage, worker_id: str) -> None:
-        """Record that a worker was sent a dispatch."""
+        """Record that a dispatch was sent to a worker of a stage."""
         if worker_id not in self._tried[stage]:
             self._tried[stage].append(worker_id)
 
     def record_attempt_failure(
         self, worker_id: str, effect: AttemptEffect, retry_after_seconds: float | None, now: float
     ) -> None:
-        """Record how a worker failed, and its retry-after."""
+        """Record how an attempt failed on a worker, and the worker's retry-after."""
         if effect in _NOT_RETRIED:
             self._excluded.add(worker_id)
         if retry_after_seconds is not None:
             self._not_before[worker_id] = now + retry_after_seconds
 
     def seconds_until_a_worker_returns(self, now: float) -> float | None:
-        """Return the seconds until the first worker with a retry-after may be tried again."""
+        """Return the seconds until the first retry-after of a worker elapses; None if none."""
         waits = [
             until - now
             for worker_id, until in self._not_before.items()
@@ -75,11 +79,11 @@
         return min(waits, default=None)
 
     def attempts_left(self) -> bool:
-        """Whether the request may have a further attempt."""
+        """Return whether the request is below its maximum number of attempts."""
         return self.attempts_made < self._plan.retry.max_attempts
 
     def fits(self, wait_seconds: float, now: float) -> bool:
-        """Whether a wait leaves enough of the deadline for the retry."""
+        """Return whether a wait leaves enough time before the deadline for the retry."""
         if Guard.WAIT_FITS_DEADLINE in self._disabled:
             return True
         remaining_seconds = self._plan.deadline - now
@@ -87,5 +91,5 @@
 
 
 def stages_of(plan: RequestPlan) -> tuple[Stage, ...]:
-    """Return the stages that a request needs, in the order in which they get their orders."""
+    """Return the stages that a request needs, in the order of their dispatches."""
     return (Stage.PREFILL, Stage.DECODE) if plan.is_model else (Stage.PLAIN,)
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -1,4 +1,4 @@
-"""Execution of plans with lost leaders, lost workers and late commands, within their bounds."""
+"""Plans keep their bounds despite lost leaders, lost workers and late commands."""
 
 from random import Random
 
@@ -35,12 +35,12 @@
 
 
 def build_world(random: Random | None = None, max_cordoned: int = 1) -> PlanWorld:
-    """Return a world with four prefill and two decode workers; the plan moves two."""
+    """Return a fleet of four prefill and two decode workers, and a plan that moves two."""
     return PlanWorld(workers(4, 2), service(2, 4, max_cordoned), random)
 
 
 def run_to(world: PlanWorld, phase: StepPhase) -> str:
-    """Run until a step is in a phase; return its worker."""
+    """Run until a step is in a phase, and return the id of its worker."""
     for _ in range(100):
         for step, progress in zip(world.plan.plan.steps, world.plan.progress.steps, strict=True):
             if progress.phase is phase:
@@ -50,7 +50,7 @@
 
 
 def check_ended_cleanly(world: PlanWorld) -> None:
-    """Check that no worker is cordoned or draining and that recorded and real stages agree."""
+    """Check that no worker is cordoned or draining and that recorded stages match actual ones."""
     for worker in world.state.workers():
         assert not worker.cordoned, worker
         assert worker.status is WorkerStatus.READY, worker
@@ -58,6 +58,7 @@
 
 
 def check_done(world: PlanWorld) -> None:
+    """Check that the plan reached the desired counts and moved each of its workers once."""
     assert world.status() is PlanStatus.DONE, world.plan.progress
     check_ended_cleanly(world)
     assert world.serving(Stage.PREFILL) == world.wanted.prefill_workers
@@ -135,6 +136,7 @@
 
 
 def begin_without_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disable the check of the bounds before a step begins."""
     monkeypatch.setattr(plan_state, "begin_objection", lambda *_: "")
     monkeypatch.setattr(execution, "begin_objection", lambda *_: "")
 
@@ -184,12 +186,14 @@
     assert advance(0, StepPhase.WAITING, StepPhase.CORDONING) is Effect.STALE
     assert (
         advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID
-    )  # at most one cordoned at once
+    )  # at most one worker is cordoned at once
     lose_a_prefill_worker_outside_the_plan(world)
     assert advance(0, StepPhase.CORDONING, StepPhase.RETURNING) is Effect.CHANGED
     assert advance(0, StepPhase.RETURNING, StepPhase.RETURNED) is Effect.CHANGED
     lose_a_prefill_worker_outside_the_plan(world)
-    assert advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID  # bound
+    assert (
+        advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID
+    )  # below the minimum of the stage
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed_by_every_router() -> None:
@@ -280,7 +284,7 @@
 
 
 def test_release_waits_for_the_reply_to_resume() -> None:
-    """A DRAIN may be in transit while the replicated record says that the worker is ready."""
+    """A DRAIN may still be in transit while the replicated record shows the worker as ready."""
     world = build_world()
     world.start_plan()
     worker_id = run_to(world, StepPhase.DRAINING)
@@ -356,7 +360,9 @@
     assert len(world.switched) == 1
     world.apply(CancelPlan(order_id="cancel", plan_id=plan_id))
     assert world.status() is PlanStatus.CANCELLED
-    assert world.confirm_plan("next").answer is PlanAnswer.STALE  # three and three already
+    assert (
+        world.confirm_plan("next").answer is PlanAnswer.STALE
+    )  # the stages already have three workers each
 
 
 def stale_start(world: PlanWorld) -> PlanAnswer:
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -1,4 +1,4 @@
-"""Which workers a plan moves, and why a plan is rejected (docs/design/plans.md)."""
+"""Choice of the workers that a plan moves, and reasons for refusals (docs/design/plans.md)."""
 
 from collections import Counter
 from itertools import combinations
@@ -16,6 +16,7 @@
 
 
 def view(*workers: WorkerRecord, services: list[Service], version: int = 1) -> FleetView:
+    """Return a view of the replicated state with these workers and services."""
     route = Route(name="chat", service=SERVICE, model="m", deadline_seconds=30.0)
     configuration = Configuration(services=services, routes=[route])
     return FleetView(
@@ -32,6 +33,7 @@
 
 
 def reason(*workers: WorkerRecord, wanted: Service) -> RefusalReason:
+    """Return why no step is planned for the wanted service."""
     preview = make_preview(view(*workers, services=[wanted]))
     assert not preview.steps
     assert not preview.plan.steps
@@ -58,7 +60,7 @@
     ]
     wanted = service(desired_prefill, desired_decode)
     preview = make_preview(view(*workers, services=[wanted]))
-    before = Counter(one.stage for one in workers)
+    before = Counter(worker.stage for worker in workers)
     if len(workers) < desired_prefill + desired_decode:
         assert preview.refusals[0].reason is RefusalReason.NOT_ENOUGH_WORKERS
         return
@@ -70,37 +72,42 @@
         assert preview.refusals[0].reason is RefusalReason.ALREADY_AS_DESIRED
         return
     moved = {step.worker_id for step in preview.plan.steps}
-    after = Counter(stage_after(one, moved) for one in workers)
+    after = Counter(stage_after(worker, moved) for worker in workers)
     assert after[Stage.PREFILL] >= desired_prefill
     assert after[Stage.DECODE] >= desired_decode
-    shown = preview.services[0]
-    assert (shown.prefill_after, shown.decode_after) == (after[Stage.PREFILL], after[Stage.DECODE])
-    giving = preview.plan.steps[0].from_stage
+    service_preview = preview.services[0]
+    assert (service_preview.prefill_after, service_preview.decode_after) == (
+        after[Stage.PREFILL],
+        after[Stage.DECODE],
+    )
+    source_stage = preview.plan.steps[0].from_stage
     best = min(
-        unevenness(workers, set(chosen))
+        imbalance(workers, set(chosen))
         for chosen in combinations(
-            [one.worker_id for one in workers if one.stage is giving], lacking
+            [worker.worker_id for worker in workers if worker.stage is source_stage], lacking
         )
     )
-    assert unevenness(workers, moved) == best
+    assert imbalance(workers, moved) == best
 
 
 def stage_after(worker: WorkerRecord, moved: set[str]) -> Stage:
+    """Return the stage of a worker after a plan that moves these worker ids."""
     if worker.worker_id not in moved:
         return worker.stage
     return Stage.DECODE if worker.stage is Stage.PREFILL else Stage.PREFILL
 
 
-def unevenness(workers: list[WorkerRecord], moved: set[str]) -> int:
-    counts = Counter((stage_after(one, moved), one.zone) for one in workers)
+def imbalance(workers: list[WorkerRecord], moved: set[str]) -> int:
+    """Return the sum of the squared worker counts per stage and zone; smaller is more even."""
+    counts = Counter((stage_after(worker, moved), worker.zone) for worker in workers)
     return sum(count * count for count in counts.values())
 
 
 def test_of_equally_placed_workers_the_one_with_the_smallest_ring_share_is_moved() -> None:
     workers = fleet(prefill=9, decode=1)
     preview = make_preview(view(*workers, services=[service(5, 5)]))
-    shares = ring_shares([one.worker_id for one in workers if one.stage is Stage.PREFILL])
-    smallest = sorted(shares, key=lambda one: shares[one])[:4]
+    shares = ring_shares([worker.worker_id for worker in workers if worker.stage is Stage.PREFILL])
+    smallest = sorted(shares, key=lambda worker_id: shares[worker_id])[:4]
     assert [step.worker_id for step in preview.plan.steps] == smallest
     assert sum(shares.values()) == pytest.approx(1.0)
 
@@ -112,8 +119,8 @@
     workers = fleet(prefill=7, decode=5, zones=3)
     preview = make_preview(view(*workers, services=[service(prefill_workers, decode_workers)]))
     moved = {step.worker_id for step in preview.plan.steps}
-    old = [one.worker_id for one in workers if one.stage is Stage.PREFILL]
-    new = [one.worker_id for one in workers if stage_after(one, moved) is Stage.PREFILL]
+    old = [worker.worker_id for worker in workers if worker.stage is Stage.PREFILL]
+    new = [worker.worker_id for worker in workers if stage_after(worker, moved) is Stage.PREFILL]
     expected = moved_share(HashRing.build(old), HashRing.build(new))
     assert preview.services[0].moved_ring_share == pytest.approx(expected)
 
@@ -176,7 +183,7 @@
         view(*workers, record("w6", Stage.DECODE), services=wanted),
         view(*workers, services=[service(2, 4, max_cordoned=2)]),
     ]
-    ids = {make_preview(one).plan.plan_id for one in changed}
+    ids = {make_preview(changed_view).plan.plan_id for changed_view in changed}
     assert len(ids) == len(changed)
     assert first.plan_id not in ids
     elsewhere = record("x", Stage.DECODE, service="other")
@@ -185,8 +192,8 @@
 
 def test_bounds_follow_the_longest_deadline_and_the_number_cordoned_at_once() -> None:
     preview = make_preview(view(*fleet(6, 2), services=[service(2, 6, max_cordoned=3)]))
-    (shown,) = preview.services
+    (service_preview,) = preview.services
     (bounds,) = preview.plan.bounds
     assert bounds.drain_seconds == 40.0
-    assert shown.cordoned_at_once == 3
-    assert shown.plan_seconds_at_most == 2 * shown.max_cordoned_seconds
+    assert service_preview.cordoned_at_once == 3
+    assert service_preview.plan_seconds_at_most == 2 * service_preview.max_cordoned_seconds
--- a/tests/placement/test_prefill_placement.py
+++ b/tests/placement/test_prefill_placement.py
@@ -1,4 +1,4 @@
-"""Prompts go to the worker with their prefix in its cache, unless its queue is too long."""
+"""Placement of prefills by cached prefixes, queue lengths, measured pace and zones."""
 
 from collections.abc import Callable
 
@@ -58,7 +58,7 @@
     now: float = 0.0,
     in_flight: Callable[[str], int] = idle,
 ) -> dict[Stage, str]:
-    """Choose the first candidate of each stage, as with closed circuits."""
+    """Decide for the first candidate of each stage, as happens while all circuits are closed."""
     ordered = placement.order(decision_request, in_flight, now)
     choices = tuple(
         Choice(stage=stage_candidates.stage, worker_id=stage_candidates.candidates[0])
@@ -110,12 +110,13 @@
 
 
 def test_empty_prompts_on_one_worker_are_completed_one_after_the_other() -> None:
-    # In a bench run, the second end of a prefill without tokens stopped the leader.
+    # Guards against a failure of the leader at the second completion of a prefill without tokens,
+    # as seen in a benchmark.
     placement = PrefillPlacement()
     requests = [request(number, shared=0, own=0) for number in range(3)]
-    chosen = [place(placement, each) for each in requests]
-    for each, choice in zip(requests, chosen, strict=True):
-        complete_prefill(placement, each, next(iter(choice.values())))
+    chosen = [place(placement, decision_request) for decision_request in requests]
+    for decision_request, choice in zip(requests, chosen, strict=True):
+        complete_prefill(placement, decision_request, next(iter(choice.values())))
 
 
 def test_a_prefill_without_a_report_expires() -> None:
@@ -125,7 +126,7 @@
     assert placement.waiting_tokens("p1") <= 16_700
 
 
-def test_a_short_prompt_gets_decode_side_prefill_while_prefill_workers_are_busy() -> None:
+def test_a_short_prompt_gets_decode_side_prefill_while_prefill_queues_are_long() -> None:
     placement = PrefillPlacement()
     for number, worker_id in enumerate(RING):
         place(placement, request(number, prefix=number + 20, own=60_000, ring=(worker_id,)))
@@ -185,13 +186,14 @@
 
 
 def fill_prefill_queues(placement: PrefillPlacement) -> None:
-    """Give every prefill worker a long queue."""
+    """Queue a prefill of 73,000 tokens on each prefill worker."""
     for number, worker_id in enumerate(RING):
         place(placement, request(number, prefix=number + 20, own=60_000, ring=(worker_id,)))
 
 
 def test_a_long_prompt_never_gets_decode_side_prefill() -> None:
-    # In a bench run, 22,000 tokens delayed all KV transfers to a worker by two seconds.
+    # A decode-side prefill of 22,000 tokens delayed all KV transfers to its worker by two seconds
+    # in a benchmark.
     placement = PrefillPlacement()
     fill_prefill_queues(placement)
     assert Stage.PREFILL in place(placement, request(9, shared=0, own=9_000))
@@ -202,8 +204,8 @@
     decision_request = request(1)
     decoder = place(placement, decision_request)[Stage.DECODE]
     fill_prefill_queues(placement)
-    again = request(9, own=500)
-    assert Stage.PREFILL in place(placement, again)
+    same_prefix = request(9, own=500)
+    assert Stage.PREFILL in place(placement, same_prefix)
     complete_prefill(placement, decision_request, decoder)
     assert place(placement, request(10, own=500)) == {Stage.DECODE: decoder}
 
@@ -217,8 +219,8 @@
         seconds = 2.0 if worker_id == "p1" else 0.4
         complete_prefill(placement, decision_request, worker_id, now + seconds)
         now += seconds
-    fresh = request(50, prefix=7, shared=0, own=10_000, ring=("p1", "p2"))
-    assert place(placement, fresh, now)[Stage.PREFILL] == "p2"
+    uncached = request(50, prefix=7, shared=0, own=10_000, ring=("p1", "p2"))
+    assert place(placement, uncached, now)[Stage.PREFILL] == "p2"
 
 
 def postponed_seconds(
@@ -233,7 +235,8 @@
 
 
 def test_a_second_prompt_is_postponed_while_its_prefix_is_being_prefilled() -> None:
-    # In a bench run, a worker that was chosen meanwhile prefilled all of it a second time.
+    # Without postponement, the second prompt is placed before the prefix is cached, and its worker
+    # prefills the prefix again, as seen in a benchmark.
     placement = PrefillPlacement()
     decision_request = request(1)
     place(placement, decision_request)
@@ -304,7 +307,7 @@
     assert place(placement, request(3, prefix=9, ring=("p2",)))[Stage.DECODE] == "d1"
 
 
-def test_a_much_busier_worker_of_the_zone_is_passed_over() -> None:
+def test_a_much_more_loaded_worker_of_the_zone_is_not_chosen() -> None:
     placement = PrefillPlacement()
     placement.set_zones(ZONES)
     loads = {"d1": 60, "d2": 1}
@@ -313,13 +316,14 @@
 
 
 def short_request(is_read: bool = False) -> DecisionRequest:
+    """Return a request without a prefill stage, with decode candidates in two zones."""
     stage_candidates = StageCandidates(stage=Stage.DECODE, candidates=("far", "near"))
     return msgspec.structs.replace(
         request(1, shared=0, own=900), per_stage=(stage_candidates,), is_read=is_read
     )
 
 
-def test_a_short_prompt_goes_to_the_routers_zone_unless_it_is_busier_there() -> None:
+def test_a_short_prompt_goes_to_the_routers_zone_unless_the_load_is_higher_there() -> None:
     placement = PrefillPlacement()
     placement.set_zones({"far": "z1", "near": "z2"})
 
--- a/tests/placement/test_prefill_queues.py
+++ b/tests/placement/test_prefill_queues.py
@@ -1,4 +1,4 @@
-"""Prefill queues: the expected wait of a prompt, and the measured pace of each worker."""
+"""Prefill queues: the expected wait of a prompt and the measured pace of each worker."""
 
 from orchidpath.placement.prefill_queues import (
     DEFAULT_SECONDS_PER_TOKEN,
@@ -14,7 +14,7 @@
 def prefill_one_after_the_other(
     queues: PrefillQueues, worker_id: str, tokens_per_second: int, count: int = 4
 ) -> None:
-    """Begin prefills of 20,000 tokens at once; the worker completes them in turn."""
+    """Begin ``count`` prefills of 20,000 tokens at once, and complete them one after the other."""
     tokens = 20_000
     for number in range(count):
         queues.begin(f"{worker_id}{number}", worker_id, tokens, 0.0, measures_pace=True)
@@ -51,7 +51,7 @@
     assert close(queues.seconds_per_token("new"), 1 / 50_000)
 
 
-def test_a_prefill_beside_streams_is_not_measured() -> None:
+def test_a_prefill_on_a_worker_with_running_requests_is_not_measured() -> None:
     queues = PrefillQueues()
     queues.begin("a", "w", 20_000, 0.0, measures_pace=False)
     queues.end("a", "w", 9.0, was_completed=True)
--- a/tests/placement/test_recommendation.py
+++ b/tests/placement/test_recommendation.py
@@ -1,4 +1,4 @@
-"""Recommended split for a load: it follows a lasting change and ignores oscillation."""
+"""The recommended split follows a lasting change of the load and ignores oscillation."""
 
 import pytest
 from hypothesis import given
@@ -27,7 +27,7 @@
     prefill=st.integers(1, 30),
     decode=st.integers(1, 30),
 )
-def test_the_recommended_split_is_optimal_or_the_present_one_is_near_it(
+def test_the_recommended_split_is_optimal_or_the_current_split_is_close_to_optimal(
     prompt: float, output: float, prefill: int, decode: int
 ) -> None:
     found = recommend(rates(prompt, output), CAPACITY, prefill, decode, POLICY)
--- a/tests/placement/test_stage_allocation.py
+++ b/tests/placement/test_stage_allocation.py
@@ -1,4 +1,4 @@
-"""The automatic split into prefill and decode workers, and which workers are moved."""
+"""Automatic allocation of workers to the prefill and decode stages."""
 
 import msgspec
 import pytest
@@ -42,7 +42,7 @@
 
 
 def test_of_three_workers_two_prefill() -> None:
-    """In a bench run, one of three workers prefilled all prompts, with seconds of them queued."""
+    """With one prefill worker of three, prompts queued for seconds in a benchmark."""
     moves = next_moves(service(), workers(1, 2), {}, {})
     assert [move.stage for move in moves] == [Stage.PREFILL]
     assert next_moves(service(), workers(2, 1), {}, {}) == []
@@ -52,7 +52,7 @@
     moves = next_moves(service(), workers(4, 5), {}, {})
     assert len(moves) == 3
     assert all(move.stage is Stage.PREFILL for move in moves)
-    # w4, w6 and w8 decode in z0; w5 and w7 in z1: one of each zone stays.
+    # w4, w6 and w8 decode in z0, and w5 and w7 in z1. One decode worker of each zone remains.
     assert sorted(move.worker.zone for move in moves) == ["z0", "z0", "z1"]
 
 
@@ -72,7 +72,8 @@
 
 
 def test_the_last_worker_decodes() -> None:
-    # In a bench run, it was moved to prefill, and no decode worker remained.
+    # Guards against moving the last worker to prefill, which leaves no decode worker. This was seen
+    # in a benchmark.
     assert next_moves(service(), workers(0, 1), {}, {}) == []
     assert [move.stage for move in next_moves(service(), workers(1, 0), {}, {})] == [Stage.DECODE]
 
--- a/tests/routing/request_machine_driver.py
+++ b/tests/routing/request_machine_driver.py
@@ -1,4 +1,4 @@
-"""Driver of a request machine by scripted events, shared by the tests of the machine."""
+"""Drives a request machine with scripted events; shared by the tests of the machine."""
 
 from collections.abc import Sequence
 from random import Random
@@ -17,13 +17,13 @@
 from orchidpath.wire.records import Stage
 
 REQUEST = "request-1"
-GENEROUS = RetryPolicy(budget_minimum_per_second=100.0)
+LARGE_RETRY_BUDGET = RetryPolicy(budget_minimum_per_second=100.0)
 
 T = TypeVar("T")
 
 
 class Driver:
-    """One request: feeds its events and records every instruction."""
+    """Feeds events to the machine of one request and records every returned instruction."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         repeatable: bool = False,
         repeat_prompt_read: bool = False,
         deadline: float = 30.0,
-        retry: RetryPolicy = GENEROUS,
+        retry: RetryPolicy = LARGE_RETRY_BUDGET,
         seed: int = 1,
         kv_transfer_evidence: TransferEvidenceTable | None = None,
         disabled: Sequence[Guard] = (),
@@ -85,7 +85,7 @@
         self.feed(events.Admitted())
 
     def decide(self, *workers: str) -> list[events.RequestInstruction]:
-        """Choose workers: prefill and decode, or the one of a plain call."""
+        """Decide for a prefill and a decode worker, or for the worker of a plain call."""
         stages = (Stage.PREFILL, Stage.DECODE) if self.model else (Stage.PLAIN,)
         choices = tuple(
             Choice(stage=stage, worker_id=worker)
@@ -189,6 +189,7 @@
         return self.feed(event)
 
     def elapse(self) -> list[events.RequestInstruction]:
+        """Advance the time to the end of the newest timer, and feed its event."""
         timer = self.newest(events.StartTimer)
         self.now += timer.seconds
         return self.feed(events.TimerElapsed(kind=timer.kind, number=timer.number))
@@ -212,7 +213,7 @@
         return self.newest(events.Reject).error
 
     def is_retrying(self) -> bool:
-        """Whether the newest instructions lead to a further attempt."""
+        """Return whether the newest instructions lead to a further attempt."""
         timers = [
             instruction for instruction in self.last if isinstance(instruction, events.StartTimer)
         ]
--- a/tests/routing/test_request_machine.py
+++ b/tests/routing/test_request_machine.py
@@ -1,4 +1,4 @@
-"""Rules of the request machine, each tested by a scripted request."""
+"""Rules of the request machine, each tested with a scripted request."""
 
 import pytest
 from request_machine_driver import REQUEST, Driver
@@ -31,7 +31,7 @@
 
 
 class TestCommit:
-    """Paper: buffered until the first semantic frame; roles, usage, keepalives don't commit."""
+    """Paper: frames are buffered until the first content; role, usage, keepalive don't commit."""
 
     @pytest.mark.parametrize("kind", [FrameKind.ROLE, FrameKind.USAGE, FrameKind.KEEPALIVE])
     def test_other_frames_do_not_commit(self, kind: FrameKind) -> None:
@@ -81,7 +81,8 @@
         assert driver.reports("p1") == driver.reports("d1") == [AttemptEffect.SUCCESS]
 
     def test_a_stream_without_a_terminal_is_not_complete(self) -> None:
-        # An aborted stream must not look complete. Paper: a missing terminal is transient.
+        # An aborted stream must not look complete. Paper: a missing terminal is
+        # transient.
         driver = decoding(repeatable=True)
         driver.frame(FrameKind.ROLE)
         driver.feed(events.DecodeEnded(attempt_id=driver.attempt_id))
@@ -97,7 +98,7 @@
 
 
 class TestAtMostOnce:
-    """A non-idempotent call never executes twice, and a "not executed" answer stays true."""
+    """A call that must not be repeated never runs twice, and ``ran=no`` is always correct."""
 
     def test_a_dispatch_in_doubt_is_cancelled_and_then_answered_unknown(self) -> None:
         driver = calling()
@@ -232,7 +233,7 @@
 
 
 class TestHandle:
-    """A KV cache of one request is never used for another."""
+    """The KV cache of one request is never used for another request."""
 
     @pytest.mark.parametrize("field", ["request_id", "attempt_id", "worker_id"])
     def test_foreign_handle_is_never_used(self, field: str) -> None:
@@ -243,7 +244,8 @@
         assert not driver.all(events.SendDecode)
 
     def test_expired_handle_is_neutral_and_a_new_attempt_prefills_again(self) -> None:
-        # An expired handle is neutral; the second prefill is charged to the budget, with backoff.
+        # An expired handle charges no worker. The second prefill is a retry: it uses the retry
+        # budget and waits for a backoff.
         driver = decoding(repeat_prompt_read=True)
         first = driver.attempt_id
         driver.reject(driver.error(ErrorCode.HANDLE_EXPIRED, Ran.NO))
@@ -283,7 +285,7 @@
 
 
 class TestRetries:
-    """Paper, "Circuit breakers and bounded retries"."""
+    """Limits on retries (paper, "Circuit breakers and bounded retries")."""
 
     def test_every_attempt_has_its_own_id(self) -> None:
         driver = calling(repeatable=True)
@@ -380,7 +382,7 @@
 
 
 class TestRejections:
-    """Requests that are answered at once, and their errors."""
+    """Errors of requests that are rejected without a further attempt."""
 
     @pytest.mark.parametrize(
         ("rejection", "code"),
@@ -407,7 +409,7 @@
         assert driver.rejected() == error
 
     def test_router_with_an_expired_lease_dispatches_nothing(self) -> None:
-        # A router that is not fresh answers at once.
+        # A router without a valid lease rejects the request immediately.
         driver = calling()
         rejected = events.SendRefused(
             attempt_id=driver.attempt_id,
@@ -431,7 +433,7 @@
 
 
 class TestEnds:
-    """Deadline, disconnection of the caller, and late decisions."""
+    """Requests that end by their deadline or by disconnection, and decisions after the end."""
 
     def test_disconnected_caller_cancels_and_is_neutral(self) -> None:
         driver = decoding()
--- a/tests/routing/test_request_machine_properties.py
+++ b/tests/routing/test_request_machine_properties.py
@@ -1,6 +1,6 @@
-"""Properties of the request machine under random events, with each guard on and disabled.
+"""Properties of the request machine under random events, with all guards and without each one.
 
-The same checker must detect each disabled guard; otherwise it proves nothing.
+The checker must detect each disabled guard. Otherwise its success with all guards proves nothing.
 """
 
 import pytest
@@ -43,7 +43,7 @@
     Guard.NO_RETRY_AFTER_COMMIT: "(nothing is sent|an error status) after the commit",
     Guard.ONLY_CONTENT_COMMITS: "only content and the terminal commit",
     Guard.EXPLICIT_TERMINAL: "an aborted stream must not look complete",
-    Guard.HONEST_RAN: "ran=no was wrong",
+    Guard.ACCURATE_RAN: "ran=no was wrong",
     Guard.HANDLE_BOUND_TO_ATTEMPT: "a handle of another attempt",
     Guard.EVENTS_OF_THIS_ATTEMPT: TWO_DISPATCHES + "|ran=no was wrong",
     Guard.ONE_FAILURE_A_WORKER: "one failure a worker",
