--- a/src/orchidpath/placement/prefill_placement.py
+++ b/src/orchidpath/placement/prefill_placement.py
@@ -369,7 +369,7 @@
             or self._prefilling_attempt(worker_id, prompt) is not None
         }
         # Former leaders, and routers that decide without the leader, send prompts with this prefix
-        # to the first candidate, so it is the one most likely to have the prefix cached.
+        # to the first candidate. It is therefore the worker most likely to have the prefix cached.
         return found or set(candidates.candidates[:1])
 
     def _is_decode_side_cheaper(
@@ -380,7 +380,10 @@
         prompt: PromptShape,
         now: float,
     ) -> bool:
-        """Return whether decode-side prefill on the first decode candidate is the cheaper way."""
+        """Return whether decode-side prefill on the first decode candidate is cheaper.
+
+        The alternative is a prefill on the first prefill candidate, followed by a KV transfer.
+        """
         if not prefill.candidates or not decode_side.candidates or not self._policy.direct_reads:
             return False
         decode_worker = decode_side.candidates[0]
--- a/src/orchidpath/placement/recommendation.py
+++ b/src/orchidpath/placement/recommendation.py
@@ -108,13 +108,11 @@
         If a stage has no worker, a capacity is not positive or a rate is negative.
     """
     if min(prefill_workers, decode_workers) < 1:
-        raise NoSplitError(
-            f"each stage needs a worker: got {prefill_workers} prefill and {decode_workers} decode"
-        )
+        raise NoSplitError("each stage needs at least one worker")
     if min(capacity.prompt_tokens_per_second, capacity.output_tokens_per_second) <= 0:
-        raise NoSplitError(f"capacities must be positive: {capacity}")
+        raise NoSplitError("the capacities of a worker must be above zero")
     if min(rates.prompt_tokens_per_second, rates.output_tokens_per_second) < 0:
-        raise NoSplitError(f"token rates must not be negative: {rates}")
+        raise NoSplitError("the token rates of a service must not be below zero")
     prompt_load = rates.prompt_tokens_per_second / capacity.prompt_tokens_per_second
     output_load = rates.output_tokens_per_second / capacity.output_tokens_per_second
     total = prefill_workers + decode_workers
--- a/src/orchidpath/routing/request/core.py
+++ b/src/orchidpath/routing/request/core.py
@@ -151,6 +151,7 @@
     def _charge(
         self, stage: Stage, effect: AttemptEffect, error: ErrorBody | None, reason: str, now: float
     ) -> Sequence[RequestInstruction]:
+        """Report a failed attempt; a failed KV transfer is charged as the evidence indicates."""
         attempt = self._current()
         evidence = transfer_evidence(error) if stage is Stage.DECODE else None
         if evidence is not None and not self._decode.is_kv_transferred:
@@ -168,6 +169,7 @@
         return [*failed, *self._report_neutral(attempt, "not used")]
 
     def _report_neutral(self, attempt: AttemptRecord, reason: str) -> Sequence[RequestInstruction]:
+        """Report the unreported workers of an attempt without charging them."""
         return self._reports.report_rest(attempt, AttemptEffect.GATEWAY, reason)
 
     def _await_not_executed_guarantee(self, now: float) -> RequestInstruction:
@@ -199,9 +201,9 @@
 
     def _start_retry(self, wait_seconds: float, now: float) -> list[RequestInstruction]:
         """Start a retry if all limits allow it, otherwise reject (paper, bounded retries)."""
-        if not self._may_retry() or not self._retries.attempts_left():
+        if not self._may_retry() or not self._retries.has_attempts_left():
             return self._reject(self._last_failure)
-        if not self._retries.fits(wait_seconds, now):
+        if not self._retries.fits_deadline(wait_seconds, now):
             return self._reject(self._last_failure)
         budget = self._shared.retry_budget
         if not budget.try_spend(now) and Guard.RETRY_BUDGET not in self._disabled:
--- a/src/orchidpath/routing/request/request_machine.py
+++ b/src/orchidpath/routing/request/request_machine.py
@@ -111,7 +111,7 @@
 
     def _no_candidates(self, event: events.NoCandidates, now: float) -> list[RequestInstruction]:
         wait_seconds = self._retries.seconds_until_a_worker_returns(now)
-        if wait_seconds is not None and self._retries.fits(wait_seconds, now):
+        if wait_seconds is not None and self._retries.fits_deadline(wait_seconds, now):
             # Nothing was sent, so this attempt does not count. The retry that was granted for it is
             # made after the wait.
             self._retries.attempts_made -= 1
@@ -287,7 +287,7 @@
     ) -> list[RequestInstruction]:
         dispatch = self._dispatches.current
         assert dispatch is not None
-        # A prefill worker's answer about the same attempt does not tell whether the decode ran.
+        # A prefill worker's answer about the same attempt is no evidence about the decode.
         is_dispatched_worker = event.worker_id == dispatch.worker_id
         if (
             not is_dispatched_worker
--- a/src/orchidpath/routing/request/retries.py
+++ b/src/orchidpath/routing/request/retries.py
@@ -78,11 +78,11 @@
         ]
         return min(waits, default=None)
 
-    def attempts_left(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Return whether the request is below its maximum number of attempts."""
         return self.attempts_made < self._plan.retry.max_attempts
 
-    def fits(self, wait_seconds: float, now: float) -> bool:
+    def fits_deadline(self, wait_seconds: float, now: float) -> bool:
         """Return whether a wait leaves enough time before the deadline for the retry."""
         if Guard.WAIT_FITS_DEADLINE in self._disabled:
             return True
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -186,14 +186,14 @@
     assert advance(0, StepPhase.WAITING, StepPhase.CORDONING) is Effect.STALE
     assert (
         advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID
-    )  # at most one worker is cordoned at once
+    )  # only one worker may be cordoned at once
     lose_a_prefill_worker_outside_the_plan(world)
     assert advance(0, StepPhase.CORDONING, StepPhase.RETURNING) is Effect.CHANGED
     assert advance(0, StepPhase.RETURNING, StepPhase.RETURNED) is Effect.CHANGED
     lose_a_prefill_worker_outside_the_plan(world)
     assert (
         advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID
-    )  # below the minimum of the stage
+    )  # the stage would fall below its minimum
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed_by_every_router() -> None:
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -32,9 +32,9 @@
     ]
 
 
-def reason(*workers: WorkerRecord, wanted: Service) -> RefusalReason:
-    """Return why no step is planned for the wanted service."""
-    preview = make_preview(view(*workers, services=[wanted]))
+def reason(*workers: WorkerRecord, desired: Service) -> RefusalReason:
+    """Return why no step is planned for a service with these desired counts."""
+    preview = make_preview(view(*workers, services=[desired]))
     assert not preview.steps
     assert not preview.plan.steps
     (refusal,) = preview.refusals
@@ -58,8 +58,8 @@
         record(f"w{number}", stage, zone=f"z{zone}", domain=f"d{number % 4}")
         for number, (stage, zone) in enumerate(places)
     ]
-    wanted = service(desired_prefill, desired_decode)
-    preview = make_preview(view(*workers, services=[wanted]))
+    desired = service(desired_prefill, desired_decode)
+    preview = make_preview(view(*workers, services=[desired]))
     before = Counter(worker.stage for worker in workers)
     if len(workers) < desired_prefill + desired_decode:
         assert preview.refusals[0].reason is RefusalReason.NOT_ENOUGH_WORKERS
@@ -135,11 +135,11 @@
 
 
 def test_rejections_state_their_reason() -> None:
-    assert reason(*fleet(1, 1), wanted=service(1, 2)) is RefusalReason.NOT_ENOUGH_WORKERS
-    assert reason(*fleet(2, 2), wanted=service(0, 4)) is RefusalReason.STAGE_WOULD_BE_EMPTY
-    assert reason(*fleet(2, 2), wanted=service(4, 0)) is RefusalReason.STAGE_WOULD_BE_EMPTY
-    assert reason(*fleet(2, 2), wanted=service(2, 2)) is RefusalReason.ALREADY_AS_DESIRED
-    assert reason(*fleet(3, 2), wanted=service(2, 2)) is RefusalReason.ALREADY_AS_DESIRED
+    assert reason(*fleet(1, 1), desired=service(1, 2)) is RefusalReason.NOT_ENOUGH_WORKERS
+    assert reason(*fleet(2, 2), desired=service(0, 4)) is RefusalReason.STAGE_WOULD_BE_EMPTY
+    assert reason(*fleet(2, 2), desired=service(4, 0)) is RefusalReason.STAGE_WOULD_BE_EMPTY
+    assert reason(*fleet(2, 2), desired=service(2, 2)) is RefusalReason.ALREADY_AS_DESIRED
+    assert reason(*fleet(3, 2), desired=service(2, 2)) is RefusalReason.ALREADY_AS_DESIRED
 
 
 def test_a_worker_that_does_not_serve_is_not_counted_and_not_moved() -> None:
@@ -149,7 +149,7 @@
     assert preview.not_counted == ("w9", "w8")
     assert len(preview.steps) == 1
     assert preview.plan.steps[0].worker_id in {"w0", "w1"}
-    assert reason(*fleet(2, 2), draining, cordoned, wanted=service(3, 2)) is (
+    assert reason(*fleet(2, 2), draining, cordoned, desired=service(3, 2)) is (
         RefusalReason.NOT_ENOUGH_WORKERS
     )
 
@@ -171,23 +171,23 @@
 
 def test_the_plan_id_changes_with_every_input_of_the_plan() -> None:
     workers = fleet(4, 2)
-    wanted = [service(2, 4)]
-    first = make_preview(view(*workers, services=wanted)).plan
-    assert make_preview(view(*workers, services=wanted)).plan == first
-    other_revision = msgspec.structs.replace(view(*workers, services=wanted), revision=8)
+    services = [service(2, 4)]
+    first = make_preview(view(*workers, services=services)).plan
+    assert make_preview(view(*workers, services=services)).plan == first
+    other_revision = msgspec.structs.replace(view(*workers, services=services), revision=8)
     assert make_preview(other_revision).plan.plan_id == first.plan_id
     restarted = [*workers[:5], record("w5", Stage.DECODE, zone="z0", incarnation="2")]
     changed = [
-        view(*workers, services=wanted, version=2),
-        view(*restarted, services=wanted),
-        view(*workers, record("w6", Stage.DECODE), services=wanted),
+        view(*workers, services=services, version=2),
+        view(*restarted, services=services),
+        view(*workers, record("w6", Stage.DECODE), services=services),
         view(*workers, services=[service(2, 4, max_cordoned=2)]),
     ]
     ids = {make_preview(changed_view).plan.plan_id for changed_view in changed}
     assert len(ids) == len(changed)
     assert first.plan_id not in ids
     elsewhere = record("x", Stage.DECODE, service="other")
-    assert make_preview(view(*workers, elsewhere, services=wanted)).plan.plan_id == first.plan_id
+    assert make_preview(view(*workers, elsewhere, services=services)).plan.plan_id == first.plan_id
 
 
 def test_bounds_follow_the_longest_deadline_and_the_number_cordoned_at_once() -> None:
--- a/tests/placement/test_stage_allocation.py
+++ b/tests/placement/test_stage_allocation.py
@@ -34,11 +34,11 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "wanted"),
+    ("count", "expected"),
     [(0, 0), (1, 1), (2, 1), (3, 1), (4, 2), (5, 2), (9, 2), (10, 2), (11, 3), (70, 14)],
 )
-def test_the_decode_share_is_bounded_by_the_number_of_workers(count: int, wanted: int) -> None:
-    assert desired_decode_workers(service(), count) == wanted
+def test_the_decode_share_is_bounded_by_the_number_of_workers(count: int, expected: int) -> None:
+    assert desired_decode_workers(service(), count) == expected
 
 
 def test_of_three_workers_two_prefill() -> None:
--- a/tests/routing/test_request_machine.py
+++ b/tests/routing/test_request_machine.py
@@ -81,8 +81,8 @@
         assert driver.reports("p1") == driver.reports("d1") == [AttemptEffect.SUCCESS]
 
     def test_a_stream_without_a_terminal_is_not_complete(self) -> None:
-        # An aborted stream must not look complete. Paper: a missing terminal is
-        # transient.
+        # An aborted stream must not look complete. According to the paper, a missing terminal is a
+        # transient failure.
         driver = decoding(repeatable=True)
         driver.frame(FrameKind.ROLE)
         driver.feed(events.DecodeEnded(attempt_id=driver.attempt_id))
