--- a/src/orchidpath/placement/prefill_placement.py
+++ b/src/orchidpath/placement/prefill_placement.py
@@ -132,8 +132,8 @@
 
     Notes
     -----
-    ``order``, ``postponed_seconds`` and ``decided`` are called in this order for each decision
-    request, ``reported`` for each batch of reports.
+    ``order_candidates``, ``postponed_seconds`` and ``record_decision`` are called in this order
+    for each decision request, ``record_reports`` for each batch of reports.
     """
 
     def __init__(self) -> None:
@@ -174,7 +174,7 @@
         """Return the estimated number of tokens queued for prefill on a worker."""
         return self._queues.waiting_tokens(worker_id)
 
-    def order(
+    def order_candidates(
         self,
         request: DecisionRequest,
         in_flight: Callable[[str], int],
@@ -221,7 +221,7 @@
         pair_cost = self._pair_cost(prefill, prompt, in_flight)
         return msgspec.structs.replace(request, per_stage=(prefill, _sorted(decode, pair_cost)))
 
-    def decided(self, request: DecisionRequest, reply: DecisionReply, now: float) -> float:
+    def record_decision(self, request: DecisionRequest, reply: DecisionReply, now: float) -> float:
         """Record the workers chosen for an attempt: its prefill, and the prefixes to be cached.
 
         Returns
@@ -260,7 +260,7 @@
         Parameters
         ----------
         request
-            A request as returned by :meth:`order`.
+            A request as returned by :meth:`order_candidates`.
         now
             Monotonic seconds.
         """
@@ -281,7 +281,7 @@
         remaining_seconds = min(expected_end - now, MAX_POSTPONEMENT_SECONDS)
         return max(remaining_seconds, MIN_POSTPONEMENT_SECONDS)
 
-    def reported(self, reports: Sequence[AttemptReport], now: float) -> None:
+    def record_reports(self, reports: Sequence[AttemptReport], now: float) -> None:
         """Record the prefills that a batch of reports says have completed or failed."""
         for report in reports:
             attempt_id = report.attempt_id.removesuffix(PREFILL_DONE_SUFFIX)
--- a/src/orchidpath/placement/prefill_queues.py
+++ b/src/orchidpath/placement/prefill_queues.py
@@ -54,7 +54,7 @@
         """Measured pace, at least ``MIN_SECONDS_PER_TOKEN``."""
         return max(self.prefill_seconds / self.prefilled_tokens, MIN_SECONDS_PER_TOKEN)
 
-    def add_measurement(self, tokens: int, seconds: float) -> None:
+    def record_prefill(self, tokens: int, seconds: float) -> None:
         """Include a completed prefill in the measured pace."""
         retained_share = max(0.0, 1.0 - tokens / PACE_WINDOW_TOKENS)
         self.prefilled_tokens = self.prefilled_tokens * retained_share + tokens
@@ -120,7 +120,7 @@
         if worker is None:
             return
         if was_completed and prefill.measures_pace:
-            worker.add_measurement(
+            worker.record_prefill(
                 prefill.tokens, now - max(worker.prefill_started_at, prefill.started_at)
             )
         worker.waiting_tokens = max(worker.waiting_tokens - prefill.tokens, 0)
--- a/src/orchidpath/routing/request/retries.py
+++ b/src/orchidpath/routing/request/retries.py
@@ -46,7 +46,7 @@
         """Stages for which each attempt needs a worker."""
         return frozenset(self._tried)
 
-    def per_stage(self, now: float) -> tuple[StageTried, ...]:
+    def tried_per_stage(self, now: float) -> tuple[StageTried, ...]:
         """Return the tried and the excluded workers of each stage, for the next decision."""
         waiting = {worker_id for worker_id, until in self._not_before.items() if until > now}
         excluded = tuple(sorted(self._excluded | waiting))
--- a/src/orchidpath/simulation/router_node.py
+++ b/src/orchidpath/simulation/router_node.py
@@ -12,7 +12,7 @@
     SendToRouter,
     ViewAdopted,
 )
-from orchidpath.simulation.world import SimulatedProcess, World
+from orchidpath.simulation.environment import SimulatedEnvironment, SimulatedProcess
 from orchidpath.wire.backend import Announcement
 from orchidpath.wire.messages import (
     ControlMembers,
@@ -34,7 +34,7 @@
 
     Parameters
     ----------
-    world
+    environment
         Where it runs.
     address
         Its address, which is its id as well.
@@ -48,13 +48,13 @@
 
     def __init__(
         self,
-        world: World,
+        environment: SimulatedEnvironment,
         address: str,
         zone: str,
         seeds: Sequence[str],
         guards: frozenset[FreshnessGuard],
     ) -> None:
-        super().__init__(world, address)
+        super().__init__(environment, address)
         self.core: FreshnessCore | None = None
         self.on_observed: Callable[[RouterNode], None] = lambda _router: None
         self._record = RouterRecord(
@@ -104,11 +104,11 @@
         sender_address = sender_id.partition(".")[0]
         match message:
             case ControlMembers():
-                self._finder.learned(message)
+                self._finder.update_members(message)
             case WhoIsControl():
                 self.send(sender_address, self._finder.members)
             case RouterHeartbeatReply():
-                self._finder.leader_heard(self.now)
+                self._finder.record_leader_contact(self.now)
                 self._execute(core.receive_heartbeat_reply(message, self.now))
             case FleetUpdate():
                 self._execute(core.receive_update(message, self.now))
--- a/tests/simulation/test_path_checks.py
+++ b/tests/simulation/test_path_checks.py
@@ -6,10 +6,10 @@
 from orchidpath.emulators.backend.attempts import Phase
 from orchidpath.emulators.backend.backend_core import AttemptDispatch
 from orchidpath.emulators.worker.kv_cache import HandleClaim
+from orchidpath.simulation.environment import SimulatedEnvironment
 from orchidpath.simulation.fleet_checks import InvariantError
 from orchidpath.simulation.requests.exchange_messages import CallerRequest, RequestKind
 from orchidpath.simulation.requests.path_checks import RequestHistory
-from orchidpath.simulation.world import World
 from orchidpath.wire.backend import CacheHandle, ErrorBody, ErrorCode, Ran
 from orchidpath.wire.configuration import RetryPolicy
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
@@ -27,8 +27,8 @@
     """A history with one submission."""
 
     def __init__(self) -> None:
-        self.world = World(1)
-        self.history = RequestHistory(self.world, RetryPolicy())
+        self.environment = SimulatedEnvironment(1)
+        self.history = RequestHistory(self.environment, RetryPolicy())
         request = CallerRequest(
             request_id="request-1",
             submission=1,
@@ -39,10 +39,10 @@
             prompt="",
             tenant="",
         )
-        self.submission = self.history.submitted(request)
+        self.submission = self.history.record_submission(request)
 
     def dispatch(self, attempt_id: str = "a") -> None:
-        self.history.ordered(self.submission, "r0", 1, WORKER, attempt_id)
+        self.history.check_dispatch(self.submission, "r0", 1, WORKER, attempt_id)
 
 
 @pytest.fixture
@@ -51,15 +51,15 @@
 
 
 def test_a_late_rejection_is_detected(observed: ObservedSubmission) -> None:
-    observed.world.run_until(1.0)
+    observed.environment.run_until(1.0)
     with pytest.raises(InvariantError, match="waited"):
-        observed.history.refused_at_once(observed.submission)
+        observed.history.check_immediate_rejection(observed.submission)
 
 
 def test_a_backoff_past_the_deadline_is_detected(observed: ObservedSubmission) -> None:
-    observed.history.backed_off(observed.submission, 1.0)
+    observed.history.check_backoff(observed.submission, 1.0)
     with pytest.raises(InvariantError, match=r"with 6\.000 s left"):
-        observed.history.backed_off(observed.submission, 30.0)
+        observed.history.check_backoff(observed.submission, 30.0)
 
 
 def test_an_execution_after_a_not_executed_guarantee_is_detected(
@@ -68,12 +68,12 @@
     observed.dispatch()
     observed.history.record_error_reply(observed.submission, REJECTION)
     with pytest.raises(InvariantError, match="was told ran=no"):
-        observed.history.executed("w0-1", DISPATCH)
+        observed.history.check_execution("w0-1", DISPATCH)
 
 
 def test_an_execution_without_a_dispatch_is_detected() -> None:
     with pytest.raises(InvariantError, match="no router ordered"):
-        ObservedSubmission().history.executed("w0-1", DISPATCH)
+        ObservedSubmission().history.check_execution("w0-1", DISPATCH)
 
 
 def test_a_handle_granted_to_another_attempt_or_twice_is_detected() -> None:
@@ -102,21 +102,21 @@
 def test_a_dispatch_too_long_after_the_draining_or_removal_was_applied_is_detected(
     observed: ObservedSubmission, status: WorkerStatus
 ) -> None:
-    observed.history.agreed(1, (WORKER,))
+    observed.history.record_applied_view(1, (WORKER,))
     changed = msgspec.structs.replace(WORKER, status=status)
-    observed.history.agreed(2, () if status is WorkerStatus.GONE else (changed,))
-    observed.world.run_until(1.9)
+    observed.history.record_applied_view(2, () if status is WorkerStatus.GONE else (changed,))
+    observed.environment.run_until(1.9)
     observed.dispatch()
-    observed.world.run_until(2.1)
+    observed.environment.run_until(2.1)
     with pytest.raises(InvariantError, match=r"2\.100 s after"):
         observed.dispatch()
 
 
 def test_a_worker_that_is_ready_again_may_get_dispatches(observed: ObservedSubmission) -> None:
-    observed.history.agreed(1, (WORKER,))
-    observed.history.agreed(2, ())
-    observed.world.run_until(5.0)
-    observed.history.agreed(3, (WORKER,))
+    observed.history.record_applied_view(1, (WORKER,))
+    observed.history.record_applied_view(2, ())
+    observed.environment.run_until(5.0)
+    observed.history.record_applied_view(3, (WORKER,))
     observed.dispatch()
 
 
@@ -124,11 +124,11 @@
     observed: ObservedSubmission,
 ) -> None:
     observed.history.witnesses_reachable = False
-    observed.history.agreed(1, (WORKER,))
-    observed.history.agreed(2, ())
-    observed.world.run_until(5.0)
+    observed.history.record_applied_view(1, (WORKER,))
+    observed.history.record_applied_view(2, ())
+    observed.environment.run_until(5.0)
     observed.dispatch()
-    observed.history.in_force(2)
-    observed.world.run_until(7.5)
+    observed.history.record_majority_adoption(2)
+    observed.environment.run_until(7.5)
     with pytest.raises(InvariantError, match=r"2\.500 s after"):
         observed.dispatch()
