--- a/tests/placement/plan_environment.py
+++ b/tests/placement/plan_environment.py
@@ -1,4 +1,4 @@
-"""Plans in a fleet without a network: replicated state, leaders and emulated workers."""
+"""Test environment for plans: replicated state, a leader and emulated workers, no network."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -69,20 +69,20 @@
 
 
 class PlanEnvironment:
-    """One replicated state, the leader of the newest term, and workers that execute commands.
+    """A replicated state, the leader of the newest term, and workers that execute its commands.
 
-    ``check`` runs after every entry of the log. With ``random``, a command or its reply may be
-    lost, and any command may arrive a second time later.
+    ``check`` runs after every log entry that is applied. With ``random``, a command or its reply
+    may be lost, and any command may be delivered again later.
     """
 
     def __init__(
-        self, workers: Iterable[WorkerRecord], wanted: Service, random: Random | None = None
+        self, workers: Iterable[WorkerRecord], desired: Service, random: Random | None = None
     ) -> None:
         self.state = FleetState()
         self.now = 100.0
         self.term = 0
         self.random = random
-        self.wanted = wanted
+        self.desired = desired
         self.cores: dict[str, BackendCore] = {}
         self.sequences: dict[str, int] = {}
         self.unreachable: set[str] = set()
@@ -95,7 +95,7 @@
         self.configurations = 0
         for worker in workers:
             self.start_worker(worker)
-        self.configure(wanted)
+        self.configure(desired)
         self.fail_over()
 
     def apply(self, command: Command) -> Outcome:
@@ -106,8 +106,8 @@
         self.check()
         return outcome
 
-    def configure(self, wanted: Service) -> None:
-        configuration = Configuration(services=[wanted])
+    def configure(self, desired: Service) -> None:
+        configuration = Configuration(services=[desired])
         version = self.state.configuration_version
         update = SubmitConfiguration(
             order_id=f"configuration-{version}",
@@ -170,7 +170,7 @@
         return self.plan.progress.steps[position].phase
 
     def turn(self) -> None:
-        """Run one tick of the leader and carry out its effects and proposals."""
+        """Run one tick of the leader, and execute its effects and proposals."""
         self.now += TURN_SECONDS
         if self.confirms:
             self.confirmed_revision = self.state.revision
@@ -202,8 +202,8 @@
         reply = core.execute(command, handles_outstanding=0)
         if reply.accepted and command.kind is WorkerCommandKind.SET_STAGE:
             self._check_stage_change(command)
-            # A command whose reply was lost is repeated as a newer one; a worker that has the stage
-            # already accepts it and changes nothing.
+            # If the reply to a command is lost, the command is repeated with a higher sequence. A
+            # worker that already has the new stage accepts it and changes nothing.
             if core.record.stage is not before.stage:
                 self.switched.append(command.worker_id)
         if core.record != before:
@@ -219,7 +219,7 @@
         )
 
     def check(self) -> None:
-        """Check the bounds of a running plan."""
+        """Check that only workers of open steps are cordoned, and at most the permitted number."""
         if self.state.plan is None:
             return
         plan = self.plan
@@ -227,7 +227,7 @@
         steps = zip(plan.plan.steps, plan.progress.steps, strict=True)
         open_workers = {step.worker_id for step, progress in steps if progress.phase in OPEN_PHASES}
         assert cordoned <= open_workers
-        assert len(open_workers) <= self.wanted.max_held_workers
+        assert len(open_workers) <= self.desired.max_held_workers
 
     def check_serving(self) -> None:
         """Check that the source stage has its desired count and that no stage is empty."""
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -63,8 +63,8 @@
     """Check that the plan reached the desired counts and moved each of its workers once."""
     assert environment.status() is PlanStatus.DONE, environment.plan.progress
     check_ended_cleanly(environment)
-    assert environment.serving(Stage.PREFILL) == environment.wanted.prefill_workers
-    assert environment.serving(Stage.DECODE) == environment.wanted.decode_workers
+    assert environment.serving(Stage.PREFILL) == environment.desired.prefill_workers
+    assert environment.serving(Stage.DECODE) == environment.desired.decode_workers
     assert sorted(environment.switched) == sorted(
         step.worker_id for step in environment.plan.plan.steps
     )
@@ -122,9 +122,9 @@
     prefill: int, decode: int, desired_prefill: int, max_cordoned: int, seed: int
 ) -> None:
     desired_prefill = min(desired_prefill, prefill + decode - 1)
-    wanted = service(desired_prefill, prefill + decode - desired_prefill, max_cordoned)
+    desired = service(desired_prefill, prefill + decode - desired_prefill, max_cordoned)
     random = Random(seed)
-    environment = PlanEnvironment(workers(prefill, decode), wanted, random)
+    environment = PlanEnvironment(workers(prefill, decode), desired, random)
     if desired_prefill == prefill:
         assert environment.confirm_plan().answer is PlanAnswer.STALE
         return
--- a/tests/routing/request_machine_checker.py
+++ b/tests/routing/request_machine_checker.py
@@ -1,7 +1,8 @@
-"""Unreliable workers around one request, and a checker independent of the machine.
+"""Simulates unreliable workers for one request, and checks the machine's instructions.
 
-Every choice is a number given from outside, so that a failing run can be shrunk. The checker keeps
-its own record of the guarantees of each worker and never reads the state of the machine.
+Each choice is a number passed in by the caller, so that Hypothesis can shrink a failing run. The
+checker tracks the guarantees of each worker itself. It reads the phase of the machine only to
+select the next event, never to check an instruction.
 """
 
 from collections import Counter
@@ -22,7 +23,7 @@
 
 
 class DispatchedCall:
-    """One dispatch, and what its worker did with it."""
+    """One dispatch, and its outcome on the worker."""
 
     def __init__(self, instruction: events.RequestInstruction) -> None:
         assert isinstance(instruction, events.SEND_INSTRUCTIONS)
@@ -34,7 +35,7 @@
 
 
 class RequestMachineChecker:
-    """Feeds events by number, and checks every instruction."""
+    """Feeds events selected by numbers to the machine, and checks every instruction."""
 
     def __init__(
         self,
@@ -99,7 +100,7 @@
             self.stream(choice)
 
     def disturb(self, choice: int) -> None:
-        """Feed an event that is late, of another request, or of the caller."""
+        """Feed an event of another attempt, of an outdated timer, or of the deadline."""
         driver = self.driver
         if choice % 4 == 0:
             driver.feed(events.DeadlinePassed())
@@ -138,7 +139,7 @@
         self.chosen.extend((attempt_id, worker) for worker in workers)
 
     def fail(self, choice: int) -> None:
-        """Let the current dispatch fail in one of several variants, some with a true guarantee."""
+        """Fail the current dispatch in one of several ways, some of them with a valid guarantee."""
         driver, dispatch = self.driver, self.dispatches[-1]
         code = CODES[choice % len(CODES)]
         variant = choice // 4 % 7
@@ -226,7 +227,7 @@
             self.fail(choice)
 
     def check(self) -> None:
-        """Check the instructions since the last check."""
+        """Check the instructions returned since the previous check."""
         new = self.driver.log[self.checked :]
         self.checked = len(self.driver.log)
         for instruction in new:
