--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -1,4 +1,4 @@
-"""Execution of plans with lost leaders, lost workers and late commands, within their bounds."""
+"""Plans keep their bounds despite lost leaders, lost workers and late commands."""
 
 from random import Random
 
@@ -35,12 +35,12 @@
 
 
 def build_environment(random: Random | None = None, max_cordoned: int = 1) -> PlanEnvironment:
-    """Return an environment with four prefill and two decode workers; the plan moves two."""
+    """Return a fleet of four prefill and two decode workers, and a plan that moves two."""
     return PlanEnvironment(workers(4, 2), service(2, 4, max_cordoned), random)
 
 
 def run_to(environment: PlanEnvironment, phase: StepPhase) -> str:
-    """Run until a step is in a phase; return its worker."""
+    """Run until a step is in a phase, and return the id of its worker."""
     for _ in range(100):
         for step, progress in zip(
             environment.plan.plan.steps, environment.plan.progress.steps, strict=True
@@ -52,7 +52,7 @@
 
 
 def check_ended_cleanly(environment: PlanEnvironment) -> None:
-    """Check that no worker is cordoned or draining and that recorded and real stages agree."""
+    """Check that no worker is cordoned or draining and that recorded stages match actual ones."""
     for worker in environment.state.workers():
         assert not worker.cordoned, worker
         assert worker.status is WorkerStatus.READY, worker
@@ -60,10 +60,11 @@
 
 
 def check_done(environment: PlanEnvironment) -> None:
+    """Check that the plan reached the desired counts and moved each of its workers once."""
     assert environment.status() is PlanStatus.DONE, environment.plan.progress
     check_ended_cleanly(environment)
-    assert environment.serving(Stage.PREFILL) == environment.wanted.prefill_workers
-    assert environment.serving(Stage.DECODE) == environment.wanted.decode_workers
+    assert environment.serving(Stage.PREFILL) == environment.desired.prefill_workers
+    assert environment.serving(Stage.DECODE) == environment.desired.decode_workers
     assert sorted(environment.switched) == sorted(
         step.worker_id for step in environment.plan.plan.steps
     )
@@ -121,9 +122,9 @@
     prefill: int, decode: int, desired_prefill: int, max_cordoned: int, seed: int
 ) -> None:
     desired_prefill = min(desired_prefill, prefill + decode - 1)
-    wanted = service(desired_prefill, prefill + decode - desired_prefill, max_cordoned)
+    desired = service(desired_prefill, prefill + decode - desired_prefill, max_cordoned)
     random = Random(seed)
-    environment = PlanEnvironment(workers(prefill, decode), wanted, random)
+    environment = PlanEnvironment(workers(prefill, decode), desired, random)
     if desired_prefill == prefill:
         assert environment.confirm_plan().answer is PlanAnswer.STALE
         return
@@ -139,6 +140,7 @@
 
 
 def begin_without_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disable the check of the bounds before a step begins."""
     monkeypatch.setattr(plan_state, "begin_objection", lambda *_: "")
     monkeypatch.setattr(execution, "begin_objection", lambda *_: "")
 
@@ -188,12 +190,14 @@
     assert advance(0, StepPhase.WAITING, StepPhase.CORDONING) is Effect.STALE
     assert (
         advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID
-    )  # at most one cordoned at once
+    )  # only one worker may be cordoned at once
     lose_a_prefill_worker_outside_the_plan(environment)
     assert advance(0, StepPhase.CORDONING, StepPhase.RETURNING) is Effect.CHANGED
     assert advance(0, StepPhase.RETURNING, StepPhase.RETURNED) is Effect.CHANGED
     lose_a_prefill_worker_outside_the_plan(environment)
-    assert advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID  # bound
+    assert (
+        advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID
+    )  # the stage would fall below its minimum
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed_by_every_router() -> None:
@@ -284,7 +288,7 @@
 
 
 def test_release_waits_for_the_reply_to_resume() -> None:
-    """A DRAIN may be in transit while the replicated record says that the worker is ready."""
+    """A DRAIN may still be in transit while the replicated record shows the worker as ready."""
     environment = build_environment()
     environment.start_plan()
     worker_id = run_to(environment, StepPhase.DRAINING)
@@ -360,7 +364,9 @@
     assert len(environment.switched) == 1
     environment.apply(CancelPlan(order_id="cancel", plan_id=plan_id))
     assert environment.status() is PlanStatus.CANCELLED
-    assert environment.confirm_plan("next").answer is PlanAnswer.STALE  # three and three already
+    assert (
+        environment.confirm_plan("next").answer is PlanAnswer.STALE
+    )  # the stages already have three workers each
 
 
 def stale_start(environment: PlanEnvironment) -> PlanAnswer:
--- a/tests/placement/test_planner.py
+++ b/tests/placement/test_planner.py
@@ -1,4 +1,4 @@
-"""Which workers a plan moves, and why a plan is rejected (docs/design/plans.md)."""
+"""Choice of the workers that a plan moves, and reasons for refusals (docs/design/plans.md)."""
 
 from collections import Counter
 from itertools import combinations
@@ -16,6 +16,7 @@
 
 
 def view(*workers: WorkerRecord, services: list[Service], version: int = 1) -> FleetView:
+    """Return a view of the replicated state with these workers and services."""
     route = Route(name="chat", service=SERVICE, model="m", deadline_seconds=30.0)
     configuration = Configuration(services=services, routes=[route])
     return FleetView(
@@ -31,8 +32,9 @@
     ]
 
 
-def reason(*workers: WorkerRecord, wanted: Service) -> RefusalReason:
-    preview = make_preview(view(*workers, services=[wanted]))
+def reason(*workers: WorkerRecord, desired: Service) -> RefusalReason:
+    """Return why no step is planned for a service with these desired counts."""
+    preview = make_preview(view(*workers, services=[desired]))
     assert not preview.steps
     assert not preview.plan.steps
     (refusal,) = preview.refusals
@@ -56,9 +58,9 @@
         record(f"w{number}", stage, zone=f"z{zone}", domain=f"d{number % 4}")
         for number, (stage, zone) in enumerate(places)
     ]
-    wanted = service(desired_prefill, desired_decode)
-    preview = make_preview(view(*workers, services=[wanted]))
-    before = Counter(one.stage for one in workers)
+    desired = service(desired_prefill, desired_decode)
+    preview = make_preview(view(*workers, services=[desired]))
+    before = Counter(worker.stage for worker in workers)
     if len(workers) < desired_prefill + desired_decode:
         assert preview.refusals[0].reason is RefusalReason.NOT_ENOUGH_WORKERS
         return
@@ -70,37 +72,42 @@
         assert preview.refusals[0].reason is RefusalReason.ALREADY_AS_DESIRED
         return
     moved = {step.worker_id for step in preview.plan.steps}
-    after = Counter(stage_after(one, moved) for one in workers)
+    after = Counter(stage_after(worker, moved) for worker in workers)
     assert after[Stage.PREFILL] >= desired_prefill
     assert after[Stage.DECODE] >= desired_decode
-    shown = preview.services[0]
-    assert (shown.prefill_after, shown.decode_after) == (after[Stage.PREFILL], after[Stage.DECODE])
-    giving = preview.plan.steps[0].from_stage
+    service_preview = preview.services[0]
+    assert (service_preview.prefill_after, service_preview.decode_after) == (
+        after[Stage.PREFILL],
+        after[Stage.DECODE],
+    )
+    source_stage = preview.plan.steps[0].from_stage
     best = min(
-        unevenness(workers, set(chosen))
+        imbalance(workers, set(chosen))
         for chosen in combinations(
-            [one.worker_id for one in workers if one.stage is giving], lacking
+            [worker.worker_id for worker in workers if worker.stage is source_stage], lacking
         )
     )
-    assert unevenness(workers, moved) == best
+    assert imbalance(workers, moved) == best
 
 
 def stage_after(worker: WorkerRecord, moved: set[str]) -> Stage:
+    """Return the stage of a worker after a plan that moves these worker ids."""
     if worker.worker_id not in moved:
         return worker.stage
     return Stage.DECODE if worker.stage is Stage.PREFILL else Stage.PREFILL
 
 
-def unevenness(workers: list[WorkerRecord], moved: set[str]) -> int:
-    counts = Counter((stage_after(one, moved), one.zone) for one in workers)
+def imbalance(workers: list[WorkerRecord], moved: set[str]) -> int:
+    """Return the sum of the squared worker counts per stage and zone; smaller is more even."""
+    counts = Counter((stage_after(worker, moved), worker.zone) for worker in workers)
     return sum(count * count for count in counts.values())
 
 
 def test_of_equally_placed_workers_the_one_with_the_smallest_ring_share_is_moved() -> None:
     workers = fleet(prefill=9, decode=1)
     preview = make_preview(view(*workers, services=[service(5, 5)]))
-    shares = ring_shares([one.worker_id for one in workers if one.stage is Stage.PREFILL])
-    smallest = sorted(shares, key=lambda one: shares[one])[:4]
+    shares = ring_shares([worker.worker_id for worker in workers if worker.stage is Stage.PREFILL])
+    smallest = sorted(shares, key=lambda worker_id: shares[worker_id])[:4]
     assert [step.worker_id for step in preview.plan.steps] == smallest
     assert sum(shares.values()) == pytest.approx(1.0)
 
@@ -112,8 +119,8 @@
     workers = fleet(prefill=7, decode=5, zones=3)
     preview = make_preview(view(*workers, services=[service(prefill_workers, decode_workers)]))
     moved = {step.worker_id for step in preview.plan.steps}
-    old = [one.worker_id for one in workers if one.stage is Stage.PREFILL]
-    new = [one.worker_id for one in workers if stage_after(one, moved) is Stage.PREFILL]
+    old = [worker.worker_id for worker in workers if worker.stage is Stage.PREFILL]
+    new = [worker.worker_id for worker in workers if stage_after(worker, moved) is Stage.PREFILL]
     expected = moved_share(HashRing.build(old), HashRing.build(new))
     assert preview.services[0].moved_ring_share == pytest.approx(expected)
 
@@ -128,11 +135,11 @@
 
 
 def test_rejections_state_their_reason() -> None:
-    assert reason(*fleet(1, 1), wanted=service(1, 2)) is RefusalReason.NOT_ENOUGH_WORKERS
-    assert reason(*fleet(2, 2), wanted=service(0, 4)) is RefusalReason.STAGE_WOULD_BE_EMPTY
-    assert reason(*fleet(2, 2), wanted=service(4, 0)) is RefusalReason.STAGE_WOULD_BE_EMPTY
-    assert reason(*fleet(2, 2), wanted=service(2, 2)) is RefusalReason.ALREADY_AS_DESIRED
-    assert reason(*fleet(3, 2), wanted=service(2, 2)) is RefusalReason.ALREADY_AS_DESIRED
+    assert reason(*fleet(1, 1), desired=service(1, 2)) is RefusalReason.NOT_ENOUGH_WORKERS
+    assert reason(*fleet(2, 2), desired=service(0, 4)) is RefusalReason.STAGE_WOULD_BE_EMPTY
+    assert reason(*fleet(2, 2), desired=service(4, 0)) is RefusalReason.STAGE_WOULD_BE_EMPTY
+    assert reason(*fleet(2, 2), desired=service(2, 2)) is RefusalReason.ALREADY_AS_DESIRED
+    assert reason(*fleet(3, 2), desired=service(2, 2)) is RefusalReason.ALREADY_AS_DESIRED
 
 
 def test_a_worker_that_does_not_serve_is_not_counted_and_not_moved() -> None:
@@ -142,7 +149,7 @@
     assert preview.not_counted == ("w9", "w8")
     assert len(preview.steps) == 1
     assert preview.plan.steps[0].worker_id in {"w0", "w1"}
-    assert reason(*fleet(2, 2), draining, cordoned, wanted=service(3, 2)) is (
+    assert reason(*fleet(2, 2), draining, cordoned, desired=service(3, 2)) is (
         RefusalReason.NOT_ENOUGH_WORKERS
     )
 
@@ -164,29 +171,29 @@
 
 def test_the_plan_id_changes_with_every_input_of_the_plan() -> None:
     workers = fleet(4, 2)
-    wanted = [service(2, 4)]
-    first = make_preview(view(*workers, services=wanted)).plan
-    assert make_preview(view(*workers, services=wanted)).plan == first
-    other_revision = msgspec.structs.replace(view(*workers, services=wanted), revision=8)
+    services = [service(2, 4)]
+    first = make_preview(view(*workers, services=services)).plan
+    assert make_preview(view(*workers, services=services)).plan == first
+    other_revision = msgspec.structs.replace(view(*workers, services=services), revision=8)
     assert make_preview(other_revision).plan.plan_id == first.plan_id
     restarted = [*workers[:5], record("w5", Stage.DECODE, zone="z0", incarnation="2")]
     changed = [
-        view(*workers, services=wanted, version=2),
-        view(*restarted, services=wanted),
-        view(*workers, record("w6", Stage.DECODE), services=wanted),
+        view(*workers, services=services, version=2),
+        view(*restarted, services=services),
+        view(*workers, record("w6", Stage.DECODE), services=services),
         view(*workers, services=[service(2, 4, max_cordoned=2)]),
     ]
-    ids = {make_preview(one).plan.plan_id for one in changed}
+    ids = {make_preview(changed_view).plan.plan_id for changed_view in changed}
     assert len(ids) == len(changed)
     assert first.plan_id not in ids
     elsewhere = record("x", Stage.DECODE, service="other")
-    assert make_preview(view(*workers, elsewhere, services=wanted)).plan.plan_id == first.plan_id
+    assert make_preview(view(*workers, elsewhere, services=services)).plan.plan_id == first.plan_id
 
 
 def test_bounds_follow_the_longest_deadline_and_the_number_cordoned_at_once() -> None:
     preview = make_preview(view(*fleet(6, 2), services=[service(2, 6, max_cordoned=3)]))
-    (shown,) = preview.services
+    (service_preview,) = preview.services
     (bounds,) = preview.plan.bounds
     assert bounds.drain_seconds == 40.0
-    assert shown.cordoned_at_once == 3
-    assert shown.plan_seconds_at_most == 2 * shown.max_cordoned_seconds
+    assert service_preview.cordoned_at_once == 3
+    assert service_preview.plan_seconds_at_most == 2 * service_preview.max_cordoned_seconds
