--- a/src/orchidpath/control/leadership/__init__.py
+++ b/src/orchidpath/control/leadership/__init__.py
@@ -1,5 +1,6 @@
-"""What only the leader does: one module a duty, all of them pure.
+"""The duties that only the leader performs, one module per duty; none performs I/O.
 
-Begin with :mod:`.leader_duties`, which calls the others in order. All of it is soft state that
-ends with a leadership. Imported by :mod:`orchidpath.control.replica` and the simulation.
+Start with :mod:`.leader_duties`, which calls the other modules in order. All of it is soft state
+that is dropped when the leadership ends. Imported by :mod:`orchidpath.control.replica` and the
+simulation.
 """
--- a/src/orchidpath/control/leadership/attempt_decisions.py
+++ b/src/orchidpath/control/leadership/attempt_decisions.py
@@ -1,7 +1,11 @@
-"""Decisions on attempts: circuits, prefill placement and requests that wait for a transition; pure.
+"""The leader's decisions on attempts: circuit breakers and prefill placement; performs no I/O.
 
-The circuits' counters and the view of placement are soft state: a successor rebuilds them from the
-replicated circuits and the routers' counter reports.
+A decision that turns an attempt into a probe of a circuit waits until that transition is committed
+in the replicated log.
+
+The counters of the circuits and the state of prefill placement are soft state. The next leader
+restores the circuits from the replicated state and their counters from the routers' counter
+reports. Its prefill placement starts empty and fills as attempts are decided.
 """
 
 import random as random_module
@@ -31,7 +35,10 @@
 )
 
 PENDING_DECISION_SECONDS = 1.0
-"""A decision that waits for a transition this long is dropped; the router has gone on by then."""
+"""A request that has waited this long for a transition is dropped.
+
+By then its router no longer waits for the decision.
+"""
 
 
 class _PendingDecision(msgspec.Struct, frozen=True):
@@ -41,20 +48,20 @@
 
 
 class AttemptDecisions:
-    """Decides attempts and counts their outcomes.
+    """Selects workers for attempts and counts the outcomes of attempts.
 
     Parameters
     ----------
     term
         Term of this leadership.
     state
-        The replicated state, complete up to this leadership's first entry.
+        The replicated state, applied at least up to the first log entry of this leadership.
     random
-        Source of jitter.
+        Random generator for jitter.
     output
-        Where replies and proposals go.
+        Collects the replies and proposals.
     now
-        Start of this leadership, monotonic seconds.
+        Start of this leadership, in monotonic seconds.
     """
 
     def __init__(
@@ -76,7 +83,11 @@
         self._restore_circuits(now)
 
     def receive_request(self, router_id: str, request: DecisionRequest, now: float) -> None:
-        """Decide one attempt, after a committed transition if it would be a probe."""
+        """Decide one attempt and reply to its router.
+
+        If the attempt would be a probe, the reply is sent only after the circuit's transition has
+        been committed and applied.
+        """
         self.refresh_workers()
         router = self._state.find_router(router_id)
         router_zone = router.zone if router is not None else ""
@@ -92,7 +103,7 @@
         self._await_transition(router_id, request, decision, now)
 
     def receive_reports(self, router_id: str, reports: AttemptReports, now: float) -> None:
-        """Count reports, propose the transitions they cause, and acknowledge them."""
+        """Count a batch of reports, propose the transitions that it causes, and acknowledge it."""
         self.refresh_workers()
         self._prefill_placement.reported(reports.reports, now)
         for transition in self._circuits.report(reports.reports, now):
@@ -102,20 +113,26 @@
         )
 
     def receive_counters(self, router_id: str, counters: CounterReport, now: float) -> None:
-        """Rebuild the hot counters from a router's own part of them."""
+        """Merge a router's counters into those of the circuits, to rebuild them after a fail-over.
+
+        A report for another term is ignored.
+        """
         if counters.term == self._term:
             self.refresh_workers()
             self._circuits.rebuild(router_id, counters, now)
 
     def receive_capacity(self, observed: CapacityObserved, now: float) -> None:
-        """Open a failure domain's capacity circuit on a router's derived throttle."""
+        """Propose to open the capacity circuit of a failure domain.
+
+        The router that sends ``observed`` has derived from its attempts that the domain throttles.
+        """
         self.refresh_workers()
         transition = self._circuits.observe_capacity(observed, now)
         if transition is not None:
             self._output.propose(CapacityChanged(transition=transition))
 
     def transition_applied(self, result: CircuitResult | CapacityResult, now: float) -> None:
-        """Follow an applied transition and decide the requests that waited for one."""
+        """Adopt the result of a committed transition, then decide the requests that waited."""
         self.refresh_workers()
         if isinstance(result, CapacityResult):
             if result.record is not None:
@@ -126,12 +143,18 @@
         self._decide_pending(now)
 
     def revision_committed(self) -> None:
-        """Adopt the policies of a new revision; its workers are looked at when next needed."""
+        """Adopt the policies of a new revision.
+
+        The set of workers is refreshed later, by the next `refresh_workers`.
+        """
         self._apply_policy()
         self._workers_changed = True
 
     def refresh_workers(self) -> None:
-        """Bring circuits and placement up to date, once for all revisions since the last call."""
+        """Update the set of workers in circuits and placement if a revision was committed.
+
+        Any number of revisions since the last call costs one update.
+        """
         if not self._workers_changed:
             return
         self._workers_changed = False
@@ -141,21 +164,24 @@
         self._prefill_placement.set_zones({worker.worker_id: worker.zone for worker in workers})
 
     def drop_expired(self, now: float) -> None:
-        """Drop requests whose router no longer waits for the decision."""
+        """Drop pending requests that are older than ``PENDING_DECISION_SECONDS``."""
         self._pending = [
             pending for pending in self._pending if now - pending.since < PENDING_DECISION_SECONDS
         ]
 
     def in_flight(self, now: float) -> dict[str, int]:
-        """Return the attempts in flight by worker id."""
+        """Return the number of attempts in flight by worker id, as this leader counts them."""
         return {view.worker_id: view.in_flight for view in self._circuits.view(now)}
 
     def worker_circuits(self, now: float) -> tuple[WorkerCircuitView, ...]:
-        """Return the operators' view of the circuits."""
+        """Return the circuit of every worker in the form that operators see."""
         return self._circuits.view(now)
 
     def circuits_view(self, sequence: int, now: float) -> CircuitsView:
-        """Return the routers' view of the circuits under a sequence that rises with each one."""
+        """Return the circuits in the form that is pushed to routers.
+
+        ``sequence`` must be higher than that of the previous view of this leadership.
+        """
         return self._circuits.circuits_view(now, term=self._term, sequence=sequence)
 
     def _restore_circuits(self, now: float) -> None:
@@ -206,5 +232,5 @@
 
 
 def not_leader_reply(request: DecisionRequest, term: int) -> DecisionReply:
-    """Answer a decision request that this process may not decide."""
+    """Return the reply to a decision request that reached a process without a leader lease."""
     return DecisionReply(correlation=request.correlation, term=term, rejection=Rejection.NOT_LEADER)
--- a/src/orchidpath/control/leadership/circuits_publisher.py
+++ b/src/orchidpath/control/leadership/circuits_publisher.py
@@ -1,4 +1,4 @@
-"""Pushes the circuits to the routers, which skip workers with an open one; pure."""
+"""Pushes circuit states to routers, which skip workers with an open circuit; performs no I/O."""
 
 from collections.abc import Iterable
 
@@ -9,22 +9,25 @@
 """Changed circuits are pushed to the routers at most this often."""
 
 CIRCUITS_REPEAT_SECONDS = 5.0
-"""Circuits are pushed this often even when nothing changed, so that a lost push does not last."""
+"""Period at which unchanged circuits are pushed again.
+
+It bounds how long a router uses outdated circuits after a lost push.
+"""
 
 
 class CircuitsPublisher:
-    """Pushes the circuits when they changed, and now and then anyway.
+    """Pushes the circuits to the routers when they have changed, and periodically.
 
     Parameters
     ----------
     decisions
-        Holds the circuits.
+        Provides the circuits.
     router_ids
-        Routers heard in this leadership; read at each push.
+        Ids of the routers that have sent a heartbeat in this leadership; read at each push.
     output
-        Where pushes go.
+        Collects the pushes.
     now
-        Start of this leadership, monotonic seconds.
+        Start of this leadership, in monotonic seconds.
     """
 
     def __init__(
@@ -43,11 +46,11 @@
         self._next_repeat_at = now + CIRCUITS_REPEAT_SECONDS
 
     def mark_changed(self) -> None:
-        """Note that routers lack something: a circuit changed, or a router is new."""
+        """Request a push, because a circuit has changed or a router is new to this leadership."""
         self._changed = True
 
     def push(self, now: float) -> None:
-        """Push the circuits to every router heard, if that is due."""
+        """Push the circuits to every router if a push is due."""
         is_due = self._changed and now >= self._next_push_at
         if not is_due and now < self._next_repeat_at:
             return
--- a/src/orchidpath/control/leadership/confirmation.py
+++ b/src/orchidpath/control/leadership/confirmation.py
@@ -1,7 +1,10 @@
-"""When a committed revision is in force at every serving router; pure.
+"""Tracks which committed revision every serving router has applied; performs no I/O.
 
-Kept by the leader. The rule and why it is enough: docs/design/freshness.md, "When the leader says
-confirmed".
+The leader calls such a revision *confirmed*. First, a majority of every witness set concerned must
+have adopted the revision. Then it is confirmed either at once, when every awaited router has
+adopted the newest revision and leases granted by an earlier leader have expired, or after
+``LEASE_EXPIRY_SECONDS``, when every lease granted on an older revision has expired.
+docs/design/freshness.md, "When the leader says confirmed", explains why this is sufficient.
 """
 
 from bisect import bisect_right
@@ -12,18 +15,18 @@
 from orchidpath.wire.messages import LEASE_DRIFT_SECONDS, ROUTER_LEASE_SECONDS
 
 LEASE_EXPIRY_SECONDS = ROUTER_LEASE_SECONDS + LEASE_DRIFT_SECONDS
-"""After this long no lease that was given on an older revision can hold any more."""
+"""After this time every lease that was granted on an older revision has expired."""
 
 
 class ConfirmationGuard(StrEnum):
-    """Guards that a test may turn off to see the checker catch what they prevent."""
+    """Safety checks that a test may turn off to show that the checker detects their absence."""
 
     WITNESS_MAJORITY = "confirm_witness_majority"
     WAIT_FOR_LEASE_EXPIRY = "confirm_wait_for_lapse"
 
 
 class RouterMembership(msgspec.Struct, frozen=True):
-    """Registered routers and the witnesses among them, in force from ``revision`` on."""
+    """The registered routers and the witnesses among them, effective from ``revision`` on."""
 
     revision: int
     routers: frozenset[str]
@@ -31,29 +34,30 @@
 
 
 class _Majority(msgspec.Struct, frozen=True):
-    """At ``at`` a majority of every witness set concerned was seen to have adopted ``revision``."""
+    """A majority of every witness set concerned had adopted ``revision`` by the time ``at``."""
 
     revision: int
     at: float
 
 
 class ConfirmationTracker:
-    """Follows which revision every serving router obeys.
+    """Tracks the newest revision that every serving router has applied.
 
-    While a fleet forms there are hundreds of routers and of revisions at once, so nothing here
-    looks at all routers for each revision: a majority for a revision is one for every lower one,
-    and of the routers only those that lag behind the newest revision are kept apart.
+    While a fleet forms there are hundreds of routers and hundreds of pending revisions, so no step
+    iterates over all routers for each revision. Two facts make this possible: a majority for a
+    revision is also a majority for every lower revision, and it is enough to keep a set of the
+    routers that lag behind the newest revision.
 
     Parameters
     ----------
     confirmed_revision
-        The newest revision known to be confirmed when this leadership began.
+        Newest revision recorded as confirmed when this leadership began.
     router_memberships
-        Every membership in force at any revision from ``confirmed_revision`` on, oldest first.
+        Every membership that was effective at ``confirmed_revision`` or later, oldest first.
     now
-        Monotonic seconds.
+        Start of this leadership, in monotonic seconds.
     disabled_guards
-        For tests only.
+        Safety checks to turn off; for tests only.
     """
 
     def __init__(
@@ -68,7 +72,7 @@
         self._adopted: dict[str, int] = {}
         self._pending: list[int] = []
         self._majorities: list[_Majority] = []
-        # Routers removed under an earlier leader may still hold a lease that it gave them.
+        # A router that an earlier leader removed may still hold a lease granted by that leader.
         self._inherited_until = now + LEASE_EXPIRY_SECONDS
         self._disabled = disabled_guards
         self._awaited: set[str] = set()
@@ -76,21 +80,23 @@
         self._await_members()
 
     @property
-    def is_anyone_lagging(self) -> bool:
-        """Whether some awaited router has not reported the newest committed revision."""
+    def has_lagging_routers(self) -> bool:
+        """Whether an awaited router has not reported the newest committed revision."""
         return bool(self._lagging)
 
     def revision_committed(self, revision: int, router_membership: RouterMembership) -> None:
-        """Start to follow a revision; ``router_membership`` is the one in force after it."""
+        """Start to track a revision; ``router_membership`` is effective from this revision on."""
         newest = self._router_memberships[-1] if self._router_memberships else None
         if newest is None or not _is_same(newest, router_membership):
             self._router_memberships.append(router_membership)
             self._awaited |= router_membership.routers
         self._pending.append(revision)
-        self._lagging = {one for one in self._awaited if self._adopted.get(one, 0) < revision}
+        self._lagging = {
+            router_id for router_id in self._awaited if self._adopted.get(router_id, 0) < revision
+        }
 
     def router_adopted(self, router_id: str, revision: int) -> None:
-        """Note what a router has adopted; a restarted router may report less than before."""
+        """Record the revision that a router has adopted; after a restart it may be lower."""
         self._adopted[router_id] = revision
         if not self._pending or router_id not in self._awaited:
             return
@@ -100,7 +106,10 @@
             self._lagging.add(router_id)
 
     def lagging_routers(self) -> list[str]:
-        """Return the awaited routers that have not reported the newest committed revision."""
+        """Return the ids of awaited routers that have not reported the newest committed revision.
+
+        The list is sorted, and empty if no revision is pending.
+        """
         return sorted(self._lagging) if self._pending else []
 
     def advance(self, now: float) -> int:
@@ -122,11 +131,15 @@
         all_adopted = newest.revision == self._pending[-1] and not self._lagging
         if all_adopted and now >= self._inherited_until:
             return newest.revision
-        expired = [one.revision for one in self._majorities if now >= one.at + LEASE_EXPIRY_SECONDS]
+        expired = [
+            majority.revision
+            for majority in self._majorities
+            if now >= majority.at + LEASE_EXPIRY_SECONDS
+        ]
         return max(expired, default=self.confirmed_revision)
 
     def _record_majority(self, now: float) -> None:
-        """Find the newest pending revision that has its majorities, by halving."""
+        """Find the newest pending revision that has its majorities, by binary search."""
         known = self._majorities[-1].revision if self._majorities else self.confirmed_revision
         waiting = self._pending[bisect_right(self._pending, known) :]
         low, high = 0, len(waiting)
@@ -140,27 +153,31 @@
             self._majorities.append(_Majority(waiting[low - 1], now))
 
     def _has_majorities(self, revision: int) -> bool:
-        """Whether a majority of each witness set up to a revision has adopted it.
+        """Whether a majority of each witness set up to a revision has adopted that revision.
 
-        One for a revision is one for every lower one: fewer sets are concerned, and whoever has
-        adopted the higher revision obeys the lower one too.
+        If this holds for a revision, it holds for every lower one: fewer witness sets are
+        concerned, and a router that has adopted the higher revision has applied the lower one too.
         """
         if ConfirmationGuard.WITNESS_MAJORITY in self._disabled:
             return True
         witness_sets = {
-            one.witnesses for one in self._router_memberships if one.revision <= revision
+            router_membership.witnesses
+            for router_membership in self._router_memberships
+            if router_membership.revision <= revision
         }
         return all(self._has_majority(witnesses, revision) for witnesses in witness_sets)
 
     def _has_majority(self, witnesses: frozenset[str], revision: int) -> bool:
-        adopted = sum(1 for one in witnesses if self._adopted.get(one, 0) >= revision)
+        adopted = sum(1 for witness in witnesses if self._adopted.get(witness, 0) >= revision)
         return not witnesses or adopted > len(witnesses) // 2
 
     def _confirm(self, revision: int) -> None:
         self.confirmed_revision = revision
         self._pending = self._pending[bisect_right(self._pending, revision) :]
-        self._majorities = [one for one in self._majorities if one.revision > revision]
-        in_force = [
+        self._majorities = [
+            majority for majority in self._majorities if majority.revision > revision
+        ]
+        effective = [
             router_membership
             for router_membership in self._router_memberships
             if router_membership.revision <= revision
@@ -170,19 +187,22 @@
             for router_membership in self._router_memberships
             if router_membership.revision > revision
         ]
-        # Of the older ones only the one in force at the confirmed revision can still be obeyed.
-        self._router_memberships = in_force[-1:] + later
+        # All routers that serve have applied the confirmed revision, so no router uses a membership
+        # older than the one effective at that revision.
+        self._router_memberships = effective[-1:] + later
         self._await_members()
 
     def _await_members(self) -> None:
-        """Await every router of every membership that some router may still obey."""
+        """Await every router of every membership that a router may still use."""
         self._awaited = {
-            one
+            router_id
             for router_membership in self._router_memberships
-            for one in router_membership.routers
+            for router_id in router_membership.routers
         }
         newest = self._pending[-1] if self._pending else 0
-        self._lagging = {one for one in self._awaited if self._adopted.get(one, 0) < newest}
+        self._lagging = {
+            router_id for router_id in self._awaited if self._adopted.get(router_id, 0) < newest
+        }
 
 
 def _is_same(first: RouterMembership, second: RouterMembership) -> bool:
--- a/src/orchidpath/control/leadership/leader_duties.py
+++ b/src/orchidpath/control/leadership/leader_duties.py
@@ -1,8 +1,9 @@
-"""What only the leader does, one object a duty; pure. Begin to read here.
+"""The duties that only the leader performs, with one object per duty; performs no I/O.
 
-One :class:`LeaderDuties` per leadership. All of it is soft state: it ends with the leadership and a
-successor rebuilds it from the replicated state, from heartbeats and from the routers' counter
-reports.
+This module is the entry point of the package. There is one :class:`LeaderDuties` per leadership.
+All of it is soft state, which is dropped when the leadership ends. The next leader rebuilds it from
+the replicated state, from heartbeats and announcements, and from the routers' counter reports. The
+state of prefill placement is not rebuilt: it starts empty and fills as attempts are decided.
 """
 
 import random as random_module
@@ -33,28 +34,28 @@
 )
 
 TICK_PERIOD_SECONDS = 0.05
-"""Time between two looks at what only time changes."""
+"""Period of the duties that depend on the passing of time."""
 
 
 class LeaderDuties:
-    """The duties of one leadership and the order in which they are asked.
+    """The duties of one leadership, and the order in which they run.
 
     Parameters
     ----------
     term
         Term of this leadership.
     state
-        The replicated state, complete up to this leadership's first entry.
+        The replicated state, applied at least up to the first log entry of this leadership.
     random
-        Source of jitter.
+        Random generator for jitter.
     now
-        Monotonic seconds.
+        Start of this leadership, in monotonic seconds.
     router_removal_seconds
-        A router that is silent for this long is removed.
+        A router is removed when it has sent no heartbeat for longer than this.
     disabled_guards
-        For tests only.
+        Safety checks to turn off; for tests only.
     worker_lease_seconds
-        A worker that is silent for this long is removed.
+        A worker is removed when it has sent no announcement for longer than this.
     """
 
     def __init__(
@@ -86,22 +87,25 @@
         self._next_tick_at = now
 
     def tick(self, now: float) -> None:
-        """Ask each duty, top to bottom, for what is due; the caller has checked the lease.
-
-        A busy leader has thousands of turns a second; what looks at every worker and router is
-        done once a ``TICK_PERIOD_SECONDS``.
-
-        Why this order is safe:
-
-        - The workers are refreshed first, so that every later step counts attempts on the set of
-          workers that the replicated state holds now.
-        - Removals come before all other proposals of the tick. The log keeps their order, so a
-          plan's step or a cordon that was proposed in the same tick is applied to a state that
-          already lacks the worker, and the state machine rejects it there.
-        - The confirmation advances before plans and stage moves. Both issue a worker's command
-          only once every serving router obeys the revision that cordoned the worker.
-        - Circuits are pushed after all that could change them.
-        - Expired requests are dropped last: it only frees memory.
+        """Run the work of each duty that is due at ``now``.
+
+        The caller has checked that this leader holds its lease at ``now``. Under load a leader
+        takes thousands of turns per second, so the work that iterates over every worker and router
+        runs only once per ``TICK_PERIOD_SECONDS``.
+
+        The order of the steps is safe because:
+
+        - The workers are refreshed first, so that every later step counts attempts on the workers
+          that are in the replicated state now.
+        - Removals are proposed before anything else in the tick. The log keeps this order, so a
+          plan step or a cordon that is proposed in the same tick is applied to a state that no
+          longer contains the worker, and the state machine rejects it.
+        - The confirmed revision advances before the plan and the stage changes, which use it. Both
+          wait until every serving router has applied the revision that cordoned a worker. A plan
+          step does not proceed without that confirmation; a stage change does after
+          :data:`~orchidpath.control.leadership.stage_balancer.CORDON_SECONDS`.
+        - Circuits are pushed after every step that can change them.
+        - Expired requests are dropped last, because this only frees memory.
         """
         if now < self._next_tick_at:
             return
@@ -116,7 +120,10 @@
         self.decisions.drop_expired(now)
 
     def receive(self, sender_id: str, message: Message, now: float) -> None:
-        """Hand a message to the duty it is for; the caller has checked the lease at ``now``."""
+        """Dispatch a message to the duty that handles its type; other types are ignored.
+
+        The caller has checked that this leader holds its lease at ``now``.
+        """
         match message:
             case DecisionRequest():
                 self.decisions.receive_request(sender_id, message, now)
@@ -136,12 +143,12 @@
                 pass
 
     def worker_command_answered(self, command: WorkerCommand, reply: WorkerCommandReply) -> None:
-        """Hand a worker's answer to the duties that issue commands."""
+        """Pass a worker's reply to the duties that send commands."""
         self._plan_driver.command_answered(command, reply)
         self._stage_balancer.command_answered(command, reply)
 
     def applied(self, outcome: Outcome, previous_revision: int, now: float) -> None:
-        """Follow one command that the replicated state has applied."""
+        """Update the duties after the replicated state has applied a command."""
         if isinstance(outcome, CircuitResult | CapacityResult):
             self.decisions.transition_applied(outcome, now)
             if outcome.record is not None:
@@ -151,7 +158,10 @@
             self.decisions.revision_committed()
 
     def push_updates(self, now: float) -> None:
-        """Push new revisions to the routers, after everything that this turn applied."""
+        """Push new revisions to the routers.
+
+        The caller does this once per turn, after all commands of the turn have been applied.
+        """
         self._update_publisher.push(now)
 
     def _receive_heartbeat(self, heartbeat: RouterHeartbeat, now: float) -> None:
--- a/src/orchidpath/control/leadership/liveness.py
+++ b/src/orchidpath/control/leadership/liveness.py
@@ -1,7 +1,8 @@
-"""Which workers and routers the leader hears; soft state, pure.
+"""Tracks when the leader last received a message from each worker and router; performs no I/O.
 
-A new leader knows nothing of who was heard before, so it grants everyone one full lease from its
-start: a fail-over alone never removes a worker.
+This is soft state. A new leader has no record of earlier messages, so it grants every worker and
+router a full lease from the first check of its leadership. A fail-over alone therefore never
+removes a worker.
 """
 
 from typing import NamedTuple
@@ -11,22 +12,22 @@
 from orchidpath.wire.backend import WORKER_LEASE_SECONDS
 
 ROUTER_REMOVAL_SECONDS = 60.0
-"""A router that the leader has not heard for this long is removed."""
+"""A router without a heartbeat for longer than this is removed."""
 
 REPEAT_PROPOSAL_SECONDS = 1.0
-"""A removal that has not been applied is proposed again after this long."""
+"""A removal that has not been applied is proposed again after this time."""
 
 
-class HeardWorker(msgspec.Struct):
-    """When a worker's announcement was last heard, and which one it was."""
+class LastAnnouncement(msgspec.Struct):
+    """The newest announcement received from a worker, and its time in monotonic seconds."""
 
     incarnation: str
     sequence: int
-    heard_at: float
+    received_at: float
 
 
 class SilentWorker(NamedTuple):
-    """A worker whose lease has expired, and the newest announcement heard of it."""
+    """A worker whose lease has expired, and the sequence of its newest announcement."""
 
     worker_id: str
     incarnation: str
@@ -34,14 +35,14 @@
 
 
 class LivenessTracker:
-    """When each worker and router was last heard.
+    """Tracks the last announcement of each worker and the last heartbeat of each router.
 
     Parameters
     ----------
     router_removal_seconds
-        A router that is silent for this long is to be removed.
+        A router is to be removed when it has sent no heartbeat for longer than this.
     worker_lease_seconds
-        A worker that is silent for this long is to be removed.
+        A worker is to be removed when it has sent no announcement for longer than this.
     """
 
     def __init__(
@@ -51,30 +52,33 @@
     ) -> None:
         self._router_removal_seconds = router_removal_seconds
         self._worker_lease_seconds = worker_lease_seconds
-        self._workers: dict[str, HeardWorker] = {}
+        self._workers: dict[str, LastAnnouncement] = {}
         self._routers: dict[str, float] = {}
         self._proposed: dict[str, float] = {}
 
-    def worker_heard(self, worker_id: str, incarnation: str, sequence: int, now: float) -> bool:
-        """Note an announcement.
+    def record_announcement(
+        self, worker_id: str, incarnation: str, sequence: int, now: float
+    ) -> bool:
+        """Record an announcement of a worker.
 
         Returns
         -------
         bool
-            False if it is older than one heard before of the same incarnation.
+            False if its sequence is not higher than that of the newest announcement of the same
+            incarnation. Such an announcement does not renew the lease.
         """
         known = self._workers.get(worker_id)
         if known is not None and known.incarnation == incarnation and known.sequence >= sequence:
             return False
-        self._workers[worker_id] = HeardWorker(incarnation, sequence, now)
+        self._workers[worker_id] = LastAnnouncement(incarnation, sequence, now)
         return True
 
-    def router_heard(self, router_id: str, now: float) -> None:
-        """Note a router's heartbeat."""
+    def record_heartbeat(self, router_id: str, now: float) -> None:
+        """Record a heartbeat of a router."""
         self._routers[router_id] = now
 
-    def router_age_seconds(self, router_id: str, now: float) -> float:
-        """Seconds since a router was heard; infinite if never."""
+    def seconds_since_heartbeat(self, router_id: str, now: float) -> float:
+        """Return the seconds since a router's last heartbeat, or infinity if there was none."""
         return now - self._routers.get(router_id, float("-inf"))
 
     def silent_workers(self, workers: dict[str, str], now: float) -> list[SilentWorker]:
@@ -83,33 +87,35 @@
         Parameters
         ----------
         workers
-            Incarnation by worker id, as replicated.
+            Incarnation by worker id, from the replicated state.
         now
-            Monotonic seconds.
+            Current time, in monotonic seconds.
         """
         silent = []
         for worker_id, incarnation in workers.items():
-            heard = self._workers.get(worker_id)
-            if heard is None:
-                self._workers[worker_id] = HeardWorker(incarnation, 0, now)
+            last = self._workers.get(worker_id)
+            if last is None:
+                self._workers[worker_id] = LastAnnouncement(incarnation, 0, now)
                 continue
-            expired = now - heard.heard_at > self._worker_lease_seconds
+            expired = now - last.received_at > self._worker_lease_seconds
             if expired and self._may_propose(worker_id, now):
-                silent.append(SilentWorker(worker_id, incarnation, heard.sequence))
+                silent.append(SilentWorker(worker_id, incarnation, last.sequence))
         return silent
 
     def silent_routers(self, router_ids: list[str], now: float) -> list[str]:
-        """Return the registered routers silent for too long."""
+        """Return the routers without a heartbeat for too long whose removal may be proposed."""
         silent = []
         for router_id in router_ids:
-            heard_at = self._routers.setdefault(router_id, now)
-            if now - heard_at > self._router_removal_seconds and self._may_propose(router_id, now):
+            received_at = self._routers.setdefault(router_id, now)
+            if now - received_at > self._router_removal_seconds and self._may_propose(
+                router_id, now
+            ):
                 silent.append(router_id)
         return silent
 
-    def forget_workers_except(self, workers: dict[str, str]) -> None:
-        """Drop what was heard of workers that are gone, to keep memory bounded."""
-        for worker_id in [one for one in self._workers if one not in workers]:
+    def retain_workers(self, workers: dict[str, str]) -> None:
+        """Drop the announcements of all workers not in ``workers``, to bound the memory."""
+        for worker_id in [known_id for known_id in self._workers if known_id not in workers]:
             del self._workers[worker_id]
 
     def _may_propose(self, name: str, now: float) -> bool:
--- a/src/orchidpath/control/leadership/member_manager.py
+++ b/src/orchidpath/control/leadership/member_manager.py
@@ -1,9 +1,9 @@
-"""Which control replicas vote: keeps the wanted number of voters up; pure.
+"""Chooses the control replicas that vote, and replaces lost voters; performs no I/O.
 
-Asked by the leader on every tick; it names one change at a time, and the consensus core refuses a
-change that would not be safe yet. Why the order is safe: a standby is promoted *before* the lost
-voter is removed, so at every moment a majority of the voters holds every confirmed change
-(docs/design/control-state.md, "Disk lost after an acknowledgement").
+The leader calls it on every tick. It returns one membership change at a time, and the consensus
+core rejects a change that is not safe yet. The order of the changes is safe because a standby is
+promoted *before* the lost voter is removed, so at every moment a majority of the voters stores
+every confirmed change (docs/design/control-state.md, "Disk lost after an acknowledgement").
 """
 
 from collections import Counter
@@ -15,18 +15,23 @@
 from orchidpath.control.leadership.liveness import ROUTER_REMOVAL_SECONDS
 from orchidpath.wire.backend import WORKER_LEASE_SECONDS
 
-HEARD_SECONDS = 1.0
-"""A learner heard within this long is up, and may be promoted."""
+PROMOTION_CONTACT_SECONDS = 1.0
+"""A learner may be promoted if the leader had contact with it within this time."""
 
 LEARNER_REMOVAL_SECONDS = 60.0
-"""A learner that has not been heard for this long is removed from the membership."""
+"""A learner without contact for longer than this is removed from the membership."""
 
 SUPERSEDED_REMOVAL_SECONDS = 3.0
-"""The same for a learner whose address another replica uses now."""
+"""The removal time-out of a learner whose address is also that of another replica."""
 
 
 class MemberPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """How many voters to keep, and how long a silent voter, router or worker stays."""
+    """The number of voters to keep, and the time-outs of voters, routers and workers.
+
+    A voter without contact for ``replace_after_seconds`` is replaced, a router without heartbeats
+    for ``router_removal_seconds`` and a worker without announcements for ``worker_lease_seconds``
+    are removed.
+    """
 
     target_voters: int = 3
     replace_after_seconds: float = 8.0
@@ -35,7 +40,7 @@
 
 
 class _Silence:
-    """How long each replica has been silent, as the leader sees it now."""
+    """The time since the leader's last contact with each replica, as of ``now``."""
 
     def __init__(
         self,
@@ -50,21 +55,24 @@
         self._now = now
 
     def seconds(self, node_id: str) -> float:
-        """Seconds since a replica was heard, from the start of the leadership at the earliest."""
+        """Return the seconds since the last contact with a replica, or 0 for the leader itself.
+
+        A contact before this leadership counts as one at its start.
+        """
         if node_id == self._leader_id:
             return 0.0
         return self._now - max(self._last_contact(node_id), self._started_at)
 
 
 class MemberManager:
-    """Names the next membership change.
+    """Chooses the next membership change.
 
     Parameters
     ----------
     policy
-        Wanted voters and timeouts.
+        Number of voters to keep, and time-outs.
     now
-        Start of this leadership: silence counts from here at the earliest.
+        Start of this leadership, in monotonic seconds. No time-out starts earlier.
     """
 
     def __init__(self, policy: MemberPolicy, now: float) -> None:
@@ -73,7 +81,7 @@
         self._joining: dict[str, str] = {}
 
     def join_requested(self, node_id: str, address: str) -> None:
-        """Note a replica that wants to become a learner."""
+        """Record that a replica requests to join as a learner."""
         self._joining[node_id] = address
 
     def next_change(
@@ -84,24 +92,25 @@
         now: float,
         standbys: frozenset[str] = frozenset(),
     ) -> Membership | None:
-        """Return the membership to propose next, or None when nothing is to be done.
+        """Return the membership to propose next, or None if no change is necessary.
 
-        The first answer holds. Replicas that ask to join come first, for only a learner can
-        replace a voter. Surplus voters go before any learner is promoted, so a promotion takes the
-        voters at most one above the target, and the lost voter is removed on a later call.
+        The first change that applies is returned. Replicas that request to join come first, because
+        only a learner can replace a voter. Surplus voters are removed before any learner is
+        promoted, so a promotion raises the number of voters to at most one above the target, and
+        the lost voter is removed by a later call.
 
         Parameters
         ----------
         leader_id
-            This leader.
+            Node id of this leader.
         membership
             The newest membership.
         last_contact
-            Returns when a replica was heard last.
+            Returns the time of the last contact with a replica, in monotonic seconds.
         now
-            Monotonic seconds.
+            Current time, in monotonic seconds.
         standbys
-            Replicas without a disk: they never vote.
+            Node ids of replicas without a disk, which never vote.
         """
         silence = _Silence(leader_id, self._started_at, last_contact, now)
         return (
@@ -126,7 +135,7 @@
     def _remove_surplus_voter(
         self, membership: Membership, leader_id: str, silence: _Silence
     ) -> Membership | None:
-        """Remove the lost voter that is silent the longest, or demote the newest if none is."""
+        """Remove the voter that has been lost for the longest time, or else demote the newest."""
         if len(membership.voters) <= self._policy.target_voters:
             return None
         lost = self._lost_voters(membership, silence)
@@ -137,14 +146,14 @@
     def _promote_learner(
         self, membership: Membership, standbys: frozenset[str], silence: _Silence
     ) -> Membership | None:
-        """Promote a learner that is up if voters are missing or lost."""
+        """Promote a learner that is reachable if voters are missing or lost."""
         is_short = len(membership.voters) < self._policy.target_voters
         if not is_short and not self._lost_voters(membership, silence):
             return None
         candidates = [
             learner
             for learner in membership.learners
-            if learner not in standbys and silence.seconds(learner) < HEARD_SECONDS
+            if learner not in standbys and silence.seconds(learner) < PROMOTION_CONTACT_SECONDS
         ]
         if not candidates:
             return None
@@ -152,7 +161,7 @@
         return _promote(membership, (successors or candidates)[0])
 
     def _lost_voters(self, membership: Membership, silence: _Silence) -> list[str]:
-        """Return the voters that are superseded or have been silent for too long."""
+        """Return the voters that are superseded or without contact for too long."""
         superseded = _superseded(membership, silence)
         return [
             voter
@@ -163,8 +172,10 @@
     def _remove_silent_learner(
         self, membership: Membership, silence: _Silence
     ) -> Membership | None:
-        """Remove a learner that has been silent for too long."""
-        replicas_by_address = Counter(membership.addresses[one] for one in membership.members())
+        """Remove a learner without contact for too long."""
+        replicas_by_address = Counter(
+            membership.addresses[member] for member in membership.members()
+        )
         for learner in membership.learners:
             is_shared = replicas_by_address[membership.addresses[learner]] > 1
             timeout_seconds = SUPERSEDED_REMOVAL_SECONDS if is_shared else LEARNER_REMOVAL_SECONDS
@@ -174,41 +185,44 @@
 
 
 def _superseded(membership: Membership, silence: _Silence) -> set[str]:
-    """Return the voters whose address another replica uses now and that are heard no more.
+    """Return the voters whose address is used by another replica with a more recent contact.
 
-    The machine came back with an empty disk: its old replica never will, so there is nothing to
-    wait for. A second loss may follow soon, and must find the new copy voting.
+    The machine has restarted with an empty disk under a new node id, so the old replica never
+    returns and no time-out is necessary. The new replica must vote soon, because another voter may
+    be lost shortly afterwards.
     """
-    heard_last: dict[str, str] = {}
+    latest_by_address: dict[str, str] = {}
     for member in membership.members():
         address = membership.addresses[member]
-        known = heard_last.setdefault(address, member)
-        if silence.seconds(member) < silence.seconds(known):
-            heard_last[address] = member
+        latest = latest_by_address.setdefault(address, member)
+        if silence.seconds(member) < silence.seconds(latest):
+            latest_by_address[address] = member
     return {
-        voter for voter in membership.voters if heard_last[membership.addresses[voter]] != voter
+        voter
+        for voter in membership.voters
+        if latest_by_address[membership.addresses[voter]] != voter
     }
 
 
 def _successors(candidates: list[str], membership: Membership, silence: _Silence) -> list[str]:
     """Return the candidates that use the address of a superseded voter."""
     addresses = {membership.addresses[voter] for voter in _superseded(membership, silence)}
-    return [one for one in candidates if membership.addresses[one] in addresses]
+    return [candidate for candidate in candidates if membership.addresses[candidate] in addresses]
 
 
 def _promote(membership: Membership, learner: str) -> Membership:
     return Membership(
         voters=(*membership.voters, learner),
-        learners=tuple(one for one in membership.learners if one != learner),
+        learners=tuple(member for member in membership.learners if member != learner),
         addresses=membership.addresses,
     )
 
 
 def _demote_newest(membership: Membership, leader_id: str) -> Membership:
-    """Make the newest voter a standby again: the one that it was to replace has come back."""
+    """Make the newest voter a learner again, because the voter that it replaced has returned."""
     newest = [voter for voter in membership.voters if voter != leader_id][-1]
     return Membership(
-        voters=tuple(one for one in membership.voters if one != newest),
+        voters=tuple(voter for voter in membership.voters if voter != newest),
         learners=(*membership.learners, newest),
         addresses=membership.addresses,
     )
@@ -216,7 +230,9 @@
 
 def _remove(membership: Membership, node_id: str) -> Membership:
     return Membership(
-        voters=tuple(one for one in membership.voters if one != node_id),
-        learners=tuple(one for one in membership.learners if one != node_id),
-        addresses={one: at for one, at in membership.addresses.items() if one != node_id},
+        voters=tuple(voter for voter in membership.voters if voter != node_id),
+        learners=tuple(learner for learner in membership.learners if learner != node_id),
+        addresses={
+            member: address for member, address in membership.addresses.items() if member != node_id
+        },
     )
--- a/src/orchidpath/control/leadership/plan_driver.py
+++ b/src/orchidpath/control/leadership/plan_driver.py
@@ -1,7 +1,8 @@
-"""Drives the plan that runs: turns its next actions into proposals and fenced commands; pure.
+"""Executes the active plan by means of proposals and fenced commands; performs no I/O.
 
-One object per leadership, asked on the ticks of a leader that holds its lease. What it remembers
-is soft: a successor begins from the replicated phases (docs/design/plans.md, "Execution").
+There is one :class:`PlanDriver` per leadership, called on the ticks of a leader that holds its
+lease. Its own state is soft: the next leader continues from the replicated phases of the plan's
+steps (docs/design/plans.md, "Execution").
 """
 
 from collections.abc import Callable, Mapping
@@ -26,14 +27,17 @@
 from orchidpath.wire.records import Stage, WorkerRecord
 
 PLAN_PERIOD_SECONDS = 0.1
-"""Time between two looks at the plan."""
+"""Time between two evaluations of the plan."""
 
 REPEAT_PROPOSAL_SECONDS = 1.0
-"""A proposal that has not been applied is made again after this long."""
+"""A proposal that has not been applied is repeated after this time."""
 
 
 class _Watched(msgspec.Struct):
-    """A step's phase as this leadership sees it, and the first command that may belong to it."""
+    """What this leadership has observed of a step since its present phase began.
+
+    ``first_sequence`` is the lowest sequence of a command that can belong to the phase.
+    """
 
     phase: StepPhase
     first_sequence: int
@@ -41,18 +45,19 @@
 
 
 class PlanDriver:
-    """Follows the newest plan.
+    """Executes the newest plan.
 
     Parameters
     ----------
     term
-        Term of this leadership; with a sequence that only grows it fences every command.
+        Term of this leadership. Every command is fenced by the term and an increasing sequence.
     state
         The replicated state.
     in_flight
-        Returns the attempts in flight by worker as the leader counts them at a time.
+        Returns the number of attempts in flight by worker id at a time in monotonic seconds, as
+        the leader counts them.
     output
-        Where commands and proposals go.
+        Collects the commands and proposals.
     """
 
     def __init__(
@@ -74,9 +79,10 @@
         self._next_check_at = float("-inf")
 
     def tick(self, confirmed_revision: int, now: float) -> None:
-        """Look at the plan and do what is due.
+        """Propose and command the next actions of the plan, at most once per period.
 
-        The caller has checked that this leader holds its lease at ``now``.
+        Workers of abandoned steps are resumed even when no plan is active. The caller has checked
+        that this leader holds its lease at ``now``.
         """
         record = self._state.plan
         if record is None or now < self._next_check_at:
@@ -88,7 +94,7 @@
             self._follow(record, workers, confirmed_revision, now)
 
     def command_answered(self, command: WorkerCommand, reply: WorkerCommandReply) -> None:
-        """Note that a worker accepted a command that belongs to its step's present phase."""
+        """Record that a worker accepted a command that belongs to its step's present phase."""
         record = self._state.plan
         if record is None or command.term != self._term or not reply.accepted:
             return
@@ -133,7 +139,7 @@
                 self._command(worker, WorkerCommandKind.RESUME, None)
 
     def _watch(self, record: PlanRecord, now: float) -> None:
-        """Begin to watch each step anew whose phase has changed."""
+        """Reset the observations of every step whose phase has changed."""
         if record.plan.plan_id != self._plan_id:
             self._plan_id = record.plan.plan_id
             self._watched.clear()
--- a/src/orchidpath/control/leadership/revision_confirmation.py
+++ b/src/orchidpath/control/leadership/revision_confirmation.py
@@ -1,7 +1,7 @@
-"""Keeps the confirmed revision up to date with the state and the routers' heartbeats; pure.
+"""Updates the confirmed revision from the state and the routers' heartbeats; performs no I/O.
 
-The rule itself is in :mod:`.confirmation`; this duty feeds it, and records a confirmation in the
-replicated log where a successor would need it.
+The rule itself is in :mod:`.confirmation`. This duty supplies the rule with its input, and records
+a confirmation in the replicated log where the next leader needs it.
 """
 
 from orchidpath.control.leadership.confirmation import (
@@ -15,18 +15,18 @@
 
 
 class RevisionConfirmation:
-    """Follows which revision is in force at every serving router.
+    """Tracks the newest revision that every serving router has applied.
 
     Parameters
     ----------
     state
-        The replicated state, complete up to this leadership's first entry.
+        The replicated state, applied at least up to the first log entry of this leadership.
     output
-        Where proposals go.
+        Collects the proposals.
     now
-        Start of this leadership, monotonic seconds.
+        Start of this leadership, in monotonic seconds.
     disabled_guards
-        For tests only.
+        Safety checks to turn off; for tests only.
     """
 
     def __init__(
@@ -46,32 +46,32 @@
 
     @property
     def confirmed_revision(self) -> int:
-        """Newest revision in force at every serving router, as of the last `advance`."""
+        """Newest revision that every serving router had applied at the last `advance`."""
         return self._tracker.confirmed_revision
 
     def revision_committed(self) -> None:
-        """Start to follow the state's newest revision."""
+        """Start to track the newest revision of the replicated state."""
         self._tracker.revision_committed(
             self._state.revision, current_router_membership(self._state)
         )
 
     def router_adopted(self, router_id: str, revision: int, now: float) -> None:
-        """Note which revision a router obeys; advance at once if it was the last one awaited."""
+        """Record the revision that a router has adopted; advance at once if no router lags now."""
         self._tracker.router_adopted(router_id, revision)
-        if not self._tracker.is_anyone_lagging:
+        if not self._tracker.has_lagging_routers:
             self.advance(now)
 
     def advance(self, now: float) -> None:
-        """Confirm what is confirmed as of ``now``."""
+        """Update the confirmed revision as of ``now``, and record it in the log if necessary."""
         confirmed = self._tracker.advance(now)
         if self._is_worth_recording(confirmed):
             self._output.propose_once(RevisionConfirmed(revision=confirmed))
 
     def _is_worth_recording(self, confirmed: int) -> bool:
-        """Whether a confirmation puts an older witness set out of force.
+        """Whether this confirmation reduces the witness sets that need a majority to a single one.
 
-        That is rare, and the record keeps a successor from asking for the majority of a set whose
-        routers may be gone for good.
+        This is rare. Without the record, the next leader would wait for a majority of an older
+        witness set, whose routers may have been removed permanently.
         """
         recorded = self._state.confirmed_revision
         if len(self._state.witness_sets_since(recorded)) <= 1:
@@ -80,7 +80,7 @@
 
 
 def current_router_membership(state: FleetState) -> RouterMembership:
-    """Return the router membership in force at the state's newest revision."""
+    """Return the router membership that is effective at the state's newest revision."""
     return RouterMembership(
         revision=state.revision,
         routers=frozenset(router.router_id for router in state.routers()),
@@ -89,7 +89,10 @@
 
 
 def _router_memberships_of(state: FleetState) -> list[RouterMembership]:
-    """Return every witness set since the last revision recorded as confirmed, oldest first."""
+    """Return a router membership for every witness set since the last recorded confirmation.
+
+    The oldest comes first. The registered routers are those of the newest revision in each.
+    """
     routers = frozenset(router.router_id for router in state.routers())
     return [
         RouterMembership(state.confirmed_revision, routers, frozenset(witnesses))
--- a/src/orchidpath/control/leadership/router_leases.py
+++ b/src/orchidpath/control/leadership/router_leases.py
@@ -1,4 +1,4 @@
-"""Router leases: heartbeats, the revisions that routers have adopted, and removals; pure."""
+"""Renews router leases on heartbeats and removes routers without heartbeats; performs no I/O."""
 
 from collections.abc import Mapping
 
@@ -9,11 +9,14 @@
 from orchidpath.wire.messages import RouterHeartbeat, RouterHeartbeatReply
 
 REGISTRATION_RETRY_SECONDS = 0.4
-"""A router heard less than this long ago is not proposed again: its registration is on its way."""
+"""A router's registration is not proposed again within this time after its last heartbeat.
+
+Within this time the earlier proposal may still be in the log, not yet applied.
+"""
 
 
 class RouterLeases:
-    """Renews the leases of routers and follows what each one has adopted.
+    """Renews the leases of routers and tracks the revision that each router has adopted.
 
     Parameters
     ----------
@@ -22,9 +25,9 @@
     state
         The replicated state.
     liveness
-        When each router was last heard.
+        Records the routers' heartbeats.
     output
-        Where replies and proposals go.
+        Collects the replies and proposals.
     """
 
     def __init__(
@@ -38,20 +41,20 @@
 
     @property
     def adopted_revisions(self) -> Mapping[str, int]:
-        """Revision that each router heard in this leadership has adopted, by router id."""
+        """Adopted revision by router id, for routers with a heartbeat in this leadership."""
         return self._adopted
 
     def renew(self, heartbeat: RouterHeartbeat, now: float) -> None:
-        """Renew a router's lease and note what it has adopted.
+        """Renew a router's lease, record its adopted revision and register the router if necessary.
 
         The caller has checked that this leader holds its own lease at ``now``.
         """
         router_id = heartbeat.record.router_id
         registered = self._state.find_router(router_id) == heartbeat.record
-        age_seconds = self._liveness.router_age_seconds(router_id, now)
+        age_seconds = self._liveness.seconds_since_heartbeat(router_id, now)
         if not registered and age_seconds > REGISTRATION_RETRY_SECONDS:
             self._output.propose(RegisterRouter(record=heartbeat.record))
-        self._liveness.router_heard(router_id, now)
+        self._liveness.record_heartbeat(router_id, now)
         self._adopted[router_id] = heartbeat.adopted_revision
         reply = RouterHeartbeatReply(
             term=self._term,
@@ -62,7 +65,7 @@
         self._output.send(router_id, reply)
 
     def propose_removals(self, now: float) -> None:
-        """Propose to remove routers that have been silent for too long."""
+        """Propose to remove routers without a heartbeat for too long."""
         router_ids = [router.router_id for router in self._state.routers()]
         for router_id in self._liveness.silent_routers(router_ids, now):
             self._output.propose(RemoveRouter(router_id=router_id))
--- a/src/orchidpath/control/leadership/stage_balancer.py
+++ b/src/orchidpath/control/leadership/stage_balancer.py
@@ -1,9 +1,10 @@
-"""Keeps the split of prefill and decode where operators leave it to the fleet; pure.
+"""Balances prefill and decode workers of services without a fixed split; performs no I/O.
 
-One object per leadership, asked on the ticks of a leader that holds its lease. A worker is first
-cordoned; once every serving router obeys that, it is commanded to change its stage, and it is
-uncordoned when it announces the new one. What is remembered here is soft state: a successor waits
-until no command of its predecessor can be on its way, and uncordons whoever no move needs cordoned.
+There is one :class:`StageBalancer` per leadership, called on the ticks of a leader that holds its
+lease. To move a worker, the balancer cordons it, waits until every serving router has applied the
+cordon (at most ``CORDON_SECONDS``), commands the worker to change its stage, and uncordons it when
+it announces the new stage. The moves are soft state: a new leader first waits until no command of
+its predecessor can be in transit, and then uncordons the workers that no move of its own concerns.
 """
 
 from collections.abc import Callable, Mapping
@@ -20,25 +21,28 @@
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
 
 BALANCE_PERIOD_SECONDS = 0.25
-"""Time between two looks at the split."""
+"""Time between two evaluations of the split."""
 
 TAKEOVER_SECONDS = 4.0
-"""A new leader sends no command for this long: commands of two leaders must not interleave."""
+"""A new leader waits for this time, so that its commands and its predecessor's never interleave."""
 
 QUIET_PERIOD_SECONDS = 1.5
-"""The set of workers must have been the same for this long before a move begins."""
+"""The set of a service's workers must be unchanged for this time before a move begins."""
 
 URGENT_QUIET_PERIOD_SECONDS = 0.5
-"""The same while no worker decodes, so that nothing is served."""
+"""The quiet period while a service has no ready decode worker and so serves no request."""
 
 CORDON_SECONDS = 2.5
-"""Bound on the wait until every serving router obeys a cordon."""
+"""Longest wait for the confirmation of a cordon, measured from the start of the move.
+
+After this time the worker is commanded without the confirmation.
+"""
 
 COMMAND_REPEAT_SECONDS = 1.0
-"""A command without an answer is sent again after this long."""
+"""A command that its worker has not accepted is sent again after this time."""
 
 MOVE_SECONDS = 20.0
-"""A move that has not ended by then is given up and its worker uncordoned."""
+"""A move that takes longer than this is abandoned, and its worker is uncordoned."""
 
 
 class _Phase(StrEnum):
@@ -48,7 +52,11 @@
 
 
 class _Move(msgspec.Struct):
-    """One worker's change as this leadership sees it."""
+    """The change of one worker's stage that this leadership has begun.
+
+    ``cordon_revision`` is 0 until the cordon has been applied. ``since`` and ``commanded_at`` are
+    in monotonic seconds.
+    """
 
     worker: WorkerRecord
     stage: Stage
@@ -59,20 +67,20 @@
 
 
 class StageBalancer:
-    """Moves workers between the stages of services whose split the fleet keeps.
+    """Moves workers between the stages of services whose split the fleet balances.
 
     Parameters
     ----------
     term
-        Term of this leadership; it fences every command.
+        Term of this leadership. Every command is fenced by the term and an increasing sequence.
     state
         The replicated state.
     in_flight
-        Returns the attempts in flight by worker at a time.
+        Returns the number of attempts in flight by worker id at a time in monotonic seconds.
     output
-        Where commands and proposals go.
+        Collects the commands and proposals.
     now
-        Start of this leadership.
+        Start of this leadership, in monotonic seconds.
     """
 
     def __init__(
@@ -90,19 +98,21 @@
         self._sequence = 0
         self._moves: dict[str, _Move] = {}
         self._may_command_at = now + TAKEOVER_SECONDS
-        self._known: dict[str, frozenset[str]] = {}
-        self._known_since: dict[str, float] = {}
+        self._worker_ids: dict[str, frozenset[str]] = {}
+        self._workers_unchanged_since: dict[str, float] = {}
         self._next_check_at = now
 
     def tick(self, confirmed_revision: int, now: float) -> None:
-        """Look at every service and do what is due.
+        """Continue the moves in progress and begin new ones, at most once per period.
+
+        Nothing happens during ``TAKEOVER_SECONDS`` or while a plan is active.
 
         Parameters
         ----------
         confirmed_revision
-            Newest revision in force at every serving router.
+            Newest revision that every serving router has applied.
         now
-            Monotonic seconds.
+            Current time, in monotonic seconds.
         """
         if now < self._next_check_at:
             return
@@ -119,30 +129,32 @@
                 self._balance(service, own, now)
 
     def command_answered(self, command: WorkerCommand, reply: WorkerCommandReply) -> None:
-        """Note that a worker has accepted the command of its move."""
+        """Record that a worker has accepted the command of its move."""
         move = self._moves.get(command.worker_id)
         if move is not None and reply.accepted and command.term == self._term:
             move.phase = _Phase.SWITCHING
 
     def _balance(self, service: Service, workers: list[WorkerRecord], now: float) -> None:
         self._uncordon_abandoned(workers)
-        names = frozenset(worker.worker_id for worker in workers)
-        if self._known.get(service.name) != names:
-            self._known[service.name] = names
-            self._known_since[service.name] = now
-        decodes = any(
+        worker_ids = frozenset(worker.worker_id for worker in workers)
+        if self._worker_ids.get(service.name) != worker_ids:
+            self._worker_ids[service.name] = worker_ids
+            self._workers_unchanged_since[service.name] = now
+        has_decode_worker = any(
             worker.stage is Stage.DECODE and worker.status is WorkerStatus.READY
             for worker in workers
         )
-        quiet_period_seconds = QUIET_PERIOD_SECONDS if decodes else URGENT_QUIET_PERIOD_SECONDS
-        if now - self._known_since[service.name] < quiet_period_seconds:
+        quiet_period_seconds = (
+            QUIET_PERIOD_SECONDS if has_decode_worker else URGENT_QUIET_PERIOD_SECONDS
+        )
+        if now - self._workers_unchanged_since[service.name] < quiet_period_seconds:
             return
         moving = {worker_id: move.stage for worker_id, move in self._moves.items()}
         for move in next_moves(service, workers, moving, self._in_flight(now)):
             self._begin(move, now)
 
     def _uncordon_abandoned(self, workers: list[WorkerRecord]) -> None:
-        """Uncordon workers that a former leader cordoned and did not come to uncordon."""
+        """Uncordon workers that are cordoned without a move, such as those of an earlier leader."""
         for worker in workers:
             if worker.cordoned and worker.worker_id not in self._moves:
                 self._output.propose(CordonWorker(worker_id=worker.worker_id, cordoned=False))
@@ -155,7 +167,7 @@
     def _follow(
         self, move: _Move, worker: WorkerRecord | None, confirmed_revision: int, now: float
     ) -> None:
-        """Take the next step of a move."""
+        """Perform the next step of a move, or end the move."""
         is_over = worker is None or worker.stage is move.stage
         if is_over or now - move.since > MOVE_SECONDS:
             self._end(move, worker)
@@ -163,8 +175,8 @@
         assert worker is not None
         if move.phase is _Phase.CORDONING and worker.cordoned:
             move.cordon_revision = move.cordon_revision or self._state.revision
-            is_known = confirmed_revision >= move.cordon_revision
-            if is_known or now - move.since > CORDON_SECONDS:
+            is_confirmed = confirmed_revision >= move.cordon_revision
+            if is_confirmed or now - move.since > CORDON_SECONDS:
                 move.phase = _Phase.COMMANDING
         if move.phase is _Phase.COMMANDING and now - move.commanded_at >= COMMAND_REPEAT_SECONDS:
             move.commanded_at = now
--- a/src/orchidpath/control/leadership/update_publisher.py
+++ b/src/orchidpath/control/leadership/update_publisher.py
@@ -1,4 +1,4 @@
-"""Sends routers the revisions that they lack; pure."""
+"""Sends routers the revisions that they have not adopted yet; performs no I/O."""
 
 from collections.abc import Mapping
 
@@ -7,10 +7,10 @@
 from orchidpath.wire.messages import FleetUpdate, FleetUpdateRequest
 
 PUSH_PERIOD_SECONDS = 0.05
-"""Least time between two pushes of changes; the first change after a calm goes out at once."""
+"""Minimum time between two pushes. A change after a longer pause is pushed at once."""
 
 MAX_CACHED_UPDATES = 16
-"""Updates that are cached, each for the routers that have adopted one revision."""
+"""Most updates that are cached; each serves all routers that have adopted the same revision."""
 
 
 class UpdatePublisher:
@@ -21,11 +21,12 @@
     state
         The replicated state.
     adopted_revisions
-        Revision that each router heard in this leadership has adopted; read at each push.
+        Revision that each router with a heartbeat in this leadership has adopted, by router id;
+        read at each push.
     output
-        Where updates go.
+        Collects the updates.
     now
-        Start of this leadership, monotonic seconds.
+        Start of this leadership, in monotonic seconds.
     """
 
     def __init__(
@@ -44,14 +45,14 @@
         self._next_push_at = now
 
     def receive_request(self, router_id: str, request: FleetUpdateRequest) -> None:
-        """Send a router all that lies above the revision it names."""
+        """Send a router all changes since the revision in its request."""
         self._output.send(router_id, self._update_since(request.adopted_revision))
 
     def push(self, now: float) -> None:
-        """Push the newest revision to every router that was heard and not sent it yet.
+        """Push the newest revision to every router that has not adopted it and was not sent it yet.
 
-        A router that is heard for the first time asks by itself when it lacks something. In a storm
-        of changes, such as a fleet that forms, many revisions go out together.
+        A router that connects later requests the changes that it lacks itself. When many revisions
+        are committed in a short time, as while a fleet forms, one push contains several of them.
         """
         revision = self._state.revision
         if revision == self._pushed_revision or now < self._next_push_at:
@@ -66,9 +67,10 @@
             self._output.send(router_id, self._update_since(known))
 
     def _update_since(self, adopted_revision: int) -> FleetUpdate:
-        """Return one and the same update for every router that has adopted the same revision.
+        """Return the update since a revision, which routers at the same revision share.
 
-        When a whole fleet restarts, all routers ask at once for the whole view.
+        After a restart of the fleet all routers request the complete view at once. Because they
+        get the same object, it is built only once.
         """
         update = self._cached.get(adopted_revision)
         if update is None or update.revision != self._state.revision:
--- a/src/orchidpath/control/leadership/worker_liveness.py
+++ b/src/orchidpath/control/leadership/worker_liveness.py
@@ -1,4 +1,4 @@
-"""Workers' announcements, and the removal of workers that are silent or leave; pure."""
+"""Handles announcements of workers and removes workers that leave or fall silent; no I/O."""
 
 from collections.abc import Iterable
 
@@ -14,16 +14,16 @@
 
 
 class WorkerLiveness:
-    """Proposes what announcements, and their absence, change in the replicated state.
+    """Proposes the changes of the replicated state that announcements, or their absence, require.
 
     Parameters
     ----------
     state
         The replicated state.
     liveness
-        When each worker was last heard.
+        Records the workers' announcements.
     output
-        Where proposals go.
+        Collects the proposals.
     """
 
     def __init__(self, state: FleetState, liveness: LivenessTracker, output: ControlOutput) -> None:
@@ -32,7 +32,7 @@
         self._output = output
 
     def receive_announcements(self, announcements: Iterable[Announcement], now: float) -> None:
-        """Note announcements and propose those that change the replicated state."""
+        """Record announcements and propose the changes and departures that they report."""
         for announcement in announcements:
             if announcement.leaving:
                 self._remove_leaving(announcement.record)
@@ -49,11 +49,11 @@
                 sequence=silent.sequence,
             )
             self._output.propose(removal)
-        self._liveness.forget_workers_except(incarnations)
+        self._liveness.retain_workers(incarnations)
 
     def _receive_announcement(self, announcement: Announcement, now: float) -> None:
         record = announcement.record
-        is_newest = self._liveness.worker_heard(
+        is_newest = self._liveness.record_announcement(
             record.worker_id, record.incarnation, announcement.sequence, now
         )
         if is_newest and self._differs(record):
@@ -63,14 +63,17 @@
         entry = self._state.find_worker(record.worker_id)
         if entry is None or entry.record.incarnation != record.incarnation:
             return
-        # With the highest sequence no announcement still on its way brings the worker back.
+        # With the highest sequence, no announcement in transit can add the worker again.
         removal = WorkerRemoved(
             worker_id=record.worker_id, incarnation=record.incarnation, sequence=MAX_SEQUENCE
         )
         self._output.propose_once(removal)
 
     def _differs(self, record: WorkerRecord) -> bool:
-        """Whether a record differs from the replicated one in what a worker itself announces."""
+        """Whether an announced record differs from the replicated record of its worker.
+
+        The cordon is not compared, because the worker does not announce it.
+        """
         entry = self._state.find_worker(record.worker_id)
         if entry is None:
             return True
