--- a/src/orchidpath/control/replica/__init__.py
+++ b/src/orchidpath/control/replica/__init__.py
@@ -1,5 +1,5 @@
-"""One control replica: its decisions, the loop that carries them out, and requests that wait.
+"""One control replica: its logic, the loop that runs it, and its pending requests.
 
-The decisions are in :mod:`.control_replica`; :mod:`.replica_loop` runs it. Begin with the first.
+Start with :mod:`.control_replica`, which contains the logic. :mod:`.replica_loop` runs it.
 Imported by :mod:`orchidpath.control` and the simulation.
 """
--- a/src/orchidpath/control/replica/configuration_updates.py
+++ b/src/orchidpath/control/replica/configuration_updates.py
@@ -1,4 +1,4 @@
-"""Operators' configuration updates on a leader: proposed, followed, answered; pure."""
+"""Proposes operators' configuration updates on a leader and answers them; performs no I/O."""
 
 from orchidpath.consensus.errors import NotLeaderError
 from orchidpath.consensus.types import LogEntry
@@ -8,11 +8,11 @@
 from orchidpath.state.commands import SubmitConfiguration
 from orchidpath.state.outcomes import UpdateResult
 
-VOTER_HEARD_SECONDS = 1.0
-"""A voter heard within this long is waited for before an update is called confirmed."""
+VOTER_CONTACT_SECONDS = 1.0
+"""An update is confirmed only when it is durable on the voters with a contact in this time."""
 
 FORMATION_TIMEOUT_SECONDS = 30.0
-"""A new fleet accepts its first update after this long even if voters are missing."""
+"""A new fleet accepts its first update after this time even if voters are missing."""
 
 _NOT_LEADER = "this process does not lead"
 _FORMING = "the fleet is still forming"
@@ -24,13 +24,13 @@
     Parameters
     ----------
     node_id
-        This replica.
+        Node id of this replica.
     log
         The replicated log.
     output
-        Where answers go.
+        Collects the answers.
     formation_voters
-        Voters wanted before a new fleet accepts its first update.
+        Number of voters that a new fleet needs before it accepts its first update.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
     def submit(
         self, key: int, update: SubmitConfiguration, has_authority: bool, now: float
     ) -> None:
-        """Propose an update; its answer under ``key`` follows, now or later."""
+        """Propose an update; its answer is emitted under ``key``, at once or later."""
         if not has_authority:
             self._reject(key, _NOT_LEADER)
             return
@@ -62,28 +62,28 @@
         self._log.run(proposal.effects, now)
 
     def applied(self, entry: LogEntry, result: UpdateResult, now: float) -> None:
-        """Follow an update that the state has applied."""
+        """Record the outcome of an applied update and answer it if it was rejected."""
         revision = self._log.state.revision
         self._output.emit_all(self._pending.applied(entry, result, revision, now))
 
     def confirm(self, confirmed_revision: int, now: float) -> None:
-        """Answer the updates that are confirmed or have waited long enough."""
+        """Answer the updates that are confirmed or whose waiting time is over."""
         answers = self._pending.confirm(confirmed_revision, self._durable_index(now), now)
         self._output.emit_all(answers)
 
     def leadership_started(self, now: float) -> None:
-        """Begin to lead."""
+        """Record the start of this leadership, in monotonic seconds."""
         self._leading_since = now
 
     def leadership_lost(self) -> None:
-        """Answer everything at once: a follower cannot tell what becomes of it."""
+        """Answer all pending updates, because a follower cannot determine their outcome."""
         self._output.emit_all(self._pending.leadership_lost())
 
     def _reject(self, key: int, reason: str) -> None:
         self._output.emit(self._pending.rejected(key, reason))
 
     def _is_forming(self, now: float) -> bool:
-        """Whether a new fleet still waits for its voters before its first update."""
+        """Whether a new fleet without a configuration still has fewer voters than it needs."""
         if self._log.state.configuration_version > 0:
             return False
         if now - self._leading_since >= FORMATION_TIMEOUT_SECONDS:
@@ -91,11 +91,11 @@
         return len(self._log.raft.membership.voters) < self._formation_voters
 
     def _durable_index(self, now: float) -> int:
-        """Return the last index that is durable on every voter heard lately."""
+        """Return the last log index that is durable on every voter with a recent contact."""
         raft = self._log.raft
         indexes = [
             raft.match_index(voter)
             for voter in raft.membership.voters
-            if voter == self._node_id or now - raft.last_contact(voter) < VOTER_HEARD_SECONDS
+            if voter == self._node_id or now - raft.last_contact(voter) < VOTER_CONTACT_SECONDS
         ]
         return min(indexes, default=0)
--- a/src/orchidpath/control/replica/consensus_codec.py
+++ b/src/orchidpath/control/replica/consensus_codec.py
@@ -1,4 +1,4 @@
-"""Consensus messages inside wire messages."""
+"""Encodes consensus messages as the payload of wire messages."""
 
 import msgspec
 
@@ -10,12 +10,15 @@
 
 
 def encode_consensus(message: RaftMessage) -> ConsensusMessage:
-    """Wrap a consensus message for the wire."""
+    """Return a wire message that contains an encoded consensus message."""
     return ConsensusMessage(payload=_encoder.encode(message))
 
 
 def decode_consensus(message: ConsensusMessage) -> RaftMessage | None:
-    """Unwrap a consensus message; None if its payload is damaged, which is like a lost one."""
+    """Return the consensus message in a wire message, or None if its payload is damaged.
+
+    The caller treats a damaged message like a lost one.
+    """
     try:
         return _decoder.decode(message.payload)
     except (msgspec.MsgspecError, RecursionError):
--- a/src/orchidpath/control/replica/control_effects.py
+++ b/src/orchidpath/control/replica/control_effects.py
@@ -1,7 +1,7 @@
-"""What a control replica asks the loop around it to do, beyond the consensus core's effects.
+"""Effects that a control replica returns to its loop, besides those of the consensus core.
 
-Executed strictly in list order, like :mod:`orchidpath.consensus.effects`: a message that follows a
-``Persist*`` effect leaves only after that record is synced.
+They are carried out strictly in list order, like :mod:`orchidpath.consensus.effects`: a message
+that follows a ``Persist*`` effect is sent only after that record has been synced.
 """
 
 import msgspec
@@ -17,7 +17,7 @@
 
 
 class SendToMember(msgspec.Struct, frozen=True):
-    """Send a consensus message to a control replica at its wire address; loss is allowed."""
+    """Send a consensus message to a control replica at its wire address; it may be lost."""
 
     node_id: str
     address: str
@@ -25,20 +25,20 @@
 
 
 class SendToNode(msgspec.Struct, frozen=True):
-    """Send a message over the connection that this node holds to this process."""
+    """Send a message over the connection that the node has opened to this process."""
 
     node_id: str
     message: Message
 
 
 class SendToConnected(msgspec.Struct, frozen=True):
-    """Send a message to every process of the fleet that holds a connection to this one."""
+    """Send a message to every process of the fleet that is connected to this one."""
 
     message: Message
 
 
 class UpdateAnswered(msgspec.Struct, frozen=True):
-    """The outcome of an update that this process was asked to submit under ``key``."""
+    """The outcome of a configuration update that was submitted under ``key``."""
 
     key: int
     answer: UpdateStatus
@@ -47,19 +47,19 @@
 
 
 class ReadReady(msgspec.Struct, frozen=True):
-    """A linearizable read asked for under ``key`` may run now on the applied state."""
+    """The linearizable read requested under ``key`` may run now on the applied state."""
 
     key: int
 
 
 class ReadFailed(msgspec.Struct, frozen=True):
-    """A linearizable read asked for under ``key`` cannot be answered by this process."""
+    """The linearizable read requested under ``key`` cannot be answered by this process."""
 
     key: int
 
 
 class PlanActionAnswered(msgspec.Struct, frozen=True):
-    """The outcome of an action on a plan that this process was asked to submit under ``key``."""
+    """The outcome of an action on a plan that was submitted under ``key``."""
 
     key: int
     answer: PlanActionStatus
@@ -67,7 +67,7 @@
 
 
 class SendWorkerCommand(msgspec.Struct, frozen=True):
-    """Post a command to a worker at its HTTP base address and pass its answer to the replica."""
+    """Post a command to a worker at its HTTP base URL and pass its reply to the replica."""
 
     url: str
     command: WorkerCommand
--- a/src/orchidpath/control/replica/control_replica.py
+++ b/src/orchidpath/control/replica/control_replica.py
@@ -1,8 +1,9 @@
-"""The control process's decisions: consensus, the replicated state and the leader's duties; pure.
+"""The logic of a control process: consensus, replicated state and leader duties; performs no I/O.
 
-Events come in (ticks, messages, operators' requests), typed effects go out in an order that the
-loop around keeps (:mod:`.replica_loop`). Time is a monotonic value, randomness a generator; the
-simulation drives this very module (docs/design/overview.md).
+A :class:`ControlReplica` receives events (ticks, messages, operators' requests) and returns typed
+effects, which :mod:`.replica_loop` carries out in their order. Time is passed in as a monotonic
+value and randomness as a generator, so the simulation runs this same code
+(docs/design/overview.md).
 """
 
 import random as random_module
@@ -49,22 +50,22 @@
 
 
 class ControlReplica:
-    """One control replica.
+    """One control replica, which may be a leader, follower or learner.
 
     Parameters
     ----------
     member
-        This replica as it registers itself.
+        The record with which this replica registers itself.
     raft
-        Its consensus core, already restored from disk.
+        The consensus core, already restored from disk.
     policy
-        How many voters to keep.
+        Number of voters to keep, and time-outs of voters, routers and workers.
     formation_voters
-        Voters wanted before a new fleet accepts its first update.
+        Number of voters that a new fleet needs before it accepts its first update.
     random
-        Source of jitter.
+        Random generator for jitter.
     disabled_guards
-        For tests only.
+        Safety checks of the confirmation to turn off; for tests only.
     """
 
     def __init__(
@@ -98,29 +99,29 @@
 
     @property
     def state(self) -> FleetState:
-        """The replicated state as far as it is applied here; a snapshot replaces the object."""
+        """The replicated state up to the last applied entry; a snapshot replaces the object."""
         return self._log.state
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads and has taken up a leader's duties."""
+        """Whether this replica is the leader and has started the leader duties."""
         return self.duties is not None and self.raft.role is Role.LEADER
 
     @property
     def is_member(self) -> bool:
-        """Whether this replica is in the newest membership that it knows."""
+        """Whether this replica is in the newest membership that it has received."""
         return self._memberships.is_member
 
     def has_authority(self, now: float) -> bool:
-        """Whether this leader may speak for the fleet at ``now``: it holds its lease."""
+        """Whether this replica is the leader and holds its lease at ``now``."""
         return self.is_leader and self.raft.has_lease(now)
 
     def next_deadline(self, now: float) -> float:
-        """When `tick` must be called next, if nothing else happens before."""
+        """Return the time at which `tick` must be called next, in monotonic seconds."""
         return self.raft.next_deadline(now)
 
     def tick(self, now: float) -> list[ControlEffect]:
-        """Let time pass."""
+        """Run everything that is due at ``now``."""
         self._log.tick(now)
         if self.duties is not None and self.raft.has_lease(now):
             self.duties.tick(now)
@@ -129,16 +130,16 @@
         return self._finish_turn(now)
 
     def receive(self, sender_id: str, message: Message, now: float) -> list[ControlEffect]:
-        """Take a message of another process of the fleet.
+        """Handle a message of another process of the fleet.
 
         Parameters
         ----------
         sender_id
-            Node id that the sender's connection was opened with.
+            Node id with which the sender opened its connection.
         message
             The message.
         now
-            Monotonic seconds.
+            Current time, in monotonic seconds.
         """
         match message:
             case ConsensusMessage():
@@ -160,40 +161,53 @@
         return self._finish_turn(now)
 
     def submit(self, key: int, update: SubmitConfiguration, now: float) -> list[ControlEffect]:
-        """Take an operator's update; `UpdateAnswered` with ``key`` follows, now or later."""
+        """Submit an operator's configuration update.
+
+        The answer is an `UpdateAnswered` with ``key``, among the returned effects or later ones.
+        """
         self._updates.submit(key, update, self.has_authority(now), now)
         return self._finish_turn(now)
 
     def request_plan_action(
         self, key: int, request: PlanActionRequest, now: float
     ) -> list[ControlEffect]:
-        """Take an action on a plan; `PlanActionAnswered` with ``key`` follows, now or later."""
+        """Submit an operator's action on a plan.
+
+        The answer is a `PlanActionAnswered` with ``key``, among the returned effects or later ones.
+        """
         self._plan_actions.submit(key, request, self.has_authority(now), now)
         return self._finish_turn(now)
 
     def worker_command_answered(
         self, command: WorkerCommand, reply: WorkerCommandReply | None, now: float
     ) -> list[ControlEffect]:
-        """Take a worker's answer to a command; None if there was none in time."""
+        """Handle a worker's reply to a command; ``reply`` is None if none arrived in time."""
         if self.duties is not None and reply is not None:
             self.duties.worker_command_answered(command, reply)
         return self._finish_turn(now)
 
     def read(self, key: int, now: float) -> list[ControlEffect]:
-        """Ask for a linearizable read; `ReadReady` or `ReadFailed` with ``key`` follows."""
-        self._output.emit_all(self._reads.ask(key, self.has_authority(now), now))
+        """Request a linearizable read.
+
+        The answer is a `ReadReady` or `ReadFailed` with ``key``, among the returned effects or
+        later ones.
+        """
+        self._output.emit_all(self._reads.request(key, self.has_authority(now), now))
         return self._finish_turn(now)
 
     def worker_circuits(self, now: float) -> tuple[WorkerCircuitView, ...]:
-        """Return the operators' view of the circuits; empty unless this replica leads."""
+        """Return the circuit of every worker for operators; empty unless this replica leads."""
         return self.duties.decisions.worker_circuits(now) if self.duties is not None else ()
 
     def control_members(self) -> ControlMembers:
-        """Answer who the control members are, as far as this replica knows."""
+        """Return the control members and the leader in the newest membership received here."""
         return self._memberships.control_members()
 
     def command_applied(self, applied: AppliedCommand, now: float) -> None:
-        """Follow a command that the log has brought: first as the leader, then answer for it."""
+        """Handle a command that the replicated state has applied.
+
+        The leader duties are updated first. Then the request that proposed the command is answered.
+        """
         if self.state.leader_term == self.raft.term and self.raft.role is Role.LEADER:
             self._start_duties(now)
         if self.duties is not None:
@@ -207,7 +221,11 @@
                 pass
 
     def leadership_changed(self, change: LeadershipChanged, now: float) -> None:
-        """Follow a change of this replica's role: duties begin anew, or waiting calls end."""
+        """Handle a change of this replica's role or of the leader.
+
+        A new leader proposes its first entry; its duties start when this entry has been applied. A
+        replica that does not lead drops its proposals and answers its pending requests.
+        """
         self.duties = None
         if change.role is Role.LEADER:
             self._output.propose(LeaderStarted(term=change.term))
@@ -226,7 +244,7 @@
         self.duties.receive(sender_id, message, now)
 
     def _reject(self, sender_id: str, message: Message) -> None:
-        """Tell a sender that took this replica for the leader who leads, as far as is known."""
+        """Reply to a router that sent this replica a message for the leader."""
         match message:
             case DecisionRequest():
                 self._output.send(sender_id, not_leader_reply(message, self.raft.term))
@@ -279,9 +297,9 @@
         self._output.send(sender_id, reply)
 
     def _start_duties(self, now: float) -> None:
-        """Begin to act as the leader once the first entry of this term has been applied.
+        """Start the leader duties, after the first entry of this term has been applied.
 
-        Not before: until then the state may lack entries that earlier leaders have confirmed.
+        Before that, the state may lack entries that earlier leaders have confirmed.
         """
         if self.duties is not None:
             return
@@ -294,15 +312,15 @@
             self._disabled_guards,
             self._policy.worker_lease_seconds,
         )
-        # Routers that have lost their lease need not ask around for the new leader.
+        # Routers that have lost their lease need not query other processes for the new leader.
         self._output.emit(SendToConnected(self.control_members()))
 
     def _finish_turn(self, now: float) -> list[ControlEffect]:
-        """Propose what is due, push what changed, and hand out all effects in order.
+        """Propose pending commands, push updates, and return all effects of the turn in order.
 
-        Updates are pushed only after everything proposed in this turn was appended: what a single
-        voter applies at once goes out with the same push. Confirmations come after the pushes, and
-        the log is compacted last, on a state that nothing in this turn changes any more.
+        Updates are pushed only after all commands of this turn have been appended, because a single
+        voter applies them at once and the same push can then contain them. Confirmations come after
+        the pushes. The log is compacted last, when the state no longer changes in this turn.
         """
         self._propose_pending(now)
         if self.duties is not None:
--- a/src/orchidpath/control/replica/formation.py
+++ b/src/orchidpath/control/replica/formation.py
@@ -1,9 +1,9 @@
-"""How a control process with an empty data folder finds, or forms, its fleet.
+"""Decides whether a control process with an empty data folder may form a new fleet.
 
-A new fleet is formed only by the first of ``formation_members`` that has a disk, and only if every
-other one of them answers that it belongs to none. So a machine that lost its disk never forms a
-second fleet beside its own: the others, which belong to the first, say so
-(docs/design/control-state.md).
+Only the first process of ``formation_members`` that may vote (has a disk) forms a new fleet, and
+only if every other one of them replies that it belongs to no fleet. A machine that has lost its
+disk therefore never forms a second fleet beside its own, because the other processes reply with the
+members of the existing fleet (docs/design/control-state.md).
 """
 
 import asyncio
@@ -18,22 +18,22 @@
 from orchidpath.wire.messages import ControlMembers, Hello, Message, ProcessRole, WhoIsControl
 
 ANSWER_TIMEOUT_SECONDS = 1.0
-"""Bound on asking one process who the control members are."""
+"""Time-out of a query for the control members, once to connect and once for the reply."""
 
 
 class NoAnswerError(OrchidpathError):
-    """A process did not say who the control members are in time."""
+    """A process could not be reached or did not report the control members in time."""
 
 
 async def query_control_members(
     address: str, hello: Hello, faults: LinkFaults | None = None
 ) -> ControlMembers:
-    """Ask one process who the control members are.
+    """Query one process for the control members.
 
     Raises
     ------
     NoAnswerError
-        It is not there, or does not answer in time.
+        The process cannot be reached or does not reply in time.
     """
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[ControlMembers] = loop.create_future()
@@ -42,11 +42,12 @@
         if isinstance(message, ControlMembers) and not answer.done():
             answer.set_result(message)
 
-    # As a tool, so that the asked process does not take this for its lasting connection.
-    asking = msgspec.structs.replace(hello, role=ProcessRole.TOOL)
+    # With the role of a tool, so that the queried process does not treat this short connection as
+    # the permanent connection of this node.
+    tool_hello = msgspec.structs.replace(hello, role=ProcessRole.TOOL)
     try:
         connection = await connect(
-            address, asking, on_message, ANSWER_TIMEOUT_SECONDS, faults=faults
+            address, tool_hello, on_message, ANSWER_TIMEOUT_SECONDS, faults=faults
         )
     except OrchidpathError as error:
         raise NoAnswerError(f"{address}: {error}") from error
@@ -55,7 +56,7 @@
         async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
             return await answer
     except TimeoutError as error:
-        raise NoAnswerError(f"{address} did not answer in time") from error
+        raise NoAnswerError(f"{address} did not report the control members in time") from error
     finally:
         connection.close()
 
@@ -66,7 +67,7 @@
     hello: Hello,
     faults: LinkFaults | None = None,
 ) -> bool:
-    """Whether this process, whose folder is empty, is to form a new fleet now.
+    """Return whether this process, whose data folder is empty, may form a new fleet now.
 
     Parameters
     ----------
@@ -75,9 +76,9 @@
     formation_members
         Wire addresses of the control processes of a new fleet, in the order of the settings.
     hello
-        What this process says of itself.
+        The handshake of this process.
     faults
-        Injected faults, for tests.
+        Injected link faults; for tests only.
     """
     if own_address not in formation_members:
         return False
--- a/src/orchidpath/control/replica/leader_forwarding.py
+++ b/src/orchidpath/control/replica/leader_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that another control process forwarded to this one, and their answers; pure."""
+"""Routes answers of forwarded requests back to the control process they came from; no I/O."""
 
 from typing import NamedTuple
 
@@ -12,29 +12,32 @@
 
 
 class _Origin(NamedTuple):
-    """Who forwarded a request, and the correlation that its reply must bear."""
+    """The node that forwarded a request, and the correlation id of its reply."""
 
     node_id: str
     correlation: int
 
 
 class ForwardedRequests:
-    """Gives forwarded requests keys of their own and turns their outcomes into replies."""
+    """Assigns keys to forwarded requests and converts their outcomes into replies."""
 
     def __init__(self) -> None:
         self._origins: dict[int, _Origin] = {}
-        # Below 0, so that they differ from the keys of requests that came to this process itself.
+        # Negative, so that the keys differ from those of requests submitted to this process itself.
         self._next_key = -1
 
     def key_for(self, sender_id: str, correlation: int) -> int:
-        """Return a key whose outcome goes back to the process that forwarded the request."""
+        """Return a new key for a request; its outcome is sent to the process that forwarded it."""
         key = self._next_key
         self._next_key -= 1
         self._origins[key] = _Origin(sender_id, correlation)
         return key
 
     def routed(self, effect: ControlEffect) -> ControlEffect:
-        """Return the reply to send in place of the outcome of a forwarded request."""
+        """Return the reply to send if an effect is the outcome of a forwarded request.
+
+        Every other effect is returned unchanged.
+        """
         if not isinstance(effect, UpdateAnswered | PlanActionAnswered):
             return effect
         origin = self._origins.pop(effect.key, None)
--- a/src/orchidpath/control/replica/membership_changes.py
+++ b/src/orchidpath/control/replica/membership_changes.py
@@ -1,4 +1,4 @@
-"""The control membership as a replica sees it, and its changes while it leads; pure."""
+"""Reports the control membership and, on a leader, proposes changes to it; performs no I/O."""
 
 from orchidpath.consensus.errors import MembershipChangeError, NotLeaderError
 from orchidpath.consensus.types import Membership
@@ -11,18 +11,18 @@
 
 
 class MembershipChanges:
-    """Answers who the members are, and proposes what the member manager names.
+    """Reports the control members and proposes the changes that the member manager chooses.
 
     Parameters
     ----------
     member
-        This replica as it registers itself.
+        The record with which this replica registers itself.
     policy
-        How many voters to keep.
+        Number of voters to keep, and time-outs.
     log
         The replicated log.
     output
-        Where proposals go.
+        Collects the proposals.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether this replica is in the newest membership that it knows."""
+        """Whether this replica is in the newest membership that it has received."""
         return self._member.node_id in self._log.raft.membership.members()
 
     def control_members(self) -> ControlMembers:
-        """Answer who the control members are, as far as this replica knows."""
+        """Return the control members and the leader in the newest membership received here."""
         raft = self._log.raft
         registered = {member.node_id: member for member in self._log.state.control_members()}
         members = tuple(
@@ -59,17 +59,17 @@
         )
 
     def leadership_started(self, now: float) -> None:
-        """Begin to lead: silence counts from now, and this replica registers itself."""
+        """Restart all time-outs and register this replica, at the start of its leadership."""
         self._manager = MemberManager(self._policy, now)
         self._output.propose(RegisterControlMember(member=self._member))
 
     def join_requested(self, member: ControlMember) -> None:
-        """Note a replica that wants to become a learner."""
+        """Record that a replica requests to join as a learner, and register it."""
         self._manager.join_requested(member.node_id, member.address)
         self._output.propose(RegisterControlMember(member=member))
 
     def propose_next(self, now: float) -> None:
-        """Propose the next membership change, if there is one and it is safe."""
+        """Propose the next membership change if one is necessary and safe."""
         change = self._manager.next_change(
             self._member.node_id,
             self._log.raft.membership,
@@ -83,15 +83,15 @@
         try:
             self._log.propose_membership(change, now)
         except (MembershipChangeError, NotLeaderError):
-            return  # not safe yet; the same change is named again on a later tick
+            return  # The change is not safe yet; a later tick proposes it again.
 
     def _standbys(self) -> frozenset[str]:
-        """Return the replicas without a disk, which never vote."""
+        """Return the node ids of the replicas without a disk, which never vote."""
         members = self._log.state.control_members()
         return frozenset(member.node_id for member in members if not member.may_vote)
 
     def _unregister_removed(self) -> None:
-        """Take replicas that are no longer members off the list that operators see."""
+        """Unregister replicas that are no longer members, so that operators do not see them."""
         raft = self._log.raft
         if not raft.membership_committed:
             return
@@ -104,7 +104,7 @@
 def _member_of(
     node_id: str, membership: Membership, registered: ControlMember | None
 ) -> ControlMember:
-    """Return a member as the membership has it, with what it registered of itself."""
+    """Return a member of the membership, completed from its registration."""
     return ControlMember(
         node_id=node_id,
         address=membership.addresses.get(node_id, ""),
--- a/src/orchidpath/control/replica/pending_plan_actions.py
+++ b/src/orchidpath/control/replica/pending_plan_actions.py
@@ -1,7 +1,7 @@
-"""Operators' actions on plans on their way through the log until they are answered; pure.
+"""Operators' actions on plans from their proposal until their answer; performs no I/O.
 
-Every action goes through the log, rejections included, so that its id always gets its first outcome
-(docs/design/plans.md, "Orders about plans").
+A leader appends every action to the log, even one that will be refused, so that a repeated action
+with the same ``order_id`` always gets the outcome of the first (docs/design/plans.md).
 """
 
 import msgspec
@@ -28,26 +28,26 @@
 
 
 class PendingPlanActions:
-    """Actions on plans that this replica has proposed and not answered yet."""
+    """Actions on plans that this replica has proposed but not answered yet."""
 
     def __init__(self) -> None:
         self._proposed: dict[int, _Proposed] = {}
 
     def rejected(self, key: int) -> PlanActionAnswered:
-        """Answer an action that was never proposed."""
+        """Return the answer to an action that this process cannot propose, as it does not lead."""
         return PlanActionAnswered(key, PlanActionStatus.REJECTED, "this process does not lead")
 
     def proposed(self, key: int, index: int, term: int) -> None:
-        """Follow an action that was proposed at a log index."""
+        """Record that an action was proposed at a log index in a term."""
         self._proposed[index] = _Proposed(key, term)
 
     def applied(self, entry: LogEntry, result: PlanResult) -> list[PlanActionAnswered]:
-        """Take the outcome of the action at a log entry."""
+        """Return the answer to the action that was proposed at the index of an applied entry."""
         proposed = self._proposed.pop(entry.index, None)
         if proposed is None:
             return []
         if proposed.term != entry.term:
-            # Another leader's entry took this index, so the action never will be in the log.
+            # The entry at this index is another leader's, so the action can never be committed.
             return [
                 PlanActionAnswered(proposed.key, PlanActionStatus.REJECTED, "leadership was lost")
             ]
@@ -55,7 +55,7 @@
         return [PlanActionAnswered(proposed.key, answer, result.reason)]
 
     def leadership_lost(self) -> list[PlanActionAnswered]:
-        """Answer everything at once: a follower cannot tell what becomes of it."""
+        """Return an answer to every pending action: a follower cannot determine its outcome."""
         answers = [
             PlanActionAnswered(action.key, PlanActionStatus.UNKNOWN, "leadership was lost")
             for action in self._proposed.values()
@@ -65,7 +65,7 @@
 
 
 def plan_command(request: PlanActionRequest, state: FleetState) -> PlanActionCommand:
-    """Return the command that an action on a plan puts into the log."""
+    """Return the command to append to the log for an action on a plan."""
     match request.action:
         case PlanAction.CONFIRM:
             plan = _plan_of_id(request.plan_id, state)
@@ -79,8 +79,8 @@
 
 
 def _plan_of_id(plan_id: str, state: FleetState) -> Plan | None:
-    """Return the plan that would be made now if it has this id."""
+    """Return the plan that the planner makes for the present state if it has this id, or None."""
     if state.plan is not None and state.plan.active:
-        return None  # rejected whatever it is, so it need not be computed
+        return None  # The state refuses any plan while one is active: skip the computation.
     plan = make_preview(state.view()).plan
     return plan if plan.steps and plan.plan_id == plan_id else None
--- a/src/orchidpath/control/replica/pending_reads.py
+++ b/src/orchidpath/control/replica/pending_reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads that wait for their leader to be confirmed; pure."""
+"""Linearizable reads that wait for a confirmation of the leadership; performs no I/O."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 from orchidpath.control.replica.control_effects import ReadFailed, ReadReady
 
 READ_WAIT_SECONDS = 1.0
-"""A linearizable read that is not ready after this long has failed."""
+"""A linearizable read that is not ready after this time fails."""
 
 
 class _PendingRead(msgspec.Struct, frozen=True):
@@ -17,7 +17,7 @@
 
 
 class PendingReads:
-    """Reads asked for at this replica and not answered yet.
+    """Linearizable reads that were requested at this replica and are not answered yet.
 
     Parameters
     ----------
@@ -29,8 +29,11 @@
         self._raft = raft
         self._waiting: list[_PendingRead] = []
 
-    def ask(self, key: int, has_authority: bool, now: float) -> list[ReadReady | ReadFailed]:
-        """Ask for a read; without an answer at once, one comes from `finish`."""
+    def request(self, key: int, has_authority: bool, now: float) -> list[ReadReady | ReadFailed]:
+        """Request a read and return its answer if it can be given at once.
+
+        Otherwise the list is empty and a later `finish` returns the answer.
+        """
         if has_authority:
             return [ReadReady(key)]
         try:
@@ -40,7 +43,7 @@
         return []
 
     def finish(self, is_leader: bool, now: float) -> list[ReadReady | ReadFailed]:
-        """Answer every read that is ready, or can't become so."""
+        """Return the answer of every read that is ready, has failed or has timed out."""
         answers: list[ReadReady | ReadFailed] = []
         waiting, self._waiting = self._waiting, []
         for pending in waiting:
--- a/src/orchidpath/control/replica/pending_updates.py
+++ b/src/orchidpath/control/replica/pending_updates.py
@@ -1,7 +1,7 @@
-"""Operators' updates on their way through the log until they are answered; pure.
+"""Operators' configuration updates from their proposal until their answer; performs no I/O.
 
-An update is answered ``confirmed`` only when its revision is obeyed by every serving router, and
-it is durable on every voter that the leader hears or a bounded wait for that is over
+An update is answered ``confirmed`` only when every serving router has applied its revision and the
+update is durable on every voter with a recent contact, or ``DURABLE_WAIT_SECONDS`` have passed
 (docs/design/control-state.md).
 """
 
@@ -13,10 +13,10 @@
 from orchidpath.wire.messages import UpdateStatus
 
 CONFIRM_WAIT_SECONDS = 5.0
-"""After this long an accepted update is answered as accepted, not confirmed."""
+"""After this time an accepted update is answered as accepted, not confirmed."""
 
 DURABLE_WAIT_SECONDS = 0.5
-"""How long a slow voter that is heard is waited for, beyond the majority that has the update."""
+"""Longest wait for slow but reachable voters, after a majority has stored the update."""
 
 
 class _Proposed(msgspec.Struct, frozen=True):
@@ -35,29 +35,32 @@
 
 
 class PendingUpdates:
-    """Updates that this replica has proposed and not answered yet."""
+    """Updates that this replica has proposed but not answered yet."""
 
     def __init__(self) -> None:
         self._proposed: dict[int, _Proposed] = {}
         self._accepted: list[_Accepted] = []
 
     def rejected(self, key: int, reason: str) -> UpdateAnswered:
-        """Answer an update that was never proposed."""
+        """Return the answer to an update that was not proposed or not committed."""
         return UpdateAnswered(key, UpdateStatus.REJECTED, reason=reason)
 
     def proposed(self, key: int, index: int, term: int, now: float) -> None:
-        """Follow an update that was proposed at a log index."""
+        """Record that an update was proposed at a log index in a term."""
         self._proposed[index] = _Proposed(key, index, term, now)
 
     def applied(
         self, entry: LogEntry, result: UpdateResult, revision: int, now: float
     ) -> list[UpdateAnswered]:
-        """Take the outcome of the update at a log entry."""
+        """Return the answer to the update that was proposed at the index of an applied entry.
+
+        The answer to an accepted update is returned later, by `confirm` or `leadership_lost`.
+        """
         proposed = self._proposed.pop(entry.index, None)
         if proposed is None:
             return []
         if proposed.term != entry.term:
-            # Another leader's entry took this index, so the update never will be in the log.
+            # The entry at this index is another leader's, so the update can never be committed.
             return [self.rejected(proposed.key, "another leader took over")]
         outcome = result.outcome
         if isinstance(outcome, UpdateAccepted):
@@ -72,16 +75,16 @@
     def confirm(
         self, confirmed_revision: int, durable_index: int, now: float
     ) -> list[UpdateAnswered]:
-        """Answer every update that is confirmed, or has waited long enough.
+        """Return the answer to every update that is confirmed or whose waiting time is over.
 
         Parameters
         ----------
         confirmed_revision
-            Newest revision in force at every serving router.
+            Newest revision that every serving router has applied.
         durable_index
-            Last log index durable on every voter that is heard.
+            Last log index that is durable on every voter with a recent contact.
         now
-            Monotonic seconds.
+            Current time, in monotonic seconds.
         """
         answers = []
         waiting = []
@@ -100,7 +103,7 @@
         return answers
 
     def leadership_lost(self) -> list[UpdateAnswered]:
-        """Answer everything at once: a follower cannot tell what becomes of it."""
+        """Return an answer to every pending update: a follower cannot determine its outcome."""
         answers = [
             UpdateAnswered(update.key, UpdateStatus.UNKNOWN, reason="leadership was lost")
             for update in self._proposed.values()
--- a/src/orchidpath/control/replica/plan_actions.py
+++ b/src/orchidpath/control/replica/plan_actions.py
@@ -1,4 +1,4 @@
-"""Operators' actions on plans on a leader: proposed, followed, answered; pure."""
+"""Proposes operators' actions on plans on a leader and answers them; performs no I/O."""
 
 from orchidpath.consensus.errors import NotLeaderError
 from orchidpath.consensus.types import LogEntry
@@ -17,7 +17,7 @@
     log
         The replicated log.
     output
-        Where answers go.
+        Collects the answers.
     """
 
     def __init__(self, log: ReplicatedLog, output: ControlOutput) -> None:
@@ -26,7 +26,7 @@
         self._pending = PendingPlanActions()
 
     def submit(self, key: int, request: PlanActionRequest, has_authority: bool, now: float) -> None:
-        """Propose an action; its answer under ``key`` follows, now or later."""
+        """Propose an action; its answer is emitted under ``key``, at once or later."""
         if not has_authority:
             self._output.emit(self._pending.rejected(key))
             return
@@ -44,5 +44,5 @@
         self._output.emit_all(self._pending.applied(entry, result))
 
     def leadership_lost(self) -> None:
-        """Answer everything at once: a follower cannot tell what becomes of it."""
+        """Answer all pending actions, because a follower cannot determine their outcome."""
         self._output.emit_all(self._pending.leadership_lost())
--- a/src/orchidpath/control/replica/replica_loop.py
+++ b/src/orchidpath/control/replica/replica_loop.py
@@ -1,9 +1,9 @@
-"""Drives a control replica: takes events, syncs what must be synced, then runs the effects.
+"""The event loop of a control replica: handles events, syncs records, then runs the other effects.
 
-The order in here is what "synced before any answer" rests on. Events that came in while a sync was
-running are taken together (group commit): all their records are synced first, then all their other
-effects run in the order in which the replica gave them. Moving a record before a message that
-preceded it is always safe; the reverse never is, and does not happen.
+This order guarantees that a record is synced before any reply that depends on it. Events that
+arrived during a sync are handled together (group commit): all their records are synced first, then
+all their other effects run in the order in which the replica returned them. To sync a record before
+a message that preceded it is always safe. The reverse is never safe, and does not happen.
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 from orchidpath.control.replica.control_replica import ControlReplica
 
 ReplicaEvent = Callable[[float], list[ControlEffect]]
-"""One call of the replica, given the time at which it is made."""
+"""A call of the replica that takes the current time and returns the effects."""
 
 MAX_EVENTS_PER_TURN = 256
-"""Events taken in one turn; bounds how long a turn keeps the event loop."""
+"""Most events handled in one turn, to bound the time that a turn blocks the event loop."""
 
 
 class ReplicaLoop:
@@ -29,15 +29,15 @@
     Parameters
     ----------
     replica
-        The decisions.
+        The replica.
     storage
-        Where its records are kept.
+        Stores the replica's records.
     clock
         Monotonic clock.
     execute
         Runs one effect that is not a record; must not block.
     on_sync
-        Told how many seconds each turn's sync took.
+        Called with the duration of each turn's sync, in seconds.
     """
 
     def __init__(
@@ -58,18 +58,18 @@
         self._turn_ended = asyncio.Event()
 
     def restart(self, replica: ControlReplica, storage: LogStorage) -> None:
-        """Go on with a replica restored from storage; events for the old one are dropped."""
+        """Continue with a replica restored from storage; events for the old replica are dropped."""
         self.replica = replica
         self._storage = storage
         self._events.clear()
 
     async def wait_until_applied(self, index: int) -> None:
-        """Wait until the replica has applied the log up to ``index``."""
+        """Wait until the replica has applied all log entries up to ``index``."""
         while self.replica.raft.applied_index < index:
             await self._turn_ended.wait()
 
     def post(self, event: ReplicaEvent) -> None:
-        """Queue a call of the replica; it runs soon, in order."""
+        """Queue a call of the replica; calls run in the order of their posting."""
         self._events.append(event)
         self._wake.set()
 
@@ -79,14 +79,14 @@
         Raises
         ------
         ConsensusError
-            The disk failed or the log is contradicted: this replica must stop.
+            The disk failed or the log is inconsistent; the replica must stop.
         """
         while True:
             await self.run_once()
             await self._sleep_until_due()
 
     async def run_once(self) -> None:
-        """Take the waiting events and a tick, sync their records, and run their effects."""
+        """Handle the queued events and a tick, sync their records, and run their other effects."""
         events = self._events[:MAX_EVENTS_PER_TURN]
         del self._events[:MAX_EVENTS_PER_TURN]
         effects: list[ControlEffect] = []
@@ -132,17 +132,23 @@
 
 
 def is_record(effect: ControlEffect) -> bool:
-    """Whether an effect is a record to be synced."""
+    """Whether an effect is a record that must be synced."""
     return isinstance(effect, PersistHardState | PersistEntries | PersistSnapshot)
 
 
 def merge_records(effects: Iterable[ControlEffect]) -> list[PersistEffect]:
-    """Join runs of appended entries so that each run costs one sync."""
+    """Merge consecutive appends into one record, so that each run of appends costs one sync.
+
+    Raises
+    ------
+    ConsensusError
+        An effect is not a record.
+    """
     merged: list[PersistEffect] = []
     for effect in effects:
         previous = merged[-1] if merged else None
         if not isinstance(effect, PersistHardState | PersistEntries | PersistSnapshot):
-            raise ConsensusError(f"{type(effect).__name__} is not a record")
+            raise ConsensusError(f"{type(effect).__name__} is not a record that can be synced")
         if (
             isinstance(effect, PersistEntries)
             and isinstance(previous, PersistEntries)
--- a/src/orchidpath/control/replica/replicated_log.py
+++ b/src/orchidpath/control/replica/replicated_log.py
@@ -1,7 +1,8 @@
-"""The replicated log of one replica: consensus, the state it is applied to, and its effects; pure.
+"""The replicated log of one replica and the state that it is applied to; performs no I/O.
 
-Effects of the consensus core leave in the order in which it gave them: what must be synced before
-a message comes before it (:mod:`orchidpath.consensus.effects`).
+Effects of the consensus core are emitted in the order in which the core returned them: a record
+that must be synced before a message is sent precedes that message
+(:mod:`orchidpath.consensus.effects`).
 """
 
 from collections.abc import Sequence
@@ -31,7 +32,7 @@
 
 
 class AppliedCommand(msgspec.Struct, frozen=True):
-    """A command that the state has applied, and the state's revision before it."""
+    """A command that the state has applied, and the revision of the state before it."""
 
     entry: LogEntry
     outcome: Outcome
@@ -39,17 +40,17 @@
 
 
 class LogListener(Protocol):
-    """Told what the log brings, in its order."""
+    """Receives the events of a replicated log, in their order."""
 
     def command_applied(self, applied: AppliedCommand, now: float) -> None:
-        """Follow a command that the state has just applied."""
+        """Handle a command that the state has just applied."""
 
     def leadership_changed(self, change: LeadershipChanged, now: float) -> None:
-        """Follow a change of this replica's role or of the leader it knows."""
+        """Handle a change of this replica's role or of the leader that it follows."""
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """A command appended to the leader's log, whose effects have not been run yet."""
+    """A command that the leader has appended to its log, and the effects that are still to run."""
 
     index: int
     term: int
@@ -57,16 +58,16 @@
 
 
 class ReplicatedLog:
-    """Runs the consensus core and applies what it commits.
+    """Runs the consensus core and applies the committed entries to the state.
 
     Parameters
     ----------
     raft
         The consensus core, already restored from disk.
     output
-        Where effects go.
+        Collects the effects.
     listener
-        Told of applied commands and of leadership.
+        Receives applied commands and changes of leadership.
     """
 
     def __init__(self, raft: RaftCore, output: ControlOutput, listener: LogListener) -> None:
@@ -76,35 +77,36 @@
         self._listener = listener
 
     def tick(self, now: float) -> None:
-        """Let time pass for the consensus core."""
+        """Run what is due in the consensus core at ``now``."""
         self.run(self.raft.tick(now), now)
 
     def receive(self, message: ConsensusMessage, now: float) -> None:
-        """Take another replica's consensus message; a damaged one is like a lost one."""
+        """Handle a consensus message of another replica; a damaged message is dropped."""
         decoded = decode_consensus(message)
         if decoded is not None:
             self.run(self.raft.receive(decoded, now), now)
 
     def append(self, command: Command, now: float) -> Proposal:
-        """Append one command; the caller runs the proposal's effects once it follows the index.
+        """Append one command and return it with the effects that the caller must `run`.
 
-        A fleet of a single voter commits and applies the command while the effects run.
+        The caller first registers the returned index as pending. With a single voter, the command
+        is committed and applied while the effects run.
 
         Raises
         ------
         NotLeaderError
-            This replica does not lead.
+            This replica is not the leader.
         """
         indexes, effects = self.raft.propose([encode_command(command)], now)
         return Proposal(indexes[0], self.raft.term, effects)
 
     def propose(self, commands: Sequence[Command], now: float) -> None:
-        """Append commands whose outcome nobody waits for.
+        """Append commands whose outcome no caller waits for.
 
         Raises
         ------
         NotLeaderError
-            This replica does not lead.
+            This replica is not the leader.
         """
         payloads = [encode_command(command) for command in commands]
         _, effects = self.raft.propose(payloads, now)
@@ -118,13 +120,13 @@
         MembershipChangeError
             The change is not safe yet.
         NotLeaderError
-            This replica does not lead.
+            This replica is not the leader.
         """
         _, effects = self.raft.propose_membership(membership, now)
         self.run(effects, now)
 
     def compact(self, now: float) -> None:
-        """Replace the log's beginning by a snapshot of the state, if that is due."""
+        """Replace the applied entries of the log by a snapshot of the state if that is due."""
         is_behind_snapshot = self.state.applied_index <= self.raft.snapshot_index
         if not self.raft.compaction_due() or is_behind_snapshot:
             return
@@ -132,7 +134,7 @@
         self.run(effects, now)
 
     def run(self, effects: Sequence[Effect], now: float) -> None:
-        """Run effects of the consensus core in their order."""
+        """Carry out effects of the consensus core in their order."""
         for effect in effects:
             match effect:
                 case PersistHardState() | PersistEntries() | PersistSnapshot():
