--- a/tests/control/leadership_builders.py
+++ b/tests/control/leadership_builders.py
@@ -1,4 +1,4 @@
-"""Builders of records and messages, shared by the tests of the leader's duties."""
+"""Builders of records and messages that the tests of the leader duties share."""
 
 from orchidpath.control.replica.control_effects import SendToNode
 from orchidpath.control.replica.control_output import ControlOutput
@@ -9,12 +9,15 @@
 
 
 def apply_command(state: FleetState, command: Command) -> None:
-    """Apply a command as the next entry of the log."""
+    """Apply a command to the state as the next log entry."""
     state.apply(state.applied_index + 1, encode_command(command))
 
 
 def sent_messages(output: ControlOutput) -> list[tuple[str, Message]]:
-    """Take the effects of an output, all of which send a message to a node."""
+    """Take all effects of an output, each of which must send a message to a node.
+
+    Returns node ids and messages, in the order of the effects.
+    """
     messages: list[tuple[str, Message]] = []
     for effect in output.take_effects():
         assert isinstance(effect, SendToNode)
@@ -23,14 +26,14 @@
 
 
 def router_record(router_id: str = "r1") -> RouterRecord:
-    """Return a router as it registers itself."""
+    """Return the record with which a router registers itself."""
     return RouterRecord(router_id=router_id, address=f"{router_id}:1", http_address="h:1")
 
 
 def router_heartbeat(
     router_id: str = "r1", adopted_revision: int = 0, sequence: int = 1
 ) -> RouterHeartbeat:
-    """Return a router's heartbeat."""
+    """Return a heartbeat of the first incarnation of a router."""
     return RouterHeartbeat(
         record=router_record(router_id),
         incarnation="first",
@@ -41,7 +44,7 @@
 
 
 def worker_record(worker_id: str = "w1", incarnation: str = "first") -> WorkerRecord:
-    """Return a worker as it announces itself."""
+    """Return the record that a prefill worker announces."""
     return WorkerRecord(
         worker_id=worker_id,
         incarnation=incarnation,
--- a/tests/control/stage_builders.py
+++ b/tests/control/stage_builders.py
@@ -1,4 +1,4 @@
-"""Builders shared by the tests of stage changes: one service with a decode share, its workers."""
+"""Builders for the tests of stage changes: a service with a decode share, and its workers."""
 
 from update_builders import configuration_update
 
@@ -11,7 +11,7 @@
 
 
 def split_configuration() -> SubmitConfiguration:
-    """Return the first configuration: a fifth of the workers decode, two at least."""
+    """Return the first update: a fifth of the workers decode, but at least two of them."""
     service = Service(
         name=SERVICE,
         kind=ServiceKind.MODEL,
@@ -23,7 +23,7 @@
 
 
 def model_worker(worker_id: str, incarnation: str, stage: Stage) -> WorkerRecord:
-    """Return a worker of the service."""
+    """Return a worker of the service ``SERVICE`` that serves its model."""
     return WorkerRecord(
         worker_id=worker_id,
         incarnation=incarnation,
--- a/tests/control/test_attempt_decisions.py
+++ b/tests/control/test_attempt_decisions.py
@@ -1,4 +1,4 @@
-"""A leader decides attempts, counts reports and follows applied transitions."""
+"""A leader decides attempts, acknowledges reports and adopts committed workers."""
 
 from random import Random
 
--- a/tests/control/test_circuits_publisher.py
+++ b/tests/control/test_circuits_publisher.py
@@ -1,4 +1,4 @@
-"""A leader pushes the circuits to connected routers: after changes, and periodically."""
+"""A leader pushes the circuits to its routers after changes, and periodically."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
 
 
 class Leadership:
-    """The circuits publisher of one leadership that hears two routers."""
+    """The circuits publisher of one leadership with two routers."""
 
     def __init__(self) -> None:
         self.output = ControlOutput()
--- a/tests/control/test_control_output.py
+++ b/tests/control/test_control_output.py
@@ -1,4 +1,4 @@
-"""Effects and proposals are taken from an output once, in the order of their insertion."""
+"""Effects and proposals are taken from an output once, in the order in which they were added."""
 
 from orchidpath.control.replica.control_effects import ReadFailed, ReadReady, SendToNode
 from orchidpath.control.replica.control_output import ControlOutput
--- a/tests/control/test_control_replica.py
+++ b/tests/control/test_control_replica.py
@@ -1,4 +1,4 @@
-"""A control replica: updates with and without authority, and undecodable messages."""
+"""A control replica: updates to a leader and to a follower, and undecodable messages."""
 
 import random
 from collections.abc import Sequence
@@ -33,7 +33,7 @@
 
 
 def leading_replica(formation_voters: int = 1) -> ControlReplica:
-    """Return the only control replica of a fleet, which is leader at ``NOW``."""
+    """Return the only control replica of a fleet, which holds its leader lease at ``NOW``."""
     replica = new_replica(formation_voters)
     for step in range(1, round(NOW / TICK) + 1):
         replica.tick(step * TICK)
--- a/tests/control/test_leader_duties.py
+++ b/tests/control/test_leader_duties.py
@@ -1,4 +1,4 @@
-"""Leader duties: a fixed order within a tick, and dispatch of messages to their duty."""
+"""Leader duties run in a fixed order within a tick, and each message reaches its duty."""
 
 from random import Random
 
--- a/tests/control/test_member_manager.py
+++ b/tests/control/test_member_manager.py
@@ -1,4 +1,4 @@
-"""Which control replicas vote: a standby is promoted before a lost voter is removed."""
+"""The member manager keeps the number of voters, and promotes before it removes."""
 
 from collections.abc import Set
 
@@ -31,9 +31,9 @@
     unreachable: Set[str] = frozenset(),
     now: float = 100.0,
 ) -> Membership:
-    wanted = change_or_none(manager, membership, unreachable, now)
-    assert wanted is not None
-    return wanted
+    next_membership = change_or_none(manager, membership, unreachable, now)
+    assert next_membership is not None
+    return next_membership
 
 
 def test_a_complete_membership_is_unchanged() -> None:
@@ -90,7 +90,7 @@
 
 
 def test_a_voter_whose_address_belongs_to_another_replica_is_replaced_at_once() -> None:
-    """Its machine restarted with an empty disk; a second loss may follow within seconds."""
+    """The machine restarted with an empty disk, and another voter may be lost within seconds."""
     wiped = Membership(("a", "b", "c"), ("c2",), {**ADDRESSES, "c2": "c:1"})
     manager = MemberManager(POLICY, 0.0)
     promoted = change(manager, wiped, unreachable={"c"}, now=1.0)
@@ -108,10 +108,10 @@
     lost = Membership(("a", "b", "c"), ("d",), ADDRESSES)
     manager = MemberManager(POLICY, 0.0)
     standbys = frozenset({"d"})
-    wanted = manager.next_change(
+    next_membership = manager.next_change(
         "a", lost, lambda node: 0.0 if node == "c" else 100.0, 100.0, standbys
     )
-    assert wanted is None
+    assert next_membership is None
 
 
 def test_an_unreachable_learner_whose_address_belongs_to_another_replica_is_removed_early() -> None:
--- a/tests/control/test_plan_actions.py
+++ b/tests/control/test_plan_actions.py
@@ -1,4 +1,4 @@
-"""Actions on plans in a control replica: here and forwarded, accepted, rejected and lost."""
+"""A control replica answers actions on plans, both its own and forwarded ones."""
 
 import random
 
@@ -38,7 +38,7 @@
 
 
 class SingleControlFleet:
-    """A fleet with a single control replica, and workers that execute each command at once."""
+    """A fleet with a single control replica, whose workers execute each command at once."""
 
     def __init__(self) -> None:
         self.now = 10.0
@@ -62,11 +62,11 @@
         for _ in range(round(seconds / STEP_SECONDS)):
             self.now += STEP_SECONDS
             self.announce()
-            found = self.replica.tick(self.now)
-            for effect in found:
+            tick_effects = self.replica.tick(self.now)
+            for effect in tick_effects:
                 if isinstance(effect, SendWorkerCommand):
                     self.execute(effect.command)
-            effects += found
+            effects += tick_effects
         return effects
 
     def announce(self) -> None:
--- a/tests/control/test_router_leases.py
+++ b/tests/control/test_router_leases.py
@@ -1,4 +1,4 @@
-"""A leader renews the leases of routers, registers new ones and removes unreachable ones."""
+"""A leader renews router leases, registers new routers and removes unreachable routers."""
 
 import pytest
 from leadership_builders import (
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -1,4 +1,4 @@
-"""Stage changes by the leader: cordon, command, uncordon; at most one leader at a time."""
+"""A leader changes the stage of a worker in three steps: cordon, command, uncordon."""
 
 import msgspec
 from stage_builders import model_worker, split_configuration
@@ -26,8 +26,8 @@
 STEP_SECONDS = 0.25
 
 
-class World:
-    """A replicated state, the balancer of one leader, and workers that execute on request."""
+class BalancerFixture:
+    """A replicated state, the balancer of one leadership, and workers that execute on request."""
 
     def __init__(self, prefill: int, decode: int) -> None:
         self.state = FleetState()
@@ -77,83 +77,84 @@
 
 
 def test_surplus_workers_are_cordoned_commanded_and_uncordoned() -> None:
-    world = World(prefill=4, decode=5)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert len(world.cordoned()) == 3
-    assert sorted({command.worker_id for command in world.commands}) == sorted(world.cordoned())
-    for command in list(world.commands):
-        world.execute(command)
-    world.run(1.0)
-    assert world.cordoned() == []
-    stages = [worker.stage for worker in world.state.workers()]
+    fixture = BalancerFixture(prefill=4, decode=5)
+    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert len(fixture.cordoned()) == 3
+    assert sorted({command.worker_id for command in fixture.commands}) == sorted(fixture.cordoned())
+    for command in list(fixture.commands):
+        fixture.execute(command)
+    fixture.run(1.0)
+    assert fixture.cordoned() == []
+    stages = [worker.stage for worker in fixture.state.workers()]
     assert stages.count(Stage.DECODE) == 2
 
 
 def test_a_new_leader_sends_no_command_while_an_earlier_one_may_be_in_transit() -> None:
-    world = World(prefill=4, decode=5)
-    world.run(TAKEOVER_SECONDS - STEP_SECONDS)
-    assert world.cordoned() == []
-    assert world.commands == []
+    fixture = BalancerFixture(prefill=4, decode=5)
+    fixture.run(TAKEOVER_SECONDS - STEP_SECONDS)
+    assert fixture.cordoned() == []
+    assert fixture.commands == []
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed() -> None:
-    world = World(prefill=4, decode=5)
-    world.confirms = False
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert world.cordoned()
-    assert world.commands == []
+    """The run ends within ``CORDON_SECONDS``, after which a command is sent in any case."""
+    fixture = BalancerFixture(prefill=4, decode=5)
+    fixture.confirms = False
+    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert fixture.cordoned()
+    assert fixture.commands == []
 
 
 def test_a_command_without_a_reply_is_repeated_in_the_same_term() -> None:
-    world = World(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0 + 2 * COMMAND_REPEAT_SECONDS)
-    assert len(world.commands) >= 2
-    assert {command.term for command in world.commands} == {1}
-    assert len({command.sequence for command in world.commands}) == len(world.commands)
+    fixture = BalancerFixture(prefill=4, decode=3)
+    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0 + 2 * COMMAND_REPEAT_SECONDS)
+    assert len(fixture.commands) >= 2
+    assert {command.term for command in fixture.commands} == {1}
+    assert len({command.sequence for command in fixture.commands}) == len(fixture.commands)
 
 
 def test_a_worker_that_never_changes_its_stage_is_uncordoned() -> None:
-    world = World(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert world.cordoned() == ["w4"]
-    world.run(MOVE_SECONDS)
-    assert "w4" not in world.cordoned() or world.commands[-1].worker_id == "w4"
+    fixture = BalancerFixture(prefill=4, decode=3)
+    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert fixture.cordoned() == ["w4"]
+    fixture.run(MOVE_SECONDS)
+    assert "w4" not in fixture.cordoned() or fixture.commands[-1].worker_id == "w4"
 
 
 def test_a_new_leader_uncordons_workers_cordoned_by_its_predecessor() -> None:
-    world = World(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert world.cordoned() == ["w4"]
-    world.lead(2)
-    world.commands.clear()
-    world.run(TAKEOVER_SECONDS + STEP_SECONDS)
-    assert world.cordoned() == []
-    assert world.commands == []
+    fixture = BalancerFixture(prefill=4, decode=3)
+    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert fixture.cordoned() == ["w4"]
+    fixture.lead(2)
+    fixture.commands.clear()
+    fixture.run(TAKEOVER_SECONDS + STEP_SECONDS)
+    assert fixture.cordoned() == []
+    assert fixture.commands == []
 
 
 def test_no_worker_is_moved_while_the_set_of_workers_changes() -> None:
-    world = World(prefill=4, decode=5)
+    fixture = BalancerFixture(prefill=4, decode=5)
     for number in range(20, 30):
-        world.run(1.0)
-        world.announce(f"w{number}", Stage.PREFILL, 1)
-    assert world.cordoned() == []
+        fixture.run(1.0)
+        fixture.announce(f"w{number}", Stage.PREFILL, 1)
+    assert fixture.cordoned() == []
 
 
 def test_without_a_decode_worker_the_quiet_period_is_short() -> None:
-    world = World(prefill=3, decode=0)
-    world.run(TAKEOVER_SECONDS)
-    world.announce("w9", Stage.PREFILL, 1)
-    world.run(URGENT_QUIET_PERIOD_SECONDS + 4 * STEP_SECONDS)
-    assert world.commands
-    assert world.commands[0].stage is Stage.DECODE
+    fixture = BalancerFixture(prefill=3, decode=0)
+    fixture.run(TAKEOVER_SECONDS)
+    fixture.announce("w9", Stage.PREFILL, 1)
+    fixture.run(URGENT_QUIET_PERIOD_SECONDS + 4 * STEP_SECONDS)
+    assert fixture.commands
+    assert fixture.commands[0].stage is Stage.DECODE
 
 
 def test_a_restarted_worker_ends_its_stage_change() -> None:
-    world = World(prefill=4, decode=3)
-    world.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    entry = world.state.find_worker("w4")
+    fixture = BalancerFixture(prefill=4, decode=3)
+    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    entry = fixture.state.find_worker("w4")
     assert entry is not None
     changed = msgspec.structs.replace(entry.record, incarnation="2", cordoned=False)
-    world.apply(WorkerChanged(record=changed, sequence=1))
-    world.run(1.0)
-    assert len(world.commands) >= 1
+    fixture.apply(WorkerChanged(record=changed, sequence=1))
+    fixture.run(1.0)
+    assert len(fixture.commands) >= 1
--- a/tests/control/test_update_publisher.py
+++ b/tests/control/test_update_publisher.py
@@ -1,4 +1,4 @@
-"""Fleet updates that a leader sends to routers behind its revision."""
+"""A leader sends fleet updates to routers that have adopted an older revision."""
 
 from leadership_builders import apply_command, router_record, sent_messages
 
@@ -10,7 +10,7 @@
 
 
 class PublisherFixture:
-    """A replicated state and the publisher of one leadership."""
+    """A replicated state and the update publisher of one leadership."""
 
     def __init__(self) -> None:
         self.state = FleetState()
@@ -37,7 +37,7 @@
 
 
 def test_routers_at_one_revision_get_the_same_update_object() -> None:
-    """After a restart of the fleet all routers ask at once; the view is encoded once."""
+    """After a restart of the fleet all routers request the view at once; it is encoded once."""
     fixture = PublisherFixture()
     fixture.register(1)
     first = fixture.request("r1", 0)
--- a/tests/control/update_builders.py
+++ b/tests/control/update_builders.py
@@ -1,4 +1,4 @@
-"""Builders of configuration updates, shared by the tests of the control tier."""
+"""Builders of configuration updates that the tests of the control plane share."""
 
 from orchidpath.state.commands import SubmitConfiguration, configuration_digest
 from orchidpath.wire.configuration import Configuration
@@ -7,7 +7,7 @@
 def configuration_update(
     order_id: str = "a", base_version: int = 0, configuration: Configuration | None = None
 ) -> SubmitConfiguration:
-    """Return an update to a configuration, which is empty by default."""
+    """Return an operator's update to a configuration, which is empty by default."""
     content = configuration or Configuration()
     return SubmitConfiguration(
         order_id=order_id,
