--- a/src/orchidpath/control/leadership/attempt_decisions.py
+++ b/src/orchidpath/control/leadership/attempt_decisions.py
@@ -124,7 +124,7 @@
     def receive_capacity(self, observed: CapacityObserved, now: float) -> None:
         """Propose to open the capacity circuit of a failure domain.
 
-        The router that sends ``observed`` has derived from its attempts that the domain throttles.
+        A router has derived from rejections and delays that the domain throttles requests.
         """
         self.refresh_workers()
         transition = self._circuits.observe_capacity(observed, now)
--- a/src/orchidpath/control/leadership/confirmation.py
+++ b/src/orchidpath/control/leadership/confirmation.py
@@ -43,10 +43,10 @@
 class ConfirmationTracker:
     """Tracks the newest revision that every serving router has applied.
 
-    While a fleet forms there are hundreds of routers and hundreds of pending revisions, so no step
-    iterates over all routers for each revision. Two facts make this possible: a majority for a
-    revision is also a majority for every lower revision, and it is enough to keep a set of the
-    routers that lag behind the newest revision.
+    While a fleet forms there are hundreds of routers and hundreds of pending revisions, so neither
+    `router_adopted` nor `advance` iterates over all routers for each pending revision. Two facts
+    make this possible: a majority for a revision is also a majority for every lower revision, and
+    it is enough to keep the set of the routers that lag behind the newest revision.
 
     Parameters
     ----------
@@ -87,7 +87,7 @@
     def revision_committed(self, revision: int, router_membership: RouterMembership) -> None:
         """Start to track a revision; ``router_membership`` is effective from this revision on."""
         newest = self._router_memberships[-1] if self._router_memberships else None
-        if newest is None or not _is_same(newest, router_membership):
+        if newest is None or not _have_same_members(newest, router_membership):
             self._router_memberships.append(router_membership)
             self._awaited |= router_membership.routers
         self._pending.append(revision)
@@ -205,5 +205,5 @@
         }
 
 
-def _is_same(first: RouterMembership, second: RouterMembership) -> bool:
+def _have_same_members(first: RouterMembership, second: RouterMembership) -> bool:
     return first.routers == second.routers and first.witnesses == second.witnesses
--- a/src/orchidpath/control/leadership/liveness.py
+++ b/src/orchidpath/control/leadership/liveness.py
@@ -78,7 +78,10 @@
         self._routers[router_id] = now
 
     def seconds_since_heartbeat(self, router_id: str, now: float) -> float:
-        """Return the seconds since a router's last heartbeat, or infinity if there was none."""
+        """Return the seconds since a router's last heartbeat, or infinity if there was none.
+
+        For a router without a heartbeat, the first check by `silent_routers` counts as one.
+        """
         return now - self._routers.get(router_id, float("-inf"))
 
     def silent_workers(self, workers: dict[str, str], now: float) -> list[SilentWorker]:
--- a/src/orchidpath/control/leadership/member_manager.py
+++ b/src/orchidpath/control/leadership/member_manager.py
@@ -147,8 +147,8 @@
         self, membership: Membership, standbys: frozenset[str], silence: _Silence
     ) -> Membership | None:
         """Promote a learner that is reachable if voters are missing or lost."""
-        is_short = len(membership.voters) < self._policy.target_voters
-        if not is_short and not self._lost_voters(membership, silence):
+        has_too_few_voters = len(membership.voters) < self._policy.target_voters
+        if not has_too_few_voters and not self._lost_voters(membership, silence):
             return None
         candidates = [
             learner
--- a/src/orchidpath/control/leadership/stage_balancer.py
+++ b/src/orchidpath/control/leadership/stage_balancer.py
@@ -24,7 +24,7 @@
 """Time between two evaluations of the split."""
 
 TAKEOVER_SECONDS = 4.0
-"""A new leader waits for this time, so that its commands and its predecessor's never interleave."""
+"""A new leader begins no move for this time: commands of two leaders must not interleave."""
 
 QUIET_PERIOD_SECONDS = 1.5
 """The set of a service's workers must be unchanged for this time before a move begins."""
@@ -35,7 +35,8 @@
 CORDON_SECONDS = 2.5
 """Longest wait for the confirmation of a cordon, measured from the start of the move.
 
-After this time the worker is commanded without the confirmation.
+After this time the worker is commanded without the confirmation, once the cordon is in the
+replicated state.
 """
 
 COMMAND_REPEAT_SECONDS = 1.0
@@ -125,8 +126,10 @@
             self._follow(move, workers.get(move.worker.worker_id), confirmed_revision, now)
         for service in self._state.configuration.services:
             if service.balanced_decode_share > 0:
-                own = [worker for worker in workers.values() if worker.service == service.name]
-                self._balance(service, own, now)
+                service_workers = [
+                    worker for worker in workers.values() if worker.service == service.name
+                ]
+                self._balance(service, service_workers, now)
 
     def command_answered(self, command: WorkerCommand, reply: WorkerCommandReply) -> None:
         """Record that a worker has accepted the command of its move."""
--- a/src/orchidpath/control/replica/configuration_updates.py
+++ b/src/orchidpath/control/replica/configuration_updates.py
@@ -9,7 +9,7 @@
 from orchidpath.state.outcomes import UpdateResult
 
 VOTER_CONTACT_SECONDS = 1.0
-"""An update is confirmed only when it is durable on the voters with a contact in this time."""
+"""Before an update is confirmed, the leader waits for voters with a contact within this time."""
 
 FORMATION_TIMEOUT_SECONDS = 30.0
 """A new fleet accepts its first update after this time even if voters are missing."""
@@ -80,7 +80,7 @@
         self._output.emit_all(self._pending.leadership_lost())
 
     def _reject(self, key: int, reason: str) -> None:
-        self._output.emit(self._pending.rejected(key, reason))
+        self._output.emit(self._pending.rejection(key, reason))
 
     def _is_forming(self, now: float) -> bool:
         """Whether a new fleet without a configuration still has fewer voters than it needs."""
--- a/src/orchidpath/control/replica/control_replica.py
+++ b/src/orchidpath/control/replica/control_replica.py
@@ -328,7 +328,7 @@
             self._collect_from_duties()
         self._updates.confirm(self._confirmed_revision(), now)
         self._log.compact(now)
-        return [self._forwarded.routed(effect) for effect in self._output.take_effects()]
+        return [self._forwarded.route(effect) for effect in self._output.take_effects()]
 
     def _propose_pending(self, now: float) -> None:
         self._collect_from_duties()
--- a/src/orchidpath/control/replica/leader_forwarding.py
+++ b/src/orchidpath/control/replica/leader_forwarding.py
@@ -33,7 +33,7 @@
         self._origins[key] = _Origin(sender_id, correlation)
         return key
 
-    def routed(self, effect: ControlEffect) -> ControlEffect:
+    def route(self, effect: ControlEffect) -> ControlEffect:
         """Return the reply to send if an effect is the outcome of a forwarded request.
 
         Every other effect is returned unchanged.
--- a/src/orchidpath/control/replica/pending_plan_actions.py
+++ b/src/orchidpath/control/replica/pending_plan_actions.py
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self._proposed: dict[int, _Proposed] = {}
 
-    def rejected(self, key: int) -> PlanActionAnswered:
+    def rejection(self, key: int) -> PlanActionAnswered:
         """Return the answer to an action that this process cannot propose, as it does not lead."""
         return PlanActionAnswered(key, PlanActionStatus.REJECTED, "this process does not lead")
 
--- a/src/orchidpath/control/replica/pending_updates.py
+++ b/src/orchidpath/control/replica/pending_updates.py
@@ -41,7 +41,7 @@
         self._proposed: dict[int, _Proposed] = {}
         self._accepted: list[_Accepted] = []
 
-    def rejected(self, key: int, reason: str) -> UpdateAnswered:
+    def rejection(self, key: int, reason: str) -> UpdateAnswered:
         """Return the answer to an update that was not proposed or not committed."""
         return UpdateAnswered(key, UpdateStatus.REJECTED, reason=reason)
 
@@ -61,7 +61,7 @@
             return []
         if proposed.term != entry.term:
             # The entry at this index is another leader's, so the update can never be committed.
-            return [self.rejected(proposed.key, "another leader took over")]
+            return [self.rejection(proposed.key, "another leader took over")]
         outcome = result.outcome
         if isinstance(outcome, UpdateAccepted):
             accepted = _Accepted(proposed.key, outcome.version, revision, entry.index, now)
--- a/src/orchidpath/control/replica/plan_actions.py
+++ b/src/orchidpath/control/replica/plan_actions.py
@@ -28,13 +28,13 @@
     def submit(self, key: int, request: PlanActionRequest, has_authority: bool, now: float) -> None:
         """Propose an action; its answer is emitted under ``key``, at once or later."""
         if not has_authority:
-            self._output.emit(self._pending.rejected(key))
+            self._output.emit(self._pending.rejection(key))
             return
         command = plan_command(request, self._log.state)
         try:
             proposal = self._log.append(command, now)
         except NotLeaderError:
-            self._output.emit(self._pending.rejected(key))
+            self._output.emit(self._pending.rejection(key))
             return
         self._pending.proposed(key, proposal.index, proposal.term)
         self._log.run(proposal.effects, now)
--- a/tests/control/test_control_replica.py
+++ b/tests/control/test_control_replica.py
@@ -82,7 +82,7 @@
     assert answer.answer is UpdateStatus.REJECTED
 
 
-def test_racing_and_repeated_updates() -> None:
+def test_a_concurrent_update_conflicts_and_a_repeated_one_is_confirmed_again() -> None:
     replica = leading_replica()
     received: dict[int, UpdateAnswered] = {}
     for key, update in enumerate(
--- a/tests/control/test_worker_liveness.py
+++ b/tests/control/test_worker_liveness.py
@@ -64,7 +64,7 @@
     assert leadership.announce(Announcement(record=other, sequence=9, leaving=True)) == []
 
 
-def test_a_worker_whose_lease_expired_is_removed_at_the_sequence_last_heard(
+def test_a_worker_whose_lease_expired_is_removed_at_its_last_announced_sequence(
     leadership: Leadership,
 ) -> None:
     leadership.announce(Announcement(record=worker_record(), sequence=2))
