--- a/src/orchidpath/control/leadership/liveness.py
+++ b/src/orchidpath/control/leadership/liveness.py
@@ -18,12 +18,12 @@
 """A removal that has not been applied is proposed again after this time."""
 
 
-class LastAnnouncement(msgspec.Struct):
+class WorkerContact(msgspec.Struct):
     """The newest announcement received from a worker, and its time in monotonic seconds."""
 
     incarnation: str
     sequence: int
-    received_at: float
+    last_contact_at: float
 
 
 class SilentWorker(NamedTuple):
@@ -52,7 +52,7 @@
     ) -> None:
         self._router_removal_seconds = router_removal_seconds
         self._worker_lease_seconds = worker_lease_seconds
-        self._workers: dict[str, LastAnnouncement] = {}
+        self._workers: dict[str, WorkerContact] = {}
         self._routers: dict[str, float] = {}
         self._proposed: dict[str, float] = {}
 
@@ -70,10 +70,10 @@
         known = self._workers.get(worker_id)
         if known is not None and known.incarnation == incarnation and known.sequence >= sequence:
             return False
-        self._workers[worker_id] = LastAnnouncement(incarnation, sequence, now)
+        self._workers[worker_id] = WorkerContact(incarnation, sequence, now)
         return True
 
-    def record_heartbeat(self, router_id: str, now: float) -> None:
+    def record_router_contact(self, router_id: str, now: float) -> None:
         """Record a heartbeat of a router."""
         self._routers[router_id] = now
 
@@ -96,13 +96,13 @@
         """
         silent = []
         for worker_id, incarnation in workers.items():
-            last = self._workers.get(worker_id)
-            if last is None:
-                self._workers[worker_id] = LastAnnouncement(incarnation, 0, now)
+            contact = self._workers.get(worker_id)
+            if contact is None:
+                self._workers[worker_id] = WorkerContact(incarnation, 0, now)
                 continue
-            expired = now - last.received_at > self._worker_lease_seconds
+            expired = now - contact.last_contact_at > self._worker_lease_seconds
             if expired and self._may_propose(worker_id, now):
-                silent.append(SilentWorker(worker_id, incarnation, last.sequence))
+                silent.append(SilentWorker(worker_id, incarnation, contact.sequence))
         return silent
 
     def silent_routers(self, router_ids: list[str], now: float) -> list[str]:
--- a/src/orchidpath/control/replica/control_replica.py
+++ b/src/orchidpath/control/replica/control_replica.py
@@ -192,7 +192,7 @@
         The answer is a `ReadReady` or `ReadFailed` with ``key``, among the returned effects or
         later ones.
         """
-        self._output.emit_all(self._reads.request(key, self.has_authority(now), now))
+        self._output.emit_all(self._reads.request_read(key, self.has_authority(now), now))
         return self._finish_turn(now)
 
     def worker_circuits(self, now: float) -> tuple[WorkerCircuitView, ...]:
--- a/src/orchidpath/control/replica/pending_reads.py
+++ b/src/orchidpath/control/replica/pending_reads.py
@@ -29,7 +29,9 @@
         self._raft = raft
         self._waiting: list[_PendingRead] = []
 
-    def request(self, key: int, has_authority: bool, now: float) -> list[ReadReady | ReadFailed]:
+    def request_read(
+        self, key: int, has_authority: bool, now: float
+    ) -> list[ReadReady | ReadFailed]:
         """Request a read and return its answer if it can be given at once.
 
         Otherwise the list is empty and a later `finish` returns the answer.
--- a/tests/control/test_liveness.py
+++ b/tests/control/test_liveness.py
@@ -21,7 +21,7 @@
 
 def test_a_removal_is_proposed_again_only_after_a_while() -> None:
     tracker = LivenessTracker()
-    tracker.record_heartbeat("r", 0.0)
+    tracker.record_router_contact("r", 0.0)
     silent_at = ROUTER_REMOVAL_SECONDS + 0.1
     assert tracker.silent_routers(["r"], silent_at) == ["r"]
     assert tracker.silent_routers(["r"], silent_at + 0.5) == []
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -26,7 +26,7 @@
 STEP_SECONDS = 0.25
 
 
-class BalancerFixture:
+class BalancerEnvironment:
     """A replicated state, the balancer of one leadership, and workers that execute on request."""
 
     def __init__(self, prefill: int, decode: int) -> None:
@@ -77,84 +77,86 @@
 
 
 def test_surplus_workers_are_cordoned_commanded_and_uncordoned() -> None:
-    fixture = BalancerFixture(prefill=4, decode=5)
-    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert len(fixture.cordoned()) == 3
-    assert sorted({command.worker_id for command in fixture.commands}) == sorted(fixture.cordoned())
-    for command in list(fixture.commands):
-        fixture.execute(command)
-    fixture.run(1.0)
-    assert fixture.cordoned() == []
-    stages = [worker.stage for worker in fixture.state.workers()]
+    environment = BalancerEnvironment(prefill=4, decode=5)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert len(environment.cordoned()) == 3
+    assert sorted({command.worker_id for command in environment.commands}) == sorted(
+        environment.cordoned()
+    )
+    for command in list(environment.commands):
+        environment.execute(command)
+    environment.run(1.0)
+    assert environment.cordoned() == []
+    stages = [worker.stage for worker in environment.state.workers()]
     assert stages.count(Stage.DECODE) == 2
 
 
 def test_a_new_leader_sends_no_command_while_an_earlier_one_may_be_in_transit() -> None:
-    fixture = BalancerFixture(prefill=4, decode=5)
-    fixture.run(TAKEOVER_SECONDS - STEP_SECONDS)
-    assert fixture.cordoned() == []
-    assert fixture.commands == []
+    environment = BalancerEnvironment(prefill=4, decode=5)
+    environment.run(TAKEOVER_SECONDS - STEP_SECONDS)
+    assert environment.cordoned() == []
+    assert environment.commands == []
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed() -> None:
     """The run ends within ``CORDON_SECONDS``, after which a command is sent in any case."""
-    fixture = BalancerFixture(prefill=4, decode=5)
-    fixture.confirms = False
-    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert fixture.cordoned()
-    assert fixture.commands == []
+    environment = BalancerEnvironment(prefill=4, decode=5)
+    environment.confirms = False
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert environment.cordoned()
+    assert environment.commands == []
 
 
 def test_a_command_without_a_reply_is_repeated_in_the_same_term() -> None:
-    fixture = BalancerFixture(prefill=4, decode=3)
-    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0 + 2 * COMMAND_REPEAT_SECONDS)
-    assert len(fixture.commands) >= 2
-    assert {command.term for command in fixture.commands} == {1}
-    assert len({command.sequence for command in fixture.commands}) == len(fixture.commands)
+    environment = BalancerEnvironment(prefill=4, decode=3)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0 + 2 * COMMAND_REPEAT_SECONDS)
+    assert len(environment.commands) >= 2
+    assert {command.term for command in environment.commands} == {1}
+    assert len({command.sequence for command in environment.commands}) == len(environment.commands)
 
 
 def test_a_worker_that_never_changes_its_stage_is_uncordoned() -> None:
-    fixture = BalancerFixture(prefill=4, decode=3)
-    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert fixture.cordoned() == ["w4"]
-    fixture.run(MOVE_SECONDS)
-    assert "w4" not in fixture.cordoned() or fixture.commands[-1].worker_id == "w4"
+    environment = BalancerEnvironment(prefill=4, decode=3)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert environment.cordoned() == ["w4"]
+    environment.run(MOVE_SECONDS)
+    assert "w4" not in environment.cordoned() or environment.commands[-1].worker_id == "w4"
 
 
 def test_a_new_leader_uncordons_workers_cordoned_by_its_predecessor() -> None:
-    fixture = BalancerFixture(prefill=4, decode=3)
-    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    assert fixture.cordoned() == ["w4"]
-    fixture.lead(2)
-    fixture.commands.clear()
-    fixture.run(TAKEOVER_SECONDS + STEP_SECONDS)
-    assert fixture.cordoned() == []
-    assert fixture.commands == []
+    environment = BalancerEnvironment(prefill=4, decode=3)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    assert environment.cordoned() == ["w4"]
+    environment.lead(2)
+    environment.commands.clear()
+    environment.run(TAKEOVER_SECONDS + STEP_SECONDS)
+    assert environment.cordoned() == []
+    assert environment.commands == []
 
 
 def test_no_worker_is_moved_while_the_set_of_workers_changes() -> None:
-    fixture = BalancerFixture(prefill=4, decode=5)
+    environment = BalancerEnvironment(prefill=4, decode=5)
     for number in range(20, 30):
-        fixture.run(1.0)
-        fixture.announce(f"w{number}", Stage.PREFILL, 1)
-    assert fixture.cordoned() == []
+        environment.run(1.0)
+        environment.announce(f"w{number}", Stage.PREFILL, 1)
+    assert environment.cordoned() == []
 
 
 def test_without_a_decode_worker_the_quiet_period_is_short() -> None:
-    fixture = BalancerFixture(prefill=3, decode=0)
-    fixture.run(TAKEOVER_SECONDS)
-    fixture.announce("w9", Stage.PREFILL, 1)
-    fixture.run(URGENT_QUIET_PERIOD_SECONDS + 4 * STEP_SECONDS)
-    assert fixture.commands
-    assert fixture.commands[0].stage is Stage.DECODE
+    environment = BalancerEnvironment(prefill=3, decode=0)
+    environment.run(TAKEOVER_SECONDS)
+    environment.announce("w9", Stage.PREFILL, 1)
+    environment.run(URGENT_QUIET_PERIOD_SECONDS + 4 * STEP_SECONDS)
+    assert environment.commands
+    assert environment.commands[0].stage is Stage.DECODE
 
 
 def test_a_restarted_worker_ends_its_stage_change() -> None:
-    fixture = BalancerFixture(prefill=4, decode=3)
-    fixture.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
-    entry = fixture.state.find_worker("w4")
+    environment = BalancerEnvironment(prefill=4, decode=3)
+    environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
+    entry = environment.state.find_worker("w4")
     assert entry is not None
     changed = msgspec.structs.replace(entry.record, incarnation="2", cordoned=False)
-    fixture.apply(WorkerChanged(record=changed, sequence=1))
-    fixture.run(1.0)
-    assert len(fixture.commands) >= 1
+    environment.apply(WorkerChanged(record=changed, sequence=1))
+    environment.run(1.0)
+    assert len(environment.commands) >= 1
