--- a/src/orchidpath/control/leadership/liveness.py
+++ b/src/orchidpath/control/leadership/liveness.py
@@ -1,7 +1,8 @@
-"""Which workers and routers the leader hears; soft state, pure.
+"""Tracks when the leader last received a message from each worker and router; performs no I/O.
 
-A new leader knows nothing of who was heard before, so it grants everyone one full lease from its
-start: a fail-over alone never removes a worker.
+This is soft state. A new leader has no record of earlier messages, so it grants every worker and
+router a full lease from the first check of its leadership. A fail-over alone therefore never
+removes a worker.
 """
 
 from typing import NamedTuple
@@ -11,14 +12,14 @@
 from orchidpath.wire.backend import WORKER_LEASE_SECONDS
 
 ROUTER_REMOVAL_SECONDS = 60.0
-"""A router that the leader has not heard for this long is removed."""
+"""A router without a heartbeat for longer than this is removed."""
 
 REPEAT_PROPOSAL_SECONDS = 1.0
-"""A removal that has not been applied is proposed again after this long."""
+"""A removal that has not been applied is proposed again after this time."""
 
 
 class WorkerContact(msgspec.Struct):
-    """When a worker's announcement was last heard, and which one it was."""
+    """The newest announcement received from a worker, and its time in monotonic seconds."""
 
     incarnation: str
     sequence: int
@@ -26,7 +27,7 @@
 
 
 class SilentWorker(NamedTuple):
-    """A worker whose lease has expired, and the newest announcement heard of it."""
+    """A worker whose lease has expired, and the sequence of its newest announcement."""
 
     worker_id: str
     incarnation: str
@@ -34,14 +35,14 @@
 
 
 class LivenessTracker:
-    """When each worker and router was last heard.
+    """Tracks the last announcement of each worker and the last heartbeat of each router.
 
     Parameters
     ----------
     router_removal_seconds
-        A router that is silent for this long is to be removed.
+        A router is to be removed when it has sent no heartbeat for longer than this.
     worker_lease_seconds
-        A worker that is silent for this long is to be removed.
+        A worker is to be removed when it has sent no announcement for longer than this.
     """
 
     def __init__(
@@ -58,12 +59,13 @@
     def record_announcement(
         self, worker_id: str, incarnation: str, sequence: int, now: float
     ) -> bool:
-        """Note an announcement.
+        """Record an announcement of a worker.
 
         Returns
         -------
         bool
-            False if it is older than one heard before of the same incarnation.
+            False if its sequence is not higher than that of the newest announcement of the same
+            incarnation. Such an announcement does not renew the lease.
         """
         known = self._workers.get(worker_id)
         if known is not None and known.incarnation == incarnation and known.sequence >= sequence:
@@ -72,11 +74,14 @@
         return True
 
     def record_router_contact(self, router_id: str, now: float) -> None:
-        """Note a router's heartbeat."""
+        """Record a heartbeat of a router."""
         self._routers[router_id] = now
 
-    def router_age_seconds(self, router_id: str, now: float) -> float:
-        """Seconds since a router was heard; infinite if never."""
+    def seconds_since_heartbeat(self, router_id: str, now: float) -> float:
+        """Return the seconds since a router's last heartbeat, or infinity if there was none.
+
+        For a router without a heartbeat, the first check by `silent_routers` counts as one.
+        """
         return now - self._routers.get(router_id, float("-inf"))
 
     def silent_workers(self, workers: dict[str, str], now: float) -> list[SilentWorker]:
@@ -85,33 +90,35 @@
         Parameters
         ----------
         workers
-            Incarnation by worker id, as replicated.
+            Incarnation by worker id, from the replicated state.
         now
-            Monotonic seconds.
+            Current time, in monotonic seconds.
         """
         silent = []
         for worker_id, incarnation in workers.items():
-            heard = self._workers.get(worker_id)
-            if heard is None:
+            contact = self._workers.get(worker_id)
+            if contact is None:
                 self._workers[worker_id] = WorkerContact(incarnation, 0, now)
                 continue
-            expired = now - heard.last_contact_at > self._worker_lease_seconds
+            expired = now - contact.last_contact_at > self._worker_lease_seconds
             if expired and self._may_propose(worker_id, now):
-                silent.append(SilentWorker(worker_id, incarnation, heard.sequence))
+                silent.append(SilentWorker(worker_id, incarnation, contact.sequence))
         return silent
 
     def silent_routers(self, router_ids: list[str], now: float) -> list[str]:
-        """Return the registered routers silent for too long."""
+        """Return the routers without a heartbeat for too long whose removal may be proposed."""
         silent = []
         for router_id in router_ids:
-            heard_at = self._routers.setdefault(router_id, now)
-            if now - heard_at > self._router_removal_seconds and self._may_propose(router_id, now):
+            received_at = self._routers.setdefault(router_id, now)
+            if now - received_at > self._router_removal_seconds and self._may_propose(
+                router_id, now
+            ):
                 silent.append(router_id)
         return silent
 
-    def forget_workers_except(self, workers: dict[str, str]) -> None:
-        """Drop what was heard of workers that are gone, to keep memory bounded."""
-        for worker_id in [one for one in self._workers if one not in workers]:
+    def retain_workers(self, workers: dict[str, str]) -> None:
+        """Drop the announcements of all workers not in ``workers``, to bound the memory."""
+        for worker_id in [known_id for known_id in self._workers if known_id not in workers]:
             del self._workers[worker_id]
 
     def _may_propose(self, name: str, now: float) -> bool:
--- a/tests/control/test_control_replica.py
+++ b/tests/control/test_control_replica.py
@@ -1,4 +1,4 @@
-"""A control replica: updates with and without authority, and undecodable messages."""
+"""A control replica: updates to a leader and to a follower, and undecodable messages."""
 
 import random
 from collections.abc import Sequence
@@ -33,7 +33,7 @@
 
 
 def leading_replica(formation_voters: int = 1) -> ControlReplica:
-    """Return the only control replica of a fleet, which is leader at ``NOW``."""
+    """Return the only control replica of a fleet, which holds its leader lease at ``NOW``."""
     replica = new_replica(formation_voters)
     for step in range(1, round(NOW / TICK) + 1):
         replica.tick(step * TICK)
@@ -82,7 +82,7 @@
     assert answer.answer is UpdateStatus.REJECTED
 
 
-def test_racing_and_repeated_updates() -> None:
+def test_a_concurrent_update_conflicts_and_a_repeated_one_is_confirmed_again() -> None:
     replica = leading_replica()
     received: dict[int, UpdateAnswered] = {}
     for key, update in enumerate(
--- a/tests/control/test_stage_balancer.py
+++ b/tests/control/test_stage_balancer.py
@@ -1,4 +1,4 @@
-"""Stage changes by the leader: cordon, command, uncordon; at most one leader at a time."""
+"""A leader changes the stage of a worker in three steps: cordon, command, uncordon."""
 
 import msgspec
 from stage_builders import model_worker, split_configuration
@@ -27,7 +27,7 @@
 
 
 class BalancerEnvironment:
-    """A replicated state, the balancer of one leader, and workers that execute on request."""
+    """A replicated state, the balancer of one leadership, and workers that execute on request."""
 
     def __init__(self, prefill: int, decode: int) -> None:
         self.state = FleetState()
@@ -99,6 +99,7 @@
 
 
 def test_no_command_is_sent_before_the_cordon_is_confirmed() -> None:
+    """The run ends within ``CORDON_SECONDS``, after which a command is sent in any case."""
     environment = BalancerEnvironment(prefill=4, decode=5)
     environment.confirms = False
     environment.run(TAKEOVER_SECONDS + QUIET_PERIOD_SECONDS + 1.0)
