--- a/src/orchidpath/state/commands.py
+++ b/src/orchidpath/state/commands.py
@@ -1,7 +1,7 @@
-"""Commands of the replicated log: every change of the fleet's shared state is one of them.
+"""Commands of the replicated log, which are the only way to change the fleet's replicated state.
 
-A command is encoded as a tagged msgpack map, so new kinds and new fields with defaults can be
-added without breaking logs that were written before. Retired tags are never used again.
+A command is encoded as a tagged msgpack map. New types, and new fields that have a default, can
+therefore be added while older logs remain readable. The tag of a removed type is never reused.
 """
 
 import hashlib
@@ -20,19 +20,20 @@
 
 
 class CommandDecodeError(OrchidpathError):
-    """A committed command cannot be read.
+    """A committed command cannot be decoded.
 
-    A replica that meets one must stop: skipping a command that newer replicas understand would
-    make its state differ from theirs.
+    The replica must stop: if it skipped a command that replicas of a newer version apply, its
+    state would diverge from theirs.
     """
 
 
 class SubmitConfiguration(msgspec.Struct, frozen=True, kw_only=True, tag="submit_configuration"):
     """An operator's configuration update: a complete configuration built on ``base_version``.
 
-    ``digest`` is :func:`configuration_digest` of the content; it distinguishes a repeated update
-    from another update that reuses the same id. ``document`` is the text from which an adapter
-    made the configuration, if one did: it is stored and returned as it was sent.
+    ``digest`` is the :func:`configuration_digest` of the content. It distinguishes a repeated
+    update from another update that reuses the same id. ``document`` is the text from which an
+    adapter made the configuration; it is stored and returned exactly as it was received, and is
+    empty if the configuration was not made by an adapter.
     """
 
     order_id: str
@@ -55,17 +56,20 @@
 
 
 class WorkerChanged(msgspec.Struct, frozen=True, kw_only=True, tag="worker_changed"):
-    """A worker announced itself or a change; ``sequence`` is that of its announcement."""
+    """Registers a worker, or changes its record, after the worker's announcement.
+
+    ``sequence`` is the sequence number of that announcement.
+    """
 
     record: WorkerRecord
     sequence: int
 
 
 class WorkerRemoved(msgspec.Struct, frozen=True, kw_only=True, tag="worker_gone"):
-    """A worker's lease has expired; it concerns that incarnation only.
+    """Removes a worker whose lease has expired, if ``incarnation`` is still its current one.
 
-    ``sequence`` is that of the newest announcement that the leader received: announcements up to
-    that one, arriving late, do not register the worker again.
+    ``sequence`` is the sequence number of the newest announcement that the leader received.
+    Announcements up to that number that arrive later do not register the worker again.
     """
 
     worker_id: str
@@ -74,9 +78,9 @@
 
 
 class CordonWorker(msgspec.Struct, frozen=True, kw_only=True, tag="hold_worker"):
-    """Cordons a worker, so that it gets no new requests, or releases it.
+    """Cordons a worker, so that it receives no new requests, or releases it.
 
-    The cordon outlasts a restart or an absence of the worker, until it is released.
+    A cordon remains until it is released, also while the worker restarts or is not registered.
     """
 
     worker_id: str
@@ -84,13 +88,13 @@
 
 
 class CircuitChanged(msgspec.Struct, frozen=True, kw_only=True, tag="circuit_changed"):
-    """A worker's circuit makes a transition."""
+    """Applies a transition to a worker's circuit."""
 
     transition: CircuitTransition
 
 
 class CapacityChanged(msgspec.Struct, frozen=True, kw_only=True, tag="capacity_changed"):
-    """A failure domain's capacity circuit makes a transition."""
+    """Applies a transition to a failure domain's capacity circuit."""
 
     transition: CapacityTransition
 
@@ -104,31 +108,35 @@
 
 
 class RemoveControlMember(msgspec.Struct, frozen=True, kw_only=True, tag="remove_control_member"):
-    """Removes a control replica from the registered ones."""
+    """Removes a control replica from the registered control replicas."""
 
     node_id: str
 
 
 class LeaderStarted(msgspec.Struct, frozen=True, kw_only=True, tag="leader_started"):
-    """The first command of a leader; it records the highest term whose leader has committed."""
+    """Records the term of a new leader; it is the first command that a leader proposes.
+
+    Once it is committed, ``term`` is the highest term whose leader has committed a command.
+    """
 
     term: int
 
 
 class RevisionConfirmed(msgspec.Struct, frozen=True, kw_only=True, tag="revision_confirmed"):
-    """Every serving router has applied ``revision`` or a newer one.
+    """Records that every serving router has applied ``revision`` or a newer one.
 
-    Witness sets that were in force before it no longer count for a later confirmation.
+    Witness sets that were replaced before this revision are no longer needed to confirm a later
+    revision.
     """
 
     revision: int
 
 
 class StartPlan(msgspec.Struct, frozen=True, kw_only=True, tag="start_plan"):
-    """An operator confirms a plan; it starts only if nothing that it was computed from changed.
+    """Starts a plan that an operator confirmed, unless its inputs have changed since.
 
-    Without ``plan``, the leader knows none of that id. The rejection is logged all the same, so
-    that a repetition that arrives late can't start a plan that was reported as rejected.
+    ``plan`` is absent if the leader has no plan with that id. The rejection is written to the log
+    nevertheless, so that a late repetition can't start a plan that was reported as rejected.
     """
 
     order_id: str
@@ -137,31 +145,31 @@
 
 
 class HaltPlan(msgspec.Struct, frozen=True, kw_only=True, tag="halt_plan"):
-    """An operator halts a plan: no further step begins."""
+    """Halts a plan on an operator's request: no further step begins."""
 
     order_id: str
     plan_id: str
 
 
 class ResumePlan(msgspec.Struct, frozen=True, kw_only=True, tag="resume_plan"):
-    """An operator resumes a halted plan."""
+    """Resumes a halted plan on an operator's request."""
 
     order_id: str
     plan_id: str
 
 
 class CancelPlan(msgspec.Struct, frozen=True, kw_only=True, tag="cancel_plan"):
-    """An operator cancels a plan: workers that have not switched yet keep their stage."""
+    """Cancels a plan on an operator's request: workers that have not switched keep their stage."""
 
     order_id: str
     plan_id: str
 
 
 class AdvanceStep(msgspec.Struct, frozen=True, kw_only=True, tag="advance_step"):
-    """The leader advances a step from the phase ``expected``.
+    """Advances a step of a plan to ``phase``, if it is in the phase ``expected``.
 
-    ``reason`` is set if the step is abandoned or rolled back. The cordon on the worker changes
-    with the phase, in the same entry.
+    ``reason`` is set if the step is abandoned or rolled back. The worker's cordon changes in the
+    same log entry as the phase.
     """
 
     plan_id: str
@@ -172,7 +180,7 @@
 
 
 class StopPlan(msgspec.Struct, frozen=True, kw_only=True, tag="stop_plan"):
-    """The leader stops a plan that can't be carried out any more."""
+    """Stops a plan that the leader can no longer carry out."""
 
     plan_id: str
     reason: str
@@ -208,7 +216,7 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the payload of a log entry that carries a command."""
+    """Return the compressed payload of the log entry for a command."""
     return compressed(_encoder.encode(command))
 
 
@@ -218,7 +226,7 @@
     Raises
     ------
     CommandDecodeError
-        The payload is damaged, or of a kind that this version does not know.
+        The payload is damaged, or its command type does not exist in this version.
     """
     try:
         return _decoder.decode(decompressed(payload, MAX_COMMAND_BYTES))
@@ -229,8 +237,8 @@
 def configuration_digest(base_version: int, configuration: Configuration) -> str:
     """Return the SHA-256 digest of an update's content in hexadecimal digits.
 
-    It is computed over the parsed configuration, so white space, the order of keys and defaults
-    that were left out make no difference.
+    The digest is computed from the parsed configuration and ``base_version``. It therefore does
+    not depend on white space, on the order of keys, or on whether defaults are written out.
     """
     content = msgspec.json.encode((base_version, configuration), order="deterministic")
     return hashlib.sha256(content).hexdigest()
--- a/src/orchidpath/state/configuration_state.py
+++ b/src/orchidpath/state/configuration_state.py
@@ -1,4 +1,4 @@
-"""The newest configuration, its history, and the remembered outcomes of configuration updates."""
+"""The current configuration, the history of versions, and stored outcomes of updates."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -19,31 +19,31 @@
 from orchidpath.wire.configuration_delta import ConfigurationDelta, configuration_delta
 
 HISTORY_LIMIT = 1024
-"""Number of the newest configurations that are listed in the history."""
+"""Number of newest configurations that the history lists."""
 
 
 class Submission(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of a submitted configuration; ``delta`` is set if it is the newest one now."""
+    """Outcome of a submitted configuration; ``delta`` is set only if this call accepted it."""
 
     result: UpdateResult
     delta: ConfigurationDelta | None = None
 
 
 class ConfigurationState:
-    """The newest configuration and the outcomes of the updates that were submitted.
+    """The current configuration and the outcomes of the updates that were submitted.
 
     Parameters
     ----------
     version
-        Version of the newest configuration; 0 before the first.
+        Version of the current configuration; 0 before the first accepted update.
     configuration
-        The newest configuration.
+        The current configuration; by default, an empty one.
     document
-        Text from which an adapter made it; empty if none was given.
+        Text from which an adapter made the configuration; empty if the update had none.
     history
         Accepted configurations, oldest first.
     updates
-        Remembered updates, oldest first.
+        Updates whose outcomes are stored, oldest first.
     """
 
     def __init__(
@@ -65,24 +65,25 @@
         return list(self._history)
 
     def updates(self) -> list[UpdateRecord]:
-        """Return the remembered updates, oldest first."""
+        """Return the updates whose outcomes are stored, oldest first."""
         return self._outcomes.records()
 
     def find_update(self, order_id: str) -> UpdateRecord | None:
-        """Return the update remembered under an id, with its first outcome."""
+        """Return the stored update with an id, and its first outcome; None if there is none."""
         return self._outcomes.find(order_id)
 
     def submit(self, command: SubmitConfiguration) -> Submission:
         """Accept a configuration if it was built on the current version (compare and swap).
 
-        An update that was submitted before gets its first outcome.
+        An update that was submitted before gets its first outcome again. An update whose id
+        belongs to an update with another digest is rejected.
         """
-        known = self._outcomes.find(command.order_id)
-        if known is not None and known.digest != command.digest:
+        stored = self._outcomes.find(command.order_id)
+        if stored is not None and stored.digest != command.digest:
             reused = UpdateIdReused(current_version=self.version)
             return Submission(result=UpdateResult(outcome=reused))
-        if known is not None:
-            return Submission(result=UpdateResult(outcome=known.outcome, repeated=True))
+        if stored is not None:
+            return Submission(result=UpdateResult(outcome=stored.outcome, repeated=True))
         if command.base_version != self.version:
             conflict = UpdateConflict(current_version=self.version)
             self._outcomes.record(command.order_id, command.digest, conflict)
--- a/src/orchidpath/state/fleet_state.py
+++ b/src/orchidpath/state/fleet_state.py
@@ -1,8 +1,8 @@
 """The replicated state machine of the fleet.
 
 Every control replica applies the same committed commands in the same order and reaches the same
-state. Nothing here reads a clock or draws a random number, and no outcome depends on anything
-that is not in the snapshot.
+state. To keep the state machine deterministic, no code here reads a clock or generates random
+numbers, and no outcome depends on data that is not in the snapshot.
 """
 
 from typing import assert_never
@@ -50,7 +50,7 @@
 
 
 class ApplyOrderError(OrchidpathError):
-    """A log entry was applied at or below the newest applied index."""
+    """The index of a log entry is not above the newest applied index."""
 
 
 class FleetState(FleetStateReader):
@@ -59,17 +59,17 @@
     Parameters
     ----------
     body
-        The state to begin with; by default that of a new fleet.
+        The initial state; by default, the state of a new fleet.
     """
 
     @classmethod
     def restore(cls, data: bytes) -> "FleetState":
-        """Return the state in a snapshot.
+        """Return the state that a snapshot contains.
 
         Raises
         ------
         SnapshotFormatError
-            The snapshot is damaged or of a format that this version does not know.
+            The snapshot is damaged, or its format is not supported by this version.
         """
         return cls(decode_snapshot(data))
 
@@ -79,7 +79,7 @@
         Parameters
         ----------
         index
-            Position of its entry in the log; above every index applied so far.
+            Index of the command's entry in the log; above every index applied so far.
         payload
             The encoded command.
 
@@ -88,10 +88,12 @@
         ApplyOrderError
             The index is not above the newest applied one.
         CommandDecodeError
-            The command cannot be decoded; nothing was changed and the replica must stop.
+            The command cannot be decoded. The state is unchanged, and the replica must stop.
         """
         if index <= self._applied_index:
-            raise ApplyOrderError(f"entry {index} comes after entry {self._applied_index}")
+            raise ApplyOrderError(
+                f"cannot apply log entry {index}: the newest applied entry is {self._applied_index}"
+            )
         command = decode_command(payload)
         outcome = self._dispatch(command)
         self._applied_index = index
@@ -102,9 +104,9 @@
             outcome=outcome,
         )
 
-    # One table, a line for each command type; mypy reports a type without a handler.
+    # One case for each command type, hence the complexity; mypy reports a type without a handler.
     def _dispatch(self, command: Command) -> Outcome:  # noqa: C901, PLR0912
-        """Call the handler of a command."""
+        """Apply a command with the handler of its type and return the outcome."""
         match command:
             case SubmitConfiguration():
                 return self._submit_configuration(command)
@@ -194,7 +196,7 @@
         return self._plans.apply_action(command, self._configuration.version, self.workers())
 
     def _advance_step(self, command: AdvanceStep) -> RecordResult:
-        """Advance a step, and cordon or release its worker in the same entry."""
+        """Advance a plan's step, and cordon or release its worker in the same log entry."""
         advanced = self._plans.advance(command, self.workers(), self._revision + 1)
         if advanced.cordon is not None:
             worker_id, cordoned = advanced.cordon.worker_id, advanced.cordon.cordoned
@@ -205,14 +207,14 @@
         return RecordResult(effect=self._plans.stop(command))
 
     def _worker_changed(self, change: WorkerChange) -> RecordResult:
-        """Make the next revision if a change is visible in the view."""
+        """Create the next revision if the change is visible to routers; return the effect."""
         if change.record is not None:
             self._record_change(Change(revision=self._revision + 1, worker=change.record))
             self._circuits.evict_unknown(self._workers.is_known)
         return RecordResult(effect=change.effect)
 
     def _routers_changed(self, change: Change) -> None:
-        """Make the next revision and choose the witnesses for it."""
+        """Create the next revision and choose its witness set."""
         self._record_change(change)
         self._routers.update_witnesses(self._revision, self._progress.confirmed_revision)
 
--- a/src/orchidpath/state/plan_state.py
+++ b/src/orchidpath/state/plan_state.py
@@ -1,8 +1,8 @@
 """The newest plan of the replicated state and the operators' plan actions.
 
-One plan is active at a time. Everything here is deterministic: the outcome of a command depends on
-the replicated state alone. The texts of reasons are part of the snapshots: rewording one would make
-replicas of two versions differ.
+At most one plan is active at a time. Commands are deterministic: their outcome depends only on the
+replicated state. The reason texts are stored in snapshots, so they must not be reworded: replicas
+of different versions would otherwise have different states.
 """
 
 from collections.abc import Iterable, Sequence
@@ -37,11 +37,11 @@
 )
 from orchidpath.wire.records import WorkerRecord
 
-PLAN_ACTION_MEMORY = 1_000
-"""Number of the newest plan actions that are remembered."""
+PLAN_ACTION_LIMIT = 1_000
+"""Number of newest plan actions whose outcomes are stored."""
 
-ABANDONED_MEMORY = 1_000
-"""Number of the most recently abandoned workers that are remembered."""
+ABANDONED_WORKER_LIMIT = 1_000
+"""Number of most recently abandoned workers that are stored."""
 
 _ACTION_NAMES: dict[type[PlanActionCommand], str] = {
     StartPlan: "StartPlan",
@@ -49,34 +49,37 @@
     ResumePlan: "ResumePlan",
     CancelPlan: "CancelPlan",
 }
-"""Names in the stored content of a remembered action; snapshots hold them, so they never change."""
+"""Names of actions in :attr:`PlanActionRecord.content`.
+
+The content is part of snapshots, so these names must not change.
+"""
 
 
 class CordonChange(msgspec.Struct, frozen=True):
-    """A worker is to be cordoned or released together with the step that was advanced."""
+    """A change of a worker's cordon that is applied together with an advanced step."""
 
     worker_id: str
     cordoned: bool
 
 
 class AdvanceResult(msgspec.Struct, frozen=True):
-    """Effect of advancing a step."""
+    """Effect of advancing a step, and the change of the cordon that it requires, if any."""
 
     effect: Effect
     cordon: CordonChange | None = None
 
 
 class PlanState:
-    """The newest plan, the remembered plan actions and the abandoned workers.
+    """The newest plan, the stored outcomes of plan actions, and the abandoned workers.
 
     Parameters
     ----------
     record
-        The plan to begin with.
+        The newest plan and its progress; None if no plan was ever started.
     actions
-        Remembered plan actions, oldest first.
+        Plan actions whose outcomes are stored, oldest first.
     abandoned
-        Workers that plans have abandoned, oldest first.
+        Workers whose steps were abandoned, oldest first.
     """
 
     def __init__(
@@ -90,15 +93,15 @@
         self._actions = {action.order_id: action for action in actions}
 
     def actions(self) -> list[PlanActionRecord]:
-        """Return the remembered plan actions, oldest first."""
+        """Return the plan actions whose outcomes are stored, oldest first."""
         return list(self._actions.values())
 
     def abandoned(self) -> list[AbandonedWorker]:
-        """Return the workers that plans have abandoned, oldest first."""
+        """Return the workers whose steps were abandoned, oldest first."""
         return list(self._abandoned.values())
 
     def find_action(self, order_id: str) -> PlanActionRecord | None:
-        """Return the plan action remembered under an id."""
+        """Return the stored plan action with an id; None if there is none."""
         return self._actions.get(order_id)
 
     def apply_action(
@@ -107,23 +110,23 @@
         configuration_version: int,
         workers: Sequence[WorkerRecord],
     ) -> PlanResult:
-        """Apply an operator's plan action; a repeated one gets its first outcome.
+        """Apply an operator's plan action; a repeated action gets its first outcome again.
 
         Parameters
         ----------
         command
             The action.
         configuration_version
-            Version of the newest configuration.
+            Version of the current configuration.
         workers
-            The agreed workers.
+            The registered workers.
         """
         content = f"{_ACTION_NAMES[type(command)]}:{command.plan_id}"
-        known = self._actions.get(command.order_id)
-        if known is not None and known.content != content:
+        stored = self._actions.get(command.order_id)
+        if stored is not None and stored.content != content:
             return PlanResult(answer=PlanAnswer.ORDER_ID_REUSED)
-        if known is not None:
-            return PlanResult(answer=known.answer, reason=known.reason, repeated=True)
+        if stored is not None:
+            return PlanResult(answer=stored.answer, reason=stored.reason, repeated=True)
         match command:
             case StartPlan():
                 result = self._start(command, configuration_version, workers)
@@ -133,22 +136,22 @@
                 result = self._resume(command, configuration_version)
             case CancelPlan():
                 result = self._cancel(command)
-        self._remember(command.order_id, content, result)
+        self._store_action(command.order_id, content, result)
         return result
 
     def advance(
         self, command: AdvanceStep, workers: Sequence[WorkerRecord], next_revision: int
     ) -> AdvanceResult:
-        """Advance a step from the phase that the leader saw it in.
+        """Advance a step, if it is still in the phase that the leader expects.
 
         Parameters
         ----------
         command
-            The step, the phase it must be in and the phase it enters.
+            The step, the phase that it must be in, and the phase that it enters.
         workers
-            The agreed workers.
+            The registered workers.
         next_revision
-            The revision that a cordon applied with this step makes.
+            Revision at which a cordon that is applied with this step becomes visible to routers.
         """
         record = self._active_plan(command.plan_id)
         if record is None or not 0 <= command.step < len(record.plan.steps):
@@ -173,7 +176,7 @@
         return AdvanceResult(Effect.CHANGED)
 
     def stop(self, command: StopPlan) -> Effect:
-        """Stop the plan, because it can't be carried out any more: no further step begins."""
+        """Stop the plan because it can no longer be carried out: no further step begins."""
         if self._active_plan(command.plan_id) is None:
             return Effect.UNKNOWN
         if not self._begin_stopping(command.reason):
@@ -182,7 +185,7 @@
         return Effect.CHANGED
 
     def configuration_changed(self) -> None:
-        """Halt a running plan: it was computed for an older configuration."""
+        """Halt a running plan, because it was computed for an older configuration."""
         if self.record is not None and self.record.progress.status is PlanStatus.RUNNING:
             self._set_status(PlanStatus.HALTED, "a newer configuration was taken")
 
@@ -195,7 +198,7 @@
         if plan is None or not plan.steps:
             return PlanResult(answer=PlanAnswer.STALE)
         services = [bounds.service for bounds in plan.bounds]
-        # The basis covers every worker of these services, so nothing can have changed unseen.
+        # The digest covers every worker of these services, so any change to them is detected.
         if plan.configuration_version != configuration_version or plan.basis != basis_digest(
             configuration_version, workers, services
         ):
@@ -240,23 +243,23 @@
         return not begin_objection(record, position, workers)
 
     def _enter_phase(self, record: PlanRecord, command: AdvanceStep, changed: StepProgress) -> None:
-        """Store a step's progress and its consequences for the plan."""
+        """Store a step's progress and update the plan's status accordingly."""
         self._set_step(record, command.step, changed)
         if command.phase in {StepPhase.RETURNING, StepPhase.ABANDONED} and command.reason:
             self._begin_stopping(command.reason)
         self._finish_if_complete()
         if command.phase is StepPhase.ABANDONED:
             step = record.plan.steps[command.step]
-            self._remember_abandoned(step.worker_id, step.incarnation)
+            self._store_abandoned_worker(step.worker_id, step.incarnation)
 
     def _active_plan(self, plan_id: str) -> PlanRecord | None:
-        """Return the plan of an id if it is active."""
+        """Return the newest plan if it has this id and is active; None otherwise."""
         if self.record is None or self.record.plan.plan_id != plan_id or not self.record.active:
             return None
         return self.record
 
     def _begin_stopping(self, reason: str) -> bool:
-        """Set a plan that runs or is halted to stopping; return whether it was."""
+        """Set a running or halted plan to stopping; return False if it was neither."""
         record = self.record
         assert record is not None
         if record.progress.status not in {PlanStatus.RUNNING, PlanStatus.HALTED}:
@@ -265,7 +268,7 @@
         return True
 
     def _finish_if_complete(self) -> None:
-        """Set the final status once no step is open any more."""
+        """Set the plan's final status if no step is open and none remains to be started."""
         record = self.record
         assert record is not None
         phases = {step.phase for step in record.progress.steps}
@@ -289,15 +292,15 @@
         progress = msgspec.structs.replace(record.progress, steps=tuple(steps))
         self.record = msgspec.structs.replace(record, progress=progress)
 
-    def _remember_abandoned(self, worker_id: str, incarnation: str) -> None:
+    def _store_abandoned_worker(self, worker_id: str, incarnation: str) -> None:
         worker = AbandonedWorker(worker_id=worker_id, incarnation=incarnation)
-        insert_newest(self._abandoned, worker_id, worker, ABANDONED_MEMORY)
+        insert_newest(self._abandoned, worker_id, worker, ABANDONED_WORKER_LIMIT)
 
-    def _remember(self, order_id: str, content: str, result: PlanResult) -> None:
+    def _store_action(self, order_id: str, content: str, result: PlanResult) -> None:
         record = PlanActionRecord(
             order_id=order_id, content=content, answer=result.answer, reason=result.reason
         )
-        insert_newest(self._actions, order_id, record, PLAN_ACTION_MEMORY)
+        insert_newest(self._actions, order_id, record, PLAN_ACTION_LIMIT)
 
 
 def _refused(reason: str) -> PlanResult:
--- a/src/orchidpath/state/plans.py
+++ b/src/orchidpath/state/plans.py
@@ -1,7 +1,7 @@
-"""Agreed plans: which workers switch their stage, and the progress of each step.
+"""Plans in the replicated state: which workers switch their stage, and the progress of each step.
 
 A plan is computed by :mod:`orchidpath.placement.planner` and stored in the replicated state, so
-that it survives the leader that started it (docs/design/plans.md).
+that a new leader can continue it after a change of leadership (docs/design/plans.md).
 """
 
 import hashlib
@@ -14,7 +14,7 @@
 
 
 class PlanStatus(StrEnum):
-    """Progress of a plan; the last three are final."""
+    """Progress of a plan; ``DONE``, ``CANCELLED`` and ``STOPPED`` are final."""
 
     RUNNING = "running"
     HALTED = "halted"
@@ -27,7 +27,7 @@
 
 
 FINAL_STATUSES = frozenset({PlanStatus.DONE, PlanStatus.CANCELLED, PlanStatus.STOPPED})
-"""Statuses of a plan that is over."""
+"""Statuses of a plan that has ended."""
 
 
 class StepPhase(StrEnum):
@@ -35,17 +35,17 @@
 
     WAITING = "waiting"
     CORDONING = "holding"
-    """Cordoned; some router may not have applied it yet."""
+    """The worker is cordoned, but some routers may not have applied the cordon yet."""
     DRAINING = "draining"
     SWITCHING = "switching"
     RESUMING = "resuming"
-    """The worker has announced its new stage and is to accept requests."""
+    """The worker has announced its new stage and is instructed to accept requests."""
     RELEASED = "released"
     RETURNING = "returning"
-    """Rolled back before the switch: the worker is to accept requests in its present stage."""
+    """The step is rolled back: the worker is instructed to accept requests in its current stage."""
     RETURNED = "returned"
     ABANDONED = "abandoned"
-    """The worker was lost, restarted or silent; its stage is what it announces."""
+    """The worker was lost, restarted or did not respond; its stage is the one that it announces."""
 
 
 OPEN_PHASES = frozenset(
@@ -74,7 +74,7 @@
 
 
 class PlanStep(msgspec.Struct, frozen=True, kw_only=True):
-    """One worker switches its stage; it concerns that incarnation only."""
+    """The stage switch of one worker; it applies only to the given incarnation."""
 
     worker_id: str
     incarnation: str
@@ -84,11 +84,12 @@
 
 
 class ServiceBounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds that a plan keeps for one service.
+    """Bounds that a plan respects for one service.
 
-    At most ``max_cordoned`` workers are cordoned at once. A step begins only if its stage keeps
-    ``minimum_prefill`` or ``minimum_decode`` serving workers without it. A worker may drain for
-    ``drain_seconds``, which covers the longest request of the service.
+    At most ``max_cordoned`` workers are cordoned at once. A step begins only if the worker's
+    current stage keeps ``minimum_prefill`` or ``minimum_decode`` serving workers without that
+    worker. A worker may drain for ``drain_seconds``, which covers the longest request of the
+    service.
     """
 
     service: str
@@ -98,16 +99,16 @@
     drain_seconds: float
 
     def minimum(self, stage: Stage) -> int:
-        """Return the least number of serving workers of a stage."""
+        """Return the minimum number of serving workers of a stage."""
         return self.minimum_prefill if stage is Stage.PREFILL else self.minimum_decode
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """Which workers switch their stage, in this order.
+    """A sequence of steps, each of which switches the stage of one worker.
 
-    ``basis`` is :func:`basis_digest` of what it was computed from. ``plan_id`` is a digest of the
-    basis, the steps and the bounds, so the same id always means the same plan. ``revision`` is
-    the one at which it was computed and is not part of the id.
+    ``basis`` is the :func:`basis_digest` of the plan's inputs. ``plan_id`` is a digest of the
+    basis, the steps and the bounds, so equal ids mean equal plans. ``revision`` is the revision
+    at which the plan was computed; it is not part of the id.
     """
 
     plan_id: str
@@ -118,12 +119,12 @@
     bounds: tuple[ServiceBounds, ...]
 
     def bounds_of(self, service: str) -> ServiceBounds:
-        """Return the bounds of a service that has steps."""
+        """Return the bounds of a service that has steps in this plan."""
         return next(bounds for bounds in self.bounds if bounds.service == service)
 
 
 class StepProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """Progress of a step; the cordon is part of the view from ``cordoned_revision`` on."""
+    """Progress of a step; ``cordoned_revision`` is the first revision that has the cordon."""
 
     phase: StepPhase = StepPhase.WAITING
     cordoned_revision: int = msgspec.field(default=0, name="held_revision")
@@ -131,7 +132,7 @@
 
 
 class PlanProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """Progress of a plan, step by step; ``reason`` tells why it halted or stopped."""
+    """Progress of a plan and of each step; ``reason`` is why the plan halted or stopped."""
 
     status: PlanStatus
     steps: tuple[StepProgress, ...]
@@ -146,12 +147,12 @@
 
     @property
     def active(self) -> bool:
-        """Whether the plan is not over: while it is active, no other one may start."""
+        """Whether the plan has not ended; while a plan is active, no other plan may start."""
         return self.progress.status not in FINAL_STATUSES
 
 
 class AbandonedWorker(msgspec.Struct, frozen=True, kw_only=True):
-    """An incarnation whose step was abandoned; it may announce itself again while draining."""
+    """An incarnation whose step was abandoned; it may announce itself later, still draining."""
 
     worker_id: str
     incarnation: str
@@ -162,13 +163,13 @@
 
     ACCEPTED = "accepted"
     STALE = "stale"
-    """The plan was computed from an older state."""
+    """The plan was computed from an older state, or is not available any more."""
     REFUSED = "refused"
     ORDER_ID_REUSED = "order_id_reused"
 
 
 class PlanActionRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A remembered plan action and its first outcome."""
+    """A plan action and its first outcome, stored for the case that the action is repeated."""
 
     order_id: str
     content: str
@@ -179,16 +180,16 @@
 def basis_digest(
     configuration_version: int, workers: Iterable[WorkerRecord], services: Iterable[str]
 ) -> str:
-    """Return the digest of what a plan for some services depends on.
+    """Return the digest of the inputs of a plan for some services.
 
     Parameters
     ----------
     configuration_version
-        Version of the configuration that sets the desired counts.
+        Version of the configuration that sets the desired numbers of workers.
     workers
-        The agreed workers.
+        The registered workers.
     services
-        Services that the plan has steps for; workers of others are ignored.
+        Services that the plan has steps for; workers of other services are ignored.
 
     Returns
     -------
@@ -210,10 +211,10 @@
 
 
 def begin_objection(record: PlanRecord, position: int, workers: Iterable[WorkerRecord]) -> str:
-    """Return why a waiting step may not begin; empty if it may.
+    """Return the reason why a waiting step may not begin; empty if it may.
 
-    Checked by the leader before it proposes the step and again when the step is applied, because
-    workers may have been lost in between (docs/design/plans.md, "Bounds").
+    The leader checks this before it proposes the step. It is checked again when the step is
+    applied, because workers may have been lost in between (docs/design/plans.md, "Bounds").
     """
     step = record.plan.steps[position]
     minimum = record.plan.bounds_of(step.service).minimum(step.from_stage)
--- a/src/orchidpath/state/witnesses.py
+++ b/src/orchidpath/state/witnesses.py
@@ -1,8 +1,10 @@
-"""Choice of the witness routers and the history of the sets that were in force.
+"""Selection of the witness routers, and the history of the witness sets.
 
-A router that does not hear the leader may still serve if a majority of the witnesses knows no
-newer revision. A change of the state is confirmed only when it has reached a majority of every
-witness set that some router may still use, so the history of the sets is part of the state.
+A witness is a router that other routers query for the newest revision. A router that does not
+receive messages from the leader may still serve if a majority of the witnesses has no newer
+revision than its own. A change of the state is therefore confirmed only when it has reached a
+majority of every witness set that some router may still use, and the history of the witness sets
+is part of the replicated state.
 """
 
 from collections import Counter
@@ -14,22 +16,22 @@
 from orchidpath.wire.records import RouterRecord
 
 WITNESS_LIMIT = 9
-"""Largest number of witness routers; it bounds the cost of a freshness query."""
+"""Maximum number of witness routers; it bounds the cost of a freshness query."""
 
 WITNESS_HISTORY_LIMIT = 1024
-"""Number of witness sets that are remembered."""
+"""Maximum number of witness sets in the history."""
 
 
 class WitnessHistoryLostError(OrchidpathError):
-    """The witness sets since a revision are no longer all remembered.
+    """The history no longer contains every witness set since a revision.
 
-    The caller must not conclude that a quorum intersection holds; it may wait for every lease
-    that could rest on the older sets to expire, and then query from a newer revision.
+    The caller must not conclude that the quorums intersect. It may wait until every lease that
+    could depend on the older sets has expired, and then query from a newer revision.
     """
 
 
 class WitnessSet(msgspec.Struct, frozen=True, kw_only=True):
-    """A witness set and the revision from which it is in force."""
+    """A witness set and the revision from which it is effective."""
 
     revision: int
     witnesses: tuple[str, ...]
@@ -40,24 +42,30 @@
 ) -> tuple[str, ...]:
     """Return the witness set for the registered routers.
 
-    A registered witness stays one. A vacancy goes to the zone with the fewest witnesses among
-    those that have a candidate, and there to the lowest id.
+    A witness that is still registered remains a witness. A vacancy is filled from the zone with
+    the fewest witnesses among the zones that have a candidate, with the candidate of the lowest
+    id.
 
     Parameters
     ----------
     current
-        The witness set so far.
+        The current witness set.
     routers
         Registered routers by id.
     limit
-        Largest number of witnesses.
+        Maximum number of witnesses.
     """
     chosen = {router_id for router_id in current if router_id in routers}
     zone_counts = Counter(routers[router_id].zone for router_id in chosen)
     candidates = set(routers) - chosen
     while candidates and len(chosen) < limit:
         best = min(
-            candidates, key=lambda item: (zone_counts[routers[item].zone], routers[item].zone, item)
+            candidates,
+            key=lambda router_id: (
+                zone_counts[routers[router_id].zone],
+                routers[router_id].zone,
+                router_id,
+            ),
         )
         candidates.discard(best)
         chosen.add(best)
@@ -66,17 +74,18 @@
 
 
 class WitnessHistory:
-    """The witness sets by the revision from which each was in force.
+    """The witness sets, each with the revision from which it is effective.
 
-    A set is only forgotten once a revision has been confirmed under a later one: a router that
-    serves may still use it until then, and forgetting it would let a quorum miss that router.
+    A set is removed only after a revision has been confirmed at which a later set was effective.
+    Until then a serving router may still use the older set; if that set were removed, a quorum
+    might not include that router.
 
     Parameters
     ----------
     sets
-        Sets to begin with, oldest first; without any, no router is a witness from revision 0.
+        Initial sets, oldest first; by default, one empty set from revision 0.
     limit
-        Number of sets that are remembered.
+        Maximum number of sets.
     """
 
     def __init__(self, sets: Iterable[WitnessSet] = (), limit: int = WITNESS_HISTORY_LIMIT) -> None:
@@ -84,30 +93,30 @@
         self._sets = list(sets) or [WitnessSet(revision=0, witnesses=())]
 
     def current(self) -> tuple[str, ...]:
-        """Return the witness set in force now."""
+        """Return the current witness set."""
         return self._sets[-1].witnesses
 
     def sets(self) -> list[WitnessSet]:
-        """Return the remembered sets, oldest first."""
+        """Return the sets of the history, oldest first."""
         return list(self._sets)
 
     def change(self, revision: int, witnesses: tuple[str, ...], confirmed_revision: int) -> bool:
-        """Put a set in force from a revision.
+        """Replace the current witness set from a revision on.
 
         Parameters
         ----------
         revision
             The revision that changed the registered routers.
         witnesses
-            The new set; one equal to the current set changes nothing.
+            The new set; if it equals the current set, nothing changes.
         confirmed_revision
             Every serving router has applied this revision or a newer one.
 
         Returns
         -------
         bool
-            False if the history is full of sets that may still be in use. The current set then
-            stays in force: a vacancy is left open, and no quorum intersection is lost.
+            False if the history is full and every set in it may still be in use. The current set
+            then remains effective: a vacancy is not filled, but the quorums still intersect.
         """
         if witnesses == self.current():
             return True
@@ -119,19 +128,25 @@
         return True
 
     def since(self, revision: int) -> tuple[tuple[str, ...], ...]:
-        """Return every distinct set in force from a revision up to now, oldest first.
+        """Return every distinct set that was effective at a revision or later, oldest first.
 
-        An empty set is left out: no router can be fresh by a majority of nobody.
+        Empty sets are left out: no router can be confirmed as fresh by an empty set of witnesses.
 
         Raises
         ------
         WitnessHistoryLostError
-            Sets of that time have been forgotten.
+            A set that was effective at that revision has been removed from the history.
         """
         if revision < self._sets[0].revision:
-            raise WitnessHistoryLostError(f"no witness sets remembered for revision {revision}")
+            raise WitnessHistoryLostError(
+                f"the witness set of an earlier revision was removed from the history: {revision}"
+            )
         first = max(
-            position for position, item in enumerate(self._sets) if item.revision <= revision
+            position
+            for position, witness_set in enumerate(self._sets)
+            if witness_set.revision <= revision
         )
-        in_force = [item.witnesses for item in self._sets[first:] if item.witnesses]
-        return tuple(dict.fromkeys(in_force))
+        witness_sets = [
+            witness_set.witnesses for witness_set in self._sets[first:] if witness_set.witnesses
+        ]
+        return tuple(dict.fromkeys(witness_sets))
--- a/src/orchidpath/state/workers.py
+++ b/src/orchidpath/state/workers.py
@@ -1,4 +1,8 @@
-"""The agreed workers, the cordoned ones, and the incarnations that are known to be dead."""
+"""The registered workers, the cordoned workers and the dead incarnations.
+
+An incarnation is one run of a worker process. It is dead once it was removed or once a newer
+incarnation of the same worker replaced it.
+"""
 
 from collections.abc import Iterable
 
@@ -8,19 +12,22 @@
 from orchidpath.state.outcomes import Effect
 from orchidpath.wire.records import WorkerRecord, WorkerStatus
 
-DEAD_INCARNATION_MEMORY = 4096
-"""Number of the newest dead incarnations that are remembered."""
+DEAD_INCARNATION_LIMIT = 4096
+"""Number of newest dead incarnations that are stored."""
 
 
 class WorkerEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's agreed record and the sequence of the announcement that it came with."""
+    """A worker's record and the sequence number of its newest announcement."""
 
     record: WorkerRecord
     sequence: int
 
 
 class DeadIncarnation(msgspec.Struct, frozen=True, kw_only=True):
-    """An incarnation that was removed or replaced, and the sequence of its newest announcement."""
+    """An incarnation that was removed or replaced.
+
+    ``sequence`` is the highest sequence number of an announcement that no longer registers it.
+    """
 
     worker_id: str
     incarnation: str
@@ -30,8 +37,8 @@
 class WorkerChange(msgspec.Struct, frozen=True, kw_only=True):
     """Effect of a command about a worker.
 
-    ``record`` is the changed record if the view has changed; its status is GONE for a removed
-    worker.
+    ``record`` is the changed record if the routers' view has changed; the record of a removed
+    worker has the status ``GONE``.
     """
 
     effect: Effect
@@ -39,18 +46,18 @@
 
 
 class WorkerTable:
-    """The workers in the view, the cordoned workers and the dead incarnations.
+    """The registered workers, the cordoned workers and the dead incarnations.
 
     Parameters
     ----------
     entries
-        Workers in the view.
+        Registered workers.
     dead
         Dead incarnations, oldest first.
     cordoned
         Ids of the cordoned workers.
     dead_limit
-        Number of dead incarnations that are remembered.
+        Number of dead incarnations that are stored.
     """
 
     def __init__(
@@ -58,7 +65,7 @@
         entries: Iterable[WorkerEntry] = (),
         dead: Iterable[DeadIncarnation] = (),
         cordoned: Iterable[str] = (),
-        dead_limit: int = DEAD_INCARNATION_MEMORY,
+        dead_limit: int = DEAD_INCARNATION_LIMIT,
     ) -> None:
         self._entries = {entry.record.worker_id: entry for entry in entries}
         self._dead = {(item.worker_id, item.incarnation): item.sequence for item in dead}
@@ -66,11 +73,11 @@
         self._dead_limit = dead_limit
 
     def find(self, worker_id: str) -> WorkerEntry | None:
-        """Return a worker that is in the view."""
+        """Return the entry of a registered worker; None if it is not registered."""
         return self._entries.get(worker_id)
 
     def entries(self) -> list[WorkerEntry]:
-        """Return the workers in the view, by id."""
+        """Return the registered workers, sorted by id."""
         return [self._entries[worker_id] for worker_id in sorted(self._entries)]
 
     def dead(self) -> list[DeadIncarnation]:
@@ -85,21 +92,22 @@
         return sorted(self._cordoned)
 
     def is_known(self, worker_id: str) -> bool:
-        """Return whether a worker is in the view or one of its dead incarnations is remembered."""
+        """Return whether a worker is registered or one of its dead incarnations is stored."""
         return worker_id in self._entries or any(key[0] == worker_id for key in self._dead)
 
     def announce(self, record: WorkerRecord, sequence: int) -> WorkerChange:
         """Apply a worker's announcement.
 
-        A late announcement changes nothing: neither one with a lower sequence of the current
-        incarnation, nor one of a dead incarnation that was already covered when it died.
+        An announcement that arrives late is stale and changes nothing. That holds for the current
+        incarnation if the sequence number is below the stored one, and for a dead incarnation if
+        the sequence number is not above the one stored when the incarnation was removed.
         """
         if record.status is WorkerStatus.GONE or not record.worker_id or not record.incarnation:
             return WorkerChange(effect=Effect.INVALID)
-        agreed = self._complete(record)
+        agreed = self._with_stored_cordon(record)
         current = self._entries.get(record.worker_id)
         if current is not None and current.record.incarnation == record.incarnation:
-            return self._renew(current, agreed, sequence)
+            return self._update_current(current, agreed, sequence)
         key = (record.worker_id, record.incarnation)
         if sequence <= self._dead.get(key, sequence - 1):
             return WorkerChange(effect=Effect.STALE)
@@ -110,7 +118,7 @@
         return WorkerChange(effect=Effect.CHANGED, record=agreed)
 
     def remove(self, worker_id: str, incarnation: str, sequence: int) -> WorkerChange:
-        """Remove a worker from the view if that incarnation is the current one."""
+        """Remove a registered worker if the given incarnation is its current one."""
         current = self._entries.get(worker_id)
         if current is None or current.record.incarnation != incarnation:
             return WorkerChange(effect=Effect.STALE)
@@ -120,10 +128,10 @@
         return WorkerChange(effect=Effect.CHANGED, record=removed)
 
     def cordon(self, worker_id: str, cordoned: bool) -> WorkerChange:
-        """Cordon a worker, so that it gets no new requests, or release it.
+        """Cordon a worker, so that it receives no new requests, or release it.
 
-        The cordon is stored outside the record, so that an announcement or a restart in the
-        middle of a plan does not release the worker.
+        The cordon is stored separately from the record, so that an announcement or a restart
+        during a plan does not release the worker.
         """
         if not self.is_known(worker_id):
             return WorkerChange(effect=Effect.UNKNOWN)
@@ -140,8 +148,10 @@
         self._entries[worker_id] = WorkerEntry(record=record, sequence=current.sequence)
         return WorkerChange(effect=Effect.CHANGED, record=record)
 
-    def _renew(self, current: WorkerEntry, agreed: WorkerRecord, sequence: int) -> WorkerChange:
-        """Apply a further announcement of the current incarnation."""
+    def _update_current(
+        self, current: WorkerEntry, agreed: WorkerRecord, sequence: int
+    ) -> WorkerChange:
+        """Apply another announcement of the current incarnation."""
         if sequence < current.sequence:
             return WorkerChange(effect=Effect.STALE)
         if agreed == current.record:
@@ -152,8 +162,8 @@
         self._entries[agreed.worker_id] = WorkerEntry(record=agreed, sequence=sequence)
         return WorkerChange(effect=Effect.CHANGED, record=agreed)
 
-    def _complete(self, record: WorkerRecord) -> WorkerRecord:
-        """Return the record with its default failure domain and the agreed cordon."""
+    def _with_stored_cordon(self, record: WorkerRecord) -> WorkerRecord:
+        """Return the record with its stored cordon and its failure domain, by default its id."""
         return msgspec.structs.replace(
             record,
             failure_domain=record.failure_domain or record.worker_id,
@@ -161,8 +171,12 @@
         )
 
     def _add_dead(self, entry: WorkerEntry, sequence: int) -> None:
-        """Remember an incarnation as dead and forget the oldest ones beyond the limit."""
+        """Store an incarnation as dead, and evict the oldest dead incarnations above the limit.
+
+        A cordon is released when its worker is not registered and its last dead incarnation was
+        evicted, so the number of cordons is bounded too.
+        """
         key = (entry.record.worker_id, entry.record.incarnation)
-        for forgotten_id, _ in insert_newest(self._dead, key, sequence, self._dead_limit):
-            if not self.is_known(forgotten_id):
-                self._cordoned.discard(forgotten_id)
+        for evicted_id, _ in insert_newest(self._dead, key, sequence, self._dead_limit):
+            if not self.is_known(evicted_id):
+                self._cordoned.discard(evicted_id)
