--- a/src/orchidpath/state/__init__.py
+++ b/src/orchidpath/state/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated state machine: configuration, fleet membership, orders and circuits."""
+"""The replicated state machine: configuration, membership, plans, circuits and outcomes."""
--- a/src/orchidpath/state/bounded_table.py
+++ b/src/orchidpath/state/bounded_table.py
@@ -1,7 +1,7 @@
-"""Insertion into a table that forgets its oldest entries beyond a limit.
+"""Insertion into a table that evicts its oldest entries above a limit.
 
-The replicated state remembers outcomes, incarnations and workers in tables of this kind. The
-order of insertion is part of the state, so every replica forgets the same entries.
+The replicated state stores outcomes, incarnations and abandoned workers in such tables. The order
+of insertion is part of the state, so every replica evicts the same entries.
 """
 
 from typing import TypeVar
@@ -13,7 +13,7 @@
 def insert_newest(
     table: dict[KeyT, ValueT], key: KeyT, value: ValueT, limit: int
 ) -> tuple[KeyT, ...]:
-    """Insert an entry as the newest one, in place of an older entry with the same key.
+    """Insert an entry as the newest one, replacing an older entry with the same key.
 
     Parameters
     ----------
@@ -27,13 +27,13 @@
     Returns
     -------
     tuple
-        Keys of the entries that were forgotten, oldest first.
+        Keys of the evicted entries, oldest first.
     """
     table.pop(key, None)
     table[key] = value
-    forgotten = []
+    evicted = []
     while len(table) > limit:
         oldest = next(iter(table))
         del table[oldest]
-        forgotten.append(oldest)
-    return tuple(forgotten)
+        evicted.append(oldest)
+    return tuple(evicted)
--- a/src/orchidpath/state/changes.py
+++ b/src/orchidpath/state/changes.py
@@ -1,4 +1,4 @@
-"""The newest changes of the state, from which a router that lags a little gets a delta."""
+"""The newest changes of the state, from which deltas for slightly outdated routers are made."""
 
 from collections import deque
 
@@ -10,14 +10,15 @@
 )
 from orchidpath.wire.records import RouterRecord, WorkerRecord
 
-CHANGE_MEMORY = 1024
-"""Number of the newest revisions that are remembered as changes."""
+CHANGE_LOG_LIMIT = 1024
+"""Number of newest revisions whose changes are stored."""
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """What one revision changed: exactly one of a worker, a router or the configuration.
+    """The change that created a revision, either of a worker, of a router or of the configuration.
 
-    ``router`` was registered or changed; ``removed_router`` is the id of a removed one.
+    ``router`` is the record of a registered or changed router, and ``removed_router`` the id of a
+    removed router.
     """
 
     revision: int
@@ -28,7 +29,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that changed above a revision: the newest record of each, by id."""
+    """All changes after a revision: the newest record of each worker and router, sorted by id."""
 
     workers: tuple[WorkerRecord, ...] = ()
     routers: tuple[RouterRecord, ...] = ()
@@ -37,31 +38,31 @@
 
     @property
     def routers_changed(self) -> bool:
-        """Whether the registered routers changed, and so perhaps the witnesses."""
+        """Whether registered routers changed, in which case the witnesses may have changed too."""
         return bool(self.routers or self.removed_routers)
 
 
 class ChangeLog:
-    """The changes of the newest revisions, without a gap up to the current one.
+    """The changes of the newest revisions, without gaps up to the current revision.
 
-    It only reduces what is sent and is no part of the replicated state: without it, every update
-    is a full view.
+    The change log is not part of the replicated state; it only reduces the size of updates.
+    Without it, every update would be a full view.
     """
 
     def __init__(self) -> None:
-        self._changes: deque[Change] = deque(maxlen=CHANGE_MEMORY)
+        self._changes: deque[Change] = deque(maxlen=CHANGE_LOG_LIMIT)
 
     def add(self, change: Change) -> None:
-        """Add the change that made a revision."""
+        """Append the change that created the newest revision."""
         self._changes.append(change)
 
     def since(self, revision: int) -> Delta | None:
-        """Return what changed above a revision.
+        """Return the changes after a revision.
 
         Returns
         -------
         Delta or None
-            None if the changes are not remembered that far back.
+            None if the changes directly after that revision are no longer stored.
         """
         if not self._changes or self._changes[0].revision > revision + 1:
             return None
--- a/src/orchidpath/state/circuits.py
+++ b/src/orchidpath/state/circuits.py
@@ -1,4 +1,4 @@
-"""Agreed circuits of the workers, and agreed capacity circuits of the failure domains."""
+"""Replicated circuits of the workers, and replicated capacity circuits of the failure domains."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,8 +11,8 @@
 from orchidpath.state.outcomes import CapacityResult, CircuitResult, Effect
 from orchidpath.wire.records import CapacityRecord, CircuitRecord
 
-CIRCUIT_MEMORY = 8192
-"""Beyond this many circuits, those of forgotten workers are dropped."""
+CIRCUIT_LIMIT = 8192
+"""Number of circuits above which the circuits of unknown workers are evicted."""
 
 
 class AgreedCircuits:
@@ -21,9 +21,9 @@
     Parameters
     ----------
     circuits
-        Workers' circuits to begin with.
+        Initial circuits of workers.
     capacities
-        Capacity circuits to begin with.
+        Initial capacity circuits.
     sequence
         Number of changes so far.
     """
@@ -39,23 +39,23 @@
         self.sequence = sequence
 
     def find_circuit(self, worker_id: str) -> CircuitRecord | None:
-        """Return a worker's circuit."""
+        """Return a worker's circuit; None if it never left its initial state."""
         return self._circuits.get(worker_id)
 
     def find_capacity(self, failure_domain: str) -> CapacityRecord | None:
-        """Return a failure domain's capacity circuit."""
+        """Return a failure domain's capacity circuit; None if it never left its initial state."""
         return self._capacities.get(failure_domain)
 
     def circuits(self) -> list[CircuitRecord]:
-        """Return the workers' circuits, by worker."""
+        """Return the workers' circuits, sorted by worker id."""
         return [self._circuits[worker_id] for worker_id in sorted(self._circuits)]
 
     def capacities(self) -> list[CapacityRecord]:
-        """Return the capacity circuits, by failure domain."""
+        """Return the capacity circuits, sorted by failure domain."""
         return [self._capacities[domain] for domain in sorted(self._capacities)]
 
     def change_circuit(self, transition: CircuitTransition) -> CircuitResult:
-        """Apply a circuit's transition, which takes effect on the expected generation only."""
+        """Apply a transition to a worker's circuit if the circuit has the expected generation."""
         current = self._circuits.get(transition.worker_id)
         record = apply_circuit_transition(current, transition)
         if record.generation == (0 if current is None else current.generation):
@@ -65,7 +65,7 @@
         return CircuitResult(effect=Effect.CHANGED, record=record)
 
     def change_capacity(self, transition: CapacityTransition) -> CapacityResult:
-        """Apply a capacity circuit's transition, on the expected generation only."""
+        """Apply a transition to a capacity circuit if the circuit has the expected generation."""
         current = self._capacities.get(transition.failure_domain)
         record = apply_capacity_transition(current, transition)
         if record.generation == (0 if current is None else current.generation):
@@ -74,10 +74,10 @@
         self.sequence += 1
         return CapacityResult(effect=Effect.CHANGED, record=record)
 
-    def evict_unknown(self, is_known: Callable[[str], bool], limit: int = CIRCUIT_MEMORY) -> None:
-        """Drop the circuits of workers that are no longer known, once there are many."""
+    def evict_unknown(self, is_known: Callable[[str], bool], limit: int = CIRCUIT_LIMIT) -> None:
+        """Evict the circuits of unknown workers if there are more than ``limit`` circuits."""
         if len(self._circuits) <= limit:
             return
-        forgotten = [worker_id for worker_id in self._circuits if not is_known(worker_id)]
-        for worker_id in forgotten:
+        unknown_ids = [worker_id for worker_id in self._circuits if not is_known(worker_id)]
+        for worker_id in unknown_ids:
             del self._circuits[worker_id]
--- a/src/orchidpath/state/commands.py
+++ b/src/orchidpath/state/commands.py
@@ -116,7 +116,7 @@
 class LeaderStarted(msgspec.Struct, frozen=True, kw_only=True, tag="leader_started"):
     """Records the term of a new leader; it is the first command that a leader proposes.
 
-    Once it is committed, ``term`` is the highest term whose leader has committed a command.
+    The state stores the highest term whose leader has committed this command.
     """
 
     term: int
@@ -125,8 +125,8 @@
 class RevisionConfirmed(msgspec.Struct, frozen=True, kw_only=True, tag="revision_confirmed"):
     """Records that every serving router has applied ``revision`` or a newer one.
 
-    Witness sets that were replaced before this revision are no longer needed to confirm a later
-    revision.
+    Witness sets that were replaced at this revision or before it are no longer needed to confirm
+    a later revision.
     """
 
     revision: int
--- a/src/orchidpath/state/configuration_checks/__init__.py
+++ b/src/orchidpath/state/configuration_checks/__init__.py
@@ -1,5 +1,5 @@
-"""Checks of a configuration before it is accepted: structure, ranges, names, references, paths.
+"""Checks of a configuration before it is proposed: structure, ranges, names, references, paths.
 
-Begin with :mod:`.validation`. Imported by the control process's API, the command line and the
-platform adapter; the replicated state itself accepts what was checked.
+The entry point is :mod:`.validation`. It is used by the control process's API, the command line
+and the platform adapter. The replicated state applies committed configurations without checks.
 """
--- a/src/orchidpath/state/configuration_checks/forward_validation.py
+++ b/src/orchidpath/state/configuration_checks/forward_validation.py
@@ -1,4 +1,4 @@
-"""Checks of the forward routes of a configuration and of the limits of their callers."""
+"""Checks of the forward routes of a configuration and of its limits for client connections."""
 
 from collections.abc import Hashable, Iterator
 
@@ -9,14 +9,14 @@
 
 
 def forward_problems(configuration: Configuration, unreadable: frozenset[str]) -> list[Problem]:
-    """Return every problem of the forward routes, by path.
+    """Return every problem of the forward routes, the edge limits and the label.
 
     Parameters
     ----------
     configuration
-        The configuration.
+        The configuration, with placeholders at unreadable paths.
     unreadable
-        Paths that could not be read; checks that depend on them are skipped.
+        Paths of values that could not be decoded; checks that depend on them are skipped.
     """
     problems = range_problems(configuration.edge_limits, "edge_limits")
     services = {service.name for service in configuration.services}
@@ -39,7 +39,10 @@
 
 def _match_problems(route: ForwardRoute, path: str) -> Iterator[Problem]:
     if not route.host or not route.host.isprintable() or " " in route.host:
-        yield Problem(path=f"{path}.host", message="must be a host without blanks")
+        yield Problem(
+            path=f"{path}.host",
+            message="must be a host name of printable characters without spaces",
+        )
     prefix = route.path_prefix
     if not prefix.startswith("/") or not prefix.endswith("/"):
         message = "must begin and end with a slash"
@@ -50,7 +53,9 @@
     route: ForwardRoute, path: str, services: set[str] | None
 ) -> Iterator[Problem]:
     if sum(target.weight for target in route.services) <= 0:
-        yield Problem(path=f"{path}.services", message="must have a weight above 0")
+        yield Problem(
+            path=f"{path}.services", message="must include a service whose weight is above 0"
+        )
     for position, target in enumerate(route.services):
         target_path = f"{path}.services[{position}]"
         yield from range_problems(target, target_path)
@@ -62,7 +67,7 @@
 def _repetition_problems(
     first: dict[Hashable, int], key: Hashable, position: int, path: str
 ) -> Iterator[Problem]:
-    """Report a value that an earlier route already has."""
+    """Return a problem if an earlier route already has the value ``key``."""
     earlier = first.setdefault(key, position)
     if earlier != position:
         yield Problem(path=path, message=f"repeats forward_routes[{earlier}]: {key!r}")
--- a/src/orchidpath/state/configuration_checks/path_patterns.py
+++ b/src/orchidpath/state/configuration_checks/path_patterns.py
@@ -1,54 +1,57 @@
-"""Path patterns of plain routes: their form, and patterns that can match the same path.
+"""Path patterns of plain routes: their syntax, and overlaps between patterns.
 
-A segment in braces matches any value, and no pattern takes precedence over another; so two
-patterns of one method that can match the same path are ambiguous.
+A segment in braces is a variable, which matches any value. No pattern takes precedence over
+another, so two patterns of one method are ambiguous if they can match the same path.
 """
 
 from collections.abc import Iterator
 
 WILDCARD = "{}"
-"""Stands for any segment in braces; it is not a valid literal segment."""
+"""Represents every segment in braces; it is not a valid literal segment."""
 
 _REJECTED_CHARACTERS = frozenset("?#%{}\\")
-"""Never part of a decoded path segment, or written in more than one way."""
+"""Characters that a decoded path segment cannot contain or that have more than one encoding."""
 
 
 def pattern_problem(path: str) -> str:
-    """Return what is wrong with the form of a path pattern; nothing if it is well formed."""
+    """Return the problem of a path pattern's syntax; empty if the pattern is well formed."""
     if not path.startswith("/"):
         return "must begin with /"
     segments = path[1:].split("/")
     for position, segment in enumerate(segments):
         last = position == len(segments) - 1
         if not segment and not last:
-            return "must not hold an empty segment"
+            return "must not contain an empty segment"
         inner = segment[1:-1] if _is_variable(segment) else segment
         if _is_variable(segment) and not inner:
-            return "must name the value between braces"
+            return "must have a variable name between braces"
         if not _REJECTED_CHARACTERS.isdisjoint(inner) or not _is_visible_ascii(inner):
-            return f"holds a segment that is neither plain nor in braces: {segment!r}"
+            return f"must consist of literal segments and variables in braces, but has {segment!r}"
         if inner in {".", ".."}:
-            return "must not hold a . or .. segment"
+            return "must not contain a . or .. segment"
     return ""
 
 
 def pattern_segments(path: str) -> tuple[str, ...]:
-    """Return the segments of a pattern, with every segment in braces as the wildcard."""
+    """Return the segments of a pattern, with the wildcard in place of each segment in braces."""
     return tuple(WILDCARD if _is_variable(segment) else segment for segment in path[1:].split("/"))
 
 
 class PatternIndex:
-    """Patterns of one method, in a tree by segments, so that overlaps are found quickly."""
+    """The patterns of one method in a prefix tree of segments, which finds overlaps quickly.
+
+    The owner of a pattern is the position of its route.
+    """
 
     def __init__(self) -> None:
         self._root = _Node()
 
     def overlapping(self, segments: tuple[str, ...]) -> int | None:
-        """Return the lowest owner of a pattern that overlaps this one; None if there is none."""
+        """Return the lowest owner of all patterns that overlap this one; None if there is none."""
         return min(self._owners(self._root, segments), default=None)
 
     def add(self, segments: tuple[str, ...], owner: int) -> None:
-        """Add a pattern; an equal pattern keeps its first owner."""
+        """Add a pattern; if an equal pattern was added before, its owner remains."""
         node = self._root
         for segment in segments:
             node = node.children.setdefault(segment, _Node())
@@ -61,7 +64,7 @@
                 yield node.owner
             return
         if segments[0] == WILDCARD:
-            # An empty last segment (a trailing slash) is no value, so a variable cannot match it.
+            # The empty last segment after a trailing slash has no value for a variable to match.
             following = [child for literal, child in node.children.items() if literal]
         else:
             names = [segments[0], WILDCARD] if segments[0] else [segments[0]]
@@ -71,7 +74,7 @@
 
 
 class _Node:
-    """One node of the tree: the children by segment, and the pattern that ends here."""
+    """A node of the tree: its children by segment, and the owner of the pattern that ends here."""
 
     def __init__(self) -> None:
         self.children: dict[str, _Node] = {}
--- a/src/orchidpath/state/configuration_checks/ranges.py
+++ b/src/orchidpath/state/configuration_checks/ranges.py
@@ -1,4 +1,4 @@
-"""Ranges of the numbers in a configuration."""
+"""Permitted ranges of the numbers in a configuration."""
 
 import msgspec
 
@@ -16,17 +16,17 @@
 )
 
 MAX_SECONDS = 86_400.0
-"""Longest time in a configuration: a day."""
+"""Maximum duration in a configuration, in seconds (one day)."""
 
 MAX_COUNT = 1_000_000_000
-"""Largest count in a configuration; every count fits into 32 bits."""
+"""Maximum count in a configuration; every count fits into 32 bits."""
 
 MAX_ATTEMPTS = 100
-"""Largest number of attempts of one request."""
+"""Maximum number of attempts of one request."""
 
 
 class Range(msgspec.Struct, frozen=True, kw_only=True):
-    """A closed range; with ``above`` its lower end is excluded."""
+    """A closed range; if ``above`` is set, the range excludes its minimum."""
 
     minimum: float
     maximum: float
@@ -39,7 +39,7 @@
         return self.minimum <= value <= self.maximum
 
     def describe(self) -> str:
-        """Return the range in words."""
+        """Return a description of the range for an error message."""
         lower = "above" if self.above else "at least"
         return f"{lower} {self.minimum:g} and at most {self.maximum:g}"
 
@@ -114,12 +114,12 @@
 
 
 def range_problems(value: msgspec.Struct, path: str) -> list[Problem]:
-    """Return the numbers of a struct of a configuration that are out of range.
+    """Return a problem for each number of a configuration's struct that is out of range.
 
     Parameters
     ----------
     value
-        A service, route or policy.
+        A struct of the configuration, such as a service, route or policy.
     path
         Its path in the configuration.
     """
--- a/src/orchidpath/state/configuration_checks/structure.py
+++ b/src/orchidpath/state/configuration_checks/structure.py
@@ -1,7 +1,8 @@
-"""Structure of a configuration: fields and their types, checked without stopping at the first.
+"""Checks of a configuration's structure: its fields and their types, with all problems reported.
 
-A value that cannot be read is replaced by a placeholder, so that the checks of meaning can still
-run over the rest. Its path is recorded: a problem that those checks report there is ignored.
+A value that cannot be decoded is replaced by a placeholder, so that the semantic checks can still
+run on the rest of the configuration. Its path is recorded, and problems that the semantic checks
+report at that path are ignored.
 """
 
 import math
@@ -16,11 +17,11 @@
 from orchidpath.wire.configuration import Configuration
 
 _SHOWN_CHARACTERS = 40
-"""Characters of a value that a message shows."""
+"""Maximum number of characters of a value in a message."""
 
 
 class Structure(msgspec.Struct, frozen=True, kw_only=True):
-    """A configuration with placeholders at unreadable paths, and the problems of structure."""
+    """A configuration with placeholders at unreadable paths, and its structural problems."""
 
     configuration: Configuration
     problems: list[Problem]
@@ -28,17 +29,17 @@
 
 
 def read_structure(value: object) -> Structure:
-    """Return the configuration in decoded JSON, whatever it holds.
+    """Return the configuration in decoded JSON and its structural problems.
 
     Parameters
     ----------
     value
-        Any value that a JSON document can hold.
+        Any value that a JSON document can contain.
 
     Returns
     -------
     Structure
-        Without problems, its configuration is exactly that of the document.
+        If it has no problems, its configuration is exactly that of the document.
     """
     result = walk(value, Configuration, _ConfigurationRules())
     return Structure(
@@ -49,7 +50,7 @@
 
 
 class _ConfigurationRules:
-    """A plain value fits if it is of the very type: unlike settings, nothing is converted."""
+    """Rules for values of a configuration: unlike settings, values are never converted."""
 
     def not_an_object(self, value: object) -> str:
         return f"must be an object, is {_show(value)}"
@@ -69,20 +70,20 @@
 
 
 def _unmet_requirement(value: object, expected: Any) -> str:
-    """Return what a plain value must be and is not; empty if it is."""
+    """Return the requirement that a plain value does not meet; empty if the value is valid."""
     if expected is str:
         return "" if isinstance(value, str) else "a string"
     if expected is bool:
         return "" if isinstance(value, bool) else "true or false"
     if expected is int:
         is_integer = isinstance(value, int) and not isinstance(value, bool)
-        return "" if is_integer else "a whole number"
+        return "" if is_integer else "an integer"
     if expected is float:
         return "" if _is_finite_number(value) else "a number"
     if isinstance(expected, type) and issubclass(expected, Enum):
         names = [str(member.value) for member in expected]
         return "" if value in names else "one of " + ", ".join(names)
-    raise NotImplementedError(f"no rule for {expected}")
+    raise NotImplementedError(f"no rule for values of type {expected}")
 
 
 def _is_finite_number(value: object) -> bool:
--- a/src/orchidpath/state/configuration_checks/validation.py
+++ b/src/orchidpath/state/configuration_checks/validation.py
@@ -1,8 +1,8 @@
-"""Checks of a whole configuration: every problem is reported, each with its path.
+"""Validation of a complete configuration, which reports every problem with its path.
 
-A configuration is checked before it is proposed to the replicated log. The state machine applies
-committed ones without checking again, so that replicas of two versions, whose rules may differ,
-still reach the same state.
+A configuration is validated before it is proposed to the replicated log. The state machine applies
+committed configurations without validating them again, so that replicas of different versions,
+whose rules may differ, still reach the same state.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 from orchidpath.wire.configuration import Configuration, Route, Service, ServiceKind
 
 MAX_PATH_SEGMENTS = 64
-"""Largest number of segments in the path of a plain route."""
+"""Maximum number of segments in the path of a plain route."""
 
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 """HTTP methods that a plain route may match."""
@@ -34,7 +34,7 @@
 
 
 def validate(configuration: Configuration) -> list[Problem]:
-    """Return every problem of a configuration's meaning, by path; empty if it is valid."""
+    """Return every semantic problem of a configuration, sorted by path; empty if it is valid."""
     return sorted(_find_problems(configuration, frozenset()))
 
 
@@ -49,7 +49,7 @@
     Raises
     ------
     InvalidConfigurationError
-        The document is no valid configuration; it carries every problem found.
+        The document is not a valid configuration; the error lists every problem found.
     """
     try:
         value = msgspec.json.decode(raw)
@@ -57,9 +57,9 @@
         problem = Problem(path="", message=f"is not a JSON document: {error}")
         raise InvalidConfigurationError([problem]) from error
     structure = read_structure(value)
-    meaning = _find_problems(structure.configuration, structure.unreadable_paths)
+    semantic_problems = _find_problems(structure.configuration, structure.unreadable_paths)
     problems = structure.problems + [
-        problem for problem in meaning if problem.path not in structure.unreadable_paths
+        problem for problem in semantic_problems if problem.path not in structure.unreadable_paths
     ]
     if problems:
         raise InvalidConfigurationError(sorted(problems))
@@ -67,7 +67,7 @@
 
 
 def _find_problems(configuration: Configuration, unreadable: frozenset[str]) -> list[Problem]:
-    """Return the problems of meaning that unreadable values leave decidable."""
+    """Return the semantic problems, without checks that depend on unreadable values."""
     problems: list[Problem] = []
     for position, service in enumerate(configuration.services):
         path = f"services[{position}]"
@@ -89,7 +89,7 @@
 
 
 def _duplicates(list_path: str, names: list[str], field: str = ".name") -> list[Problem]:
-    """Return the repeated names of a list; the first of each is fine."""
+    """Return a problem for each name that repeats an earlier name of the list."""
     first: dict[str, int] = {}
     problems = []
     for position, name in enumerate(names):
@@ -110,15 +110,20 @@
     if not kind_known:
         return problems
     if service.kind is ServiceKind.MODEL and not service.models:
-        problems.append(Problem(path=f"{path}.models", message="a model service needs a model"))
+        problems.append(
+            Problem(
+                path=f"{path}.models",
+                message="must list at least one model, because the service is a model service",
+            )
+        )
     if service.kind is ServiceKind.PLAIN:
         problems += _plain_service_problems(service, path)
     return problems
 
 
 def _count_problems(service: Service, path: str) -> list[Problem]:
-    """Return a missing desired count: requests need a worker of each stage."""
-    message = "must be at least 1 when the other count is set"
+    """Return a problem if only one stage has a desired count: requests need workers of both."""
+    message = "must be at least 1 if the count of the other stage is at least 1"
     if service.prefill_workers == 0 < service.decode_workers:
         return [Problem(path=f"{path}.prefill_workers", message=message)]
     if service.decode_workers == 0 < service.prefill_workers:
@@ -127,7 +132,7 @@
 
 
 def _plain_service_problems(service: Service, path: str) -> list[Problem]:
-    message = "only a model service has one"
+    message = "must be left out of a plain service"
     fields = (
         ("models", bool(service.models)),
         ("prefill_workers", service.prefill_workers > 0),
@@ -137,7 +142,7 @@
 
 
 def _reference_problems(configuration: Configuration, unreadable: frozenset[str]) -> list[Problem]:
-    """Return the routes that name an unknown service or do not suit its kind."""
+    """Return the problems of routes that name an unknown service or do not match its kind."""
     if "services" in unreadable or "" in unreadable:
         return []
     positions = {service.name: index for index, service in enumerate(configuration.services)}
@@ -161,14 +166,21 @@
 
 
 def _model_route_problems(route: Route, path: str, service: Service | None) -> list[Problem]:
-    """Return what is wrong with a route to a model service; its models may be unknown."""
+    """Return the problems of a route to a model service.
+
+    ``service`` is None if the models of the service could not be decoded.
+    """
     problems = [
         Problem(path=f"{path}.{name}", message="must be left out of a route to a model service")
         for name in ("method", "path")
         if getattr(route, name)
     ]
     if not route.model:
-        problems.append(Problem(path=f"{path}.model", message="a model route needs a model"))
+        problems.append(
+            Problem(
+                path=f"{path}.model", message="must be set, because the service is a model service"
+            )
+        )
     elif service is not None and route.model not in service.models:
         message = f"the service {service.name!r} does not serve {route.model!r}"
         problems.append(Problem(path=f"{path}.model", message=message))
@@ -181,7 +193,7 @@
         message = "must be left out of a route to a plain service"
         problems.append(Problem(path=f"{path}.model", message=message))
     if route.repeat_prompt_read:
-        message = "a plain call has no prompt read"
+        message = "must be false for a route to a plain service"
         problems.append(Problem(path=f"{path}.repeat_prompt_read", message=message))
     if route.method not in METHODS:
         message = f"must be one of {', '.join(METHODS)}"
@@ -195,12 +207,12 @@
 
 
 def _model_ambiguities(routes: Iterable[Route]) -> list[Problem]:
-    """Return the model routes whose model an earlier route already matches."""
+    """Return a problem for each route whose model an earlier route already matches."""
     return _duplicates("routes", [route.model for route in routes], field=".model")
 
 
 def _path_ambiguities(routes: Iterable[Route]) -> list[Problem]:
-    """Return the plain routes that can match a request which an earlier route matches."""
+    """Return a problem for each plain route that can match the same request as an earlier route."""
     indexes: dict[str, PatternIndex] = {}
     problems = []
     for position, route in enumerate(routes):
--- a/src/orchidpath/state/configuration_checks/validation_problems.py
+++ b/src/orchidpath/state/configuration_checks/validation_problems.py
@@ -1,4 +1,4 @@
-"""Rejection of an invalid configuration, with every problem that was found."""
+"""The error that rejects an invalid configuration and lists every problem found."""
 
 from orchidpath.common.errors import OrchidpathError
 from orchidpath.common.problems import Problem, join_path
@@ -7,15 +7,17 @@
 
 
 class InvalidConfigurationError(OrchidpathError):
-    """A configuration is rejected.
+    """A configuration is invalid and was rejected.
 
     Parameters
     ----------
     problems
-        Every problem that was found, at least one.
+        Every problem found; at least one.
     """
 
     def __init__(self, problems: list[Problem]) -> None:
-        shown = "; ".join(f"{item.path or 'configuration'}: {item.message}" for item in problems)
-        super().__init__(shown)
+        message = "; ".join(
+            f"{problem.path or 'configuration'}: {problem.message}" for problem in problems
+        )
+        super().__init__(message)
         self.problems = problems
--- a/src/orchidpath/state/control_members.py
+++ b/src/orchidpath/state/control_members.py
@@ -1,4 +1,4 @@
-"""The registered control replicas."""
+"""Table of the registered control replicas."""
 
 from collections.abc import Iterable
 
@@ -12,18 +12,18 @@
     Parameters
     ----------
     members
-        Members to begin with.
+        Control replicas that are registered initially.
     """
 
     def __init__(self, members: Iterable[ControlMember] = ()) -> None:
         self._members = {member.node_id: member for member in members}
 
     def records(self) -> tuple[ControlMember, ...]:
-        """Return the members, by id."""
+        """Return the registered control replicas, sorted by id."""
         return tuple(self._members[node_id] for node_id in sorted(self._members))
 
     def register(self, member: ControlMember) -> Effect:
-        """Add a member, or change its record."""
+        """Add a control replica or change its record; one without an id is invalid."""
         if not member.node_id:
             return Effect.INVALID
         if self._members.get(member.node_id) == member:
@@ -32,7 +32,7 @@
         return Effect.CHANGED
 
     def remove(self, node_id: str) -> Effect:
-        """Remove a member."""
+        """Remove a control replica; the effect is ``UNKNOWN`` if it is not registered."""
         if self._members.pop(node_id, None) is None:
             return Effect.UNKNOWN
         return Effect.CHANGED
--- a/src/orchidpath/state/document_items.py
+++ b/src/orchidpath/state/document_items.py
@@ -1,7 +1,7 @@
-"""Changes to the named items of a document's lists; pure.
+"""Changes to the named items of a document's lists, as pure functions.
 
-An operator's document is a JSON object whose lists hold items with a ``name``. A change replaces or
-adds items and removes others; everything else stays as it was sent, byte for byte.
+An operator's document is a JSON object whose lists contain items with a ``name``. A change adds,
+replaces and removes items. Everything else in the document remains byte for byte as it was sent.
 """
 
 from collections.abc import Mapping
@@ -12,12 +12,12 @@
 
 
 class ItemChange(msgspec.Struct, frozen=True, kw_only=True):
-    """Which items a change adds, replaces and removes, by the name of their list.
+    """The items that a change adds, replaces and removes, by the name of their list.
 
     Attributes
     ----------
     upsert
-        Items to add, or to replace by their name.
+        Items to add, or with which to replace the items of the same name.
     remove
         Names of items to remove.
     """
@@ -27,7 +27,7 @@
 
 
 class InvalidChangeError(OrchidpathError):
-    """A change can't be applied; ``problems`` lists every reason."""
+    """A change cannot be applied; ``problems`` lists every reason."""
 
     def __init__(self, problems: list[str]) -> None:
         super().__init__("; ".join(problems))
@@ -46,22 +46,22 @@
 def change_items(document: bytes, change: ItemChange, fields: Mapping[str, msgspec.Raw]) -> bytes:
     """Return a document with a change applied to it.
 
-    Replaced items keep their position; new ones are appended in the order of the change.
+    Replaced items keep their position; new items are appended in the order of the change.
 
     Parameters
     ----------
     document
         A JSON object.
     change
-        The change.
+        The items to add, replace and remove.
     fields
-        Further members of the document to replace, as JSON values.
+        Other members of the document to set, as JSON values.
 
     Raises
     ------
     InvalidChangeError
-        The document or an item can't be read, an item is named twice, or one that is to be removed
-        is not there.
+        The document or an item cannot be decoded, an item is named twice, or an item to be removed
+        does not exist.
     """
     try:
         members = _document_decoder.decode(document)
@@ -83,7 +83,7 @@
 def _items_by_name(
     list_name: str, raw: msgspec.Raw | None, problems: list[str]
 ) -> dict[str, msgspec.Raw]:
-    """Return the items of a list that the document has, by name; none if it lacks the list."""
+    """Return the items of a list of the document by name; empty if the document lacks the list."""
     if raw is None:
         return {}
     try:
@@ -98,20 +98,22 @@
 ) -> None:
     names = change.remove.get(list_name, [])
     missing = [name for name in names if items.pop(name, None) is None]
-    problems.extend(f"{list_name}: {name!r} is to be removed and is not there" for name in missing)
+    problems.extend(
+        f"{list_name}: cannot remove {name!r}: no item has that name" for name in missing
+    )
 
 
 def _upsert(
     list_name: str, items: dict[str, msgspec.Raw], change: ItemChange, problems: list[str]
 ) -> None:
-    named = set(change.remove.get(list_name, []))
+    used_names = set(change.remove.get(list_name, []))
     for position, item in enumerate(change.upsert.get(list_name, [])):
         try:
             name = _name_decoder.decode(item).name
         except (msgspec.MsgspecError, RecursionError, ValueError) as error:
             problems.append(f"{list_name}: item {position} can't be read: {error}")
             continue
-        if name in named:
+        if name in used_names:
             problems.append(f"{list_name}: {name!r} is named twice")
-        named.add(name)
+        used_names.add(name)
         items[name] = item
--- a/src/orchidpath/state/fleet_progress.py
+++ b/src/orchidpath/state/fleet_progress.py
@@ -4,7 +4,7 @@
 
 
 class FleetProgress:
-    """The highest term with a committed command and the newest confirmed revision.
+    """The highest term whose leader has committed a command, and the newest confirmed revision.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
         self.confirmed_revision = confirmed_revision
 
     def start_term(self, term: int) -> Effect:
-        """Record the term of a leader that has committed its first command."""
+        """Record the term of a leader that committed its first command, if it is the highest."""
         if term <= self.leader_term:
             return Effect.STALE
         self.leader_term = term
@@ -33,7 +33,8 @@
         revision
             The confirmed revision.
         newest_revision
-            Newest revision of the state; one above it can't have been applied by anybody.
+            Newest revision of the state. A higher ``revision`` is invalid, because no router can
+            have applied it.
         """
         if revision > newest_revision:
             return Effect.INVALID
--- a/src/orchidpath/state/fleet_state_reader.py
+++ b/src/orchidpath/state/fleet_state_reader.py
@@ -1,6 +1,6 @@
-"""The composition of the fleet's replicated state and everything that can be read of it.
+"""Composition of the fleet's replicated state, and read access to it.
 
-:class:`orchidpath.state.fleet_state.FleetState` adds the commands that change it.
+:class:`orchidpath.state.fleet_state.FleetState` adds the commands that change the state.
 """
 
 from orchidpath.state.changes import ChangeLog, Delta
@@ -27,17 +27,17 @@
 
 
 class FleetStateReader:
-    """The sub-states of the replicated state, its revision and its newest changes.
+    """The parts of the replicated state, its revision and its newest changes.
 
     Parameters
     ----------
     body
-        The state to begin with; by default that of a new fleet.
+        The initial state; by default, the state of a new fleet.
 
     Notes
     -----
-    ``revision`` increases by one with every change that routers must apply;
-    ``circuits_sequence`` by one with every change of a circuit. Neither ever decreases.
+    ``revision`` increases by one with every change that routers must apply, and
+    ``circuits_sequence`` with every change of a circuit. Neither ever decreases.
     """
 
     def __init__(self, body: SnapshotBody | None = None) -> None:
@@ -62,7 +62,7 @@
         self._view: FleetView | None = None
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes, the same on every replica at the same index."""
+        """Return the encoded state; the bytes are equal on all replicas at the same index."""
         return encode_snapshot(
             SnapshotBody(
                 applied_index=self._applied_index,
@@ -91,7 +91,7 @@
 
     @property
     def applied_index(self) -> int:
-        """Position of the newest applied command in the log."""
+        """Index of the newest applied log entry."""
         return self._applied_index
 
     @property
@@ -101,7 +101,7 @@
 
     @property
     def revision(self) -> int:
-        """Newest revision of what routers must apply."""
+        """Revision of the newest change that routers must apply."""
         return self._revision
 
     @property
@@ -116,17 +116,17 @@
 
     @property
     def configuration_version(self) -> int:
-        """Version of the newest configuration; 0 before the first."""
+        """Version of the current configuration; 0 before the first accepted update."""
         return self._configuration.version
 
     @property
     def configuration(self) -> Configuration:
-        """The newest configuration."""
+        """The current configuration."""
         return self._configuration.configuration
 
     @property
     def document(self) -> bytes:
-        """The text from which the newest configuration was made; empty if none was given."""
+        """The text from which an adapter made the configuration; empty if the update had none."""
         return self._configuration.document
 
     def history(self) -> tuple[ConfigurationEntry, ...]:
@@ -134,7 +134,7 @@
         return tuple(self._configuration.history())
 
     def find_update(self, order_id: str) -> UpdateRecord | None:
-        """Return the configuration update remembered under an id, with its first outcome."""
+        """Return the stored update with an id, and its first outcome; None if there is none."""
         return self._configuration.find_update(order_id)
 
     def find_worker(self, worker_id: str) -> WorkerEntry | None:
@@ -142,67 +142,67 @@
         return self._workers.find(worker_id)
 
     def workers(self) -> tuple[WorkerRecord, ...]:
-        """Return the workers in the view, by id."""
+        """Return the registered workers, sorted by id."""
         return self.view().workers
 
     def routers(self) -> tuple[RouterRecord, ...]:
-        """Return the registered routers, by id."""
+        """Return the registered routers, sorted by id."""
         return self._routers.records()
 
     def find_router(self, router_id: str) -> RouterRecord | None:
-        """Return a registered router."""
+        """Return the record of a registered router; None if it is not registered."""
         return self._routers.find(router_id)
 
     def control_members(self) -> tuple[ControlMember, ...]:
-        """Return the registered control replicas, by id."""
+        """Return the registered control replicas, sorted by id."""
         return self._control_members.records()
 
     def find_circuit(self, worker_id: str) -> CircuitRecord | None:
-        """Return a worker's agreed circuit; None if it never left its first state."""
+        """Return a worker's replicated circuit; None if it never left its initial state."""
         return self._circuits.find_circuit(worker_id)
 
     def circuits(self) -> tuple[CircuitRecord, ...]:
-        """Return the agreed circuits, by worker."""
+        """Return the replicated circuits of the workers, sorted by worker id."""
         return tuple(self._circuits.circuits())
 
     def find_capacity(self, failure_domain: str) -> CapacityRecord | None:
-        """Return a failure domain's agreed capacity circuit."""
+        """Return a domain's replicated capacity circuit; None if it is in its initial state."""
         return self._circuits.find_capacity(failure_domain)
 
     def capacities(self) -> tuple[CapacityRecord, ...]:
-        """Return the agreed capacity circuits, by failure domain."""
+        """Return the replicated capacity circuits, sorted by failure domain."""
         return tuple(self._circuits.capacities())
 
     @property
     def plan(self) -> PlanRecord | None:
-        """The newest plan that was started, active or finished."""
+        """The newest plan that was started, whether active or ended; None if there is none."""
         return self._plans.record
 
     def abandoned_workers(self) -> list[AbandonedWorker]:
-        """Return the workers that plans have abandoned, oldest first."""
+        """Return the workers whose steps were abandoned, oldest first."""
         return self._plans.abandoned()
 
     def find_plan_action(self, order_id: str) -> PlanActionRecord | None:
-        """Return the plan action remembered under an id, with its first outcome."""
+        """Return the stored plan action with an id and its first outcome; None if there is none."""
         return self._plans.find_action(order_id)
 
     @property
     def witnesses(self) -> tuple[str, ...]:
-        """Ids of the routers that are witnesses now."""
+        """Ids of the current witness routers."""
         return self._routers.witnesses
 
     def witness_sets_since(self, revision: int) -> tuple[tuple[str, ...], ...]:
-        """Return every distinct witness set in force from a revision up to now, oldest first.
+        """Return every distinct set that was effective at a revision or later, oldest first.
 
         Raises
         ------
         WitnessHistoryLostError
-            Sets of that time have been forgotten.
+            A set that was effective at that revision has been removed from the history.
         """
         return self._routers.witness_sets_since(revision)
 
     def view(self) -> FleetView:
-        """Return everything that a router must apply, at the newest revision."""
+        """Return the complete view that routers apply, at the newest revision."""
         if self._view is None or self._view.revision != self._revision:
             self._view = FleetView(
                 revision=self._revision,
@@ -215,14 +215,15 @@
         return self._view
 
     def update_since(self, adopted_revision: int) -> FleetUpdate:
-        """Return the update from a router's adopted revision to the newest one.
+        """Return the update from a router's adopted revision to the newest revision.
 
-        It is a delta as far back as changes are remembered, and a full view beyond that.
+        The update is a delta if all changes since the adopted revision are stored, and a full view
+        otherwise.
         """
         delta: Delta | None = Delta()
         if adopted_revision < self._revision:
             delta = self._changes.since(adopted_revision)
-        # A router that has adopted nothing has no view that a delta could change.
+        # A router at revision 0 has not applied any view yet, so a delta would have no base.
         if delta is None or adopted_revision == 0:
             return FleetUpdate(
                 revision=self._revision,
--- a/src/orchidpath/state/outcomes.py
+++ b/src/orchidpath/state/outcomes.py
@@ -1,6 +1,6 @@
 """Outcomes of applied commands.
 
-Every replica reaches the same outcome for the same command; the leader replies with it.
+Every replica computes the same outcome for a command; the leader sends it to the client.
 """
 
 from enum import StrEnum
@@ -12,29 +12,29 @@
 
 
 class UpdateAccepted(msgspec.Struct, frozen=True, kw_only=True, tag="accepted"):
-    """The update's configuration became ``version``."""
+    """The update was accepted; its configuration has the version ``version``."""
 
     version: int
 
 
 class UpdateConflict(msgspec.Struct, frozen=True, kw_only=True, tag="conflict"):
-    """The update was not built on the version of its time, ``current_version``; it was rejected."""
+    """The update was rejected: it was not built on ``current_version``."""
 
     current_version: int
 
 
 class UpdateIdReused(msgspec.Struct, frozen=True, kw_only=True, tag="order_id_reused"):
-    """The id belongs to an update with other content; this one was rejected."""
+    """The update was rejected: its id belongs to an earlier update with other content."""
 
     current_version: int
 
 
 UpdateOutcome = UpdateAccepted | UpdateConflict
-"""The outcome that is remembered under an update's id."""
+"""An outcome that is stored under the id of its update."""
 
 
 class UpdateRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A remembered configuration update and its first outcome."""
+    """The id and the digest of a configuration update, and its first outcome."""
 
     order_id: str
     digest: str
@@ -42,7 +42,7 @@
 
 
 class UpdateResult(msgspec.Struct, frozen=True, kw_only=True, tag="order"):
-    """Outcome of a submitted configuration; ``repeated`` if it was submitted before."""
+    """Outcome of a submitted configuration; ``repeated`` is set if it was submitted before."""
 
     outcome: UpdateAccepted | UpdateConflict | UpdateIdReused
     repeated: bool = False
@@ -54,35 +54,35 @@
     CHANGED = "changed"
     UNCHANGED = "unchanged"
     STALE = "stale"
-    """Superseded by something newer: a sequence, an incarnation, a generation or a term."""
+    """The state has a newer sequence number, incarnation, generation, term or phase."""
     UNKNOWN = "unknown"
-    """Names something that does not exist."""
+    """The command refers to an object that does not exist."""
     INVALID = "invalid"
-    """Violates a rule that its sender should have checked."""
+    """The command violates a rule that the proposer should have checked."""
 
 
 class RecordResult(msgspec.Struct, frozen=True, kw_only=True, tag="record"):
-    """Outcome of a command about a worker, router, control member or leader."""
+    """Outcome of a command about a worker, router, control replica, leader or plan step."""
 
     effect: Effect
 
 
 class CircuitResult(msgspec.Struct, frozen=True, kw_only=True, tag="circuit"):
-    """Outcome of a circuit's transition; ``record`` is the agreed record after it."""
+    """Outcome of a circuit's transition; ``record`` is the replicated record after it."""
 
     effect: Effect
     record: CircuitRecord | None = None
 
 
 class CapacityResult(msgspec.Struct, frozen=True, kw_only=True, tag="capacity"):
-    """Outcome of a capacity circuit's transition; ``record`` is the agreed record after it."""
+    """Outcome of a capacity circuit's transition; ``record`` is the replicated record after it."""
 
     effect: Effect
     record: CapacityRecord | None = None
 
 
 class PlanResult(msgspec.Struct, frozen=True, kw_only=True, tag="plan"):
-    """Outcome of an operator's action on a plan; ``repeated`` if it was applied before."""
+    """Outcome of an operator's plan action; ``repeated`` is set if it was applied before."""
 
     answer: PlanAnswer
     reason: str = ""
@@ -94,7 +94,7 @@
 
 
 class ApplyResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of one applied log entry, with the counters as they stand after it."""
+    """Outcome of an applied log entry, and the counters of the state after it."""
 
     index: int
     revision: int
--- a/src/orchidpath/state/plan_state.py
+++ b/src/orchidpath/state/plan_state.py
@@ -268,7 +268,10 @@
         return True
 
     def _finish_if_complete(self) -> None:
-        """Set the plan's final status if no step is open and none remains to be started."""
+        """Set the plan's final status once no step is open.
+
+        A plan that is neither being cancelled nor stopping is done when every step is released.
+        """
         record = self.record
         assert record is not None
         phases = {step.phase for step in record.progress.steps}
--- a/src/orchidpath/state/plans.py
+++ b/src/orchidpath/state/plans.py
@@ -42,7 +42,10 @@
     """The worker has announced its new stage and is instructed to accept requests."""
     RELEASED = "released"
     RETURNING = "returning"
-    """The step is rolled back: the worker is instructed to accept requests in its current stage."""
+    """The step was rolled back before the switch.
+
+    The worker is instructed to accept requests in its current stage.
+    """
     RETURNED = "returned"
     ABANDONED = "abandoned"
     """The worker was lost, restarted or did not respond; its stage is the one that it announces."""
@@ -124,7 +127,7 @@
 
 
 class StepProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """Progress of a step; ``cordoned_revision`` is the first revision that has the cordon."""
+    """Progress of a step; ``cordoned_revision`` is the first revision with the cordon."""
 
     phase: StepPhase = StepPhase.WAITING
     cordoned_revision: int = msgspec.field(default=0, name="held_revision")
@@ -163,7 +166,7 @@
 
     ACCEPTED = "accepted"
     STALE = "stale"
-    """The plan was computed from an older state, or is not available any more."""
+    """The plan was computed from an older state, or the leader has no plan with its id."""
     REFUSED = "refused"
     ORDER_ID_REUSED = "order_id_reused"
 
--- a/src/orchidpath/state/routers.py
+++ b/src/orchidpath/state/routers.py
@@ -1,4 +1,4 @@
-"""The registered routers and the witness sets that were chosen among them."""
+"""Table of the registered routers, and of the witness sets that are chosen from them."""
 
 from collections.abc import Iterable
 
@@ -13,9 +13,9 @@
     Parameters
     ----------
     routers
-        Registered routers.
+        Records of the routers that are registered initially.
     witness_sets
-        Witness sets, oldest first.
+        Initial history of the witness sets, oldest first.
     """
 
     def __init__(
@@ -26,33 +26,33 @@
 
     @property
     def witnesses(self) -> tuple[str, ...]:
-        """Ids of the routers that are witnesses now."""
+        """Ids of the current witness routers."""
         return self._witnesses.current()
 
     def find(self, router_id: str) -> RouterRecord | None:
-        """Return a registered router."""
+        """Return the record of a registered router; None if it is not registered."""
         return self._routers.get(router_id)
 
     def records(self) -> tuple[RouterRecord, ...]:
-        """Return the registered routers, by id."""
+        """Return the registered routers, sorted by id."""
         return tuple(self._routers[router_id] for router_id in sorted(self._routers))
 
     def witness_sets(self) -> list[WitnessSet]:
-        """Return the remembered witness sets, oldest first."""
+        """Return the witness sets of the history, oldest first."""
         return self._witnesses.sets()
 
     def witness_sets_since(self, revision: int) -> tuple[tuple[str, ...], ...]:
-        """Return every distinct witness set in force from a revision up to now, oldest first.
+        """Return every distinct set that was effective at a revision or later, oldest first.
 
         Raises
         ------
         WitnessHistoryLostError
-            Sets of that time have been forgotten.
+            A set that was effective at that revision has been removed from the history.
         """
         return self._witnesses.since(revision)
 
     def register(self, record: RouterRecord) -> Effect:
-        """Add a router, or change its record."""
+        """Add a router or change its record; a record without an id is invalid."""
         if not record.router_id:
             return Effect.INVALID
         if self._routers.get(record.router_id) == record:
@@ -61,13 +61,13 @@
         return Effect.CHANGED
 
     def remove(self, router_id: str) -> Effect:
-        """Remove a router."""
+        """Remove a router; the effect is ``UNKNOWN`` if it is not registered."""
         if self._routers.pop(router_id, None) is None:
             return Effect.UNKNOWN
         return Effect.CHANGED
 
     def update_witnesses(self, revision: int, confirmed_revision: int) -> None:
-        """Choose the witnesses for the routers that are registered now.
+        """Choose the witness set for the currently registered routers.
 
         Parameters
         ----------
--- a/src/orchidpath/state/snapshot.py
+++ b/src/orchidpath/state/snapshot.py
@@ -1,7 +1,7 @@
 """Snapshot format of the replicated state.
 
-Everything that decides a later outcome is in it; everything is in a fixed order, so replicas that
-applied the same commands write the same bytes.
+A snapshot contains all data on which the outcome of a later command can depend. All lists have a
+fixed order, so replicas that applied the same commands produce the same bytes.
 """
 
 import msgspec
@@ -24,15 +24,15 @@
 """Largest snapshot in bytes, before compression."""
 
 SNAPSHOT_FORMAT = 1
-"""Incremented with every change that an older version could not read."""
+"""Number of the snapshot format; incremented with a change that older versions cannot read."""
 
 
 class SnapshotFormatError(OrchidpathError):
-    """A snapshot is damaged, or of a format that this version does not know."""
+    """A snapshot is damaged, or its format is not supported by this version."""
 
 
 class ConfigurationEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted configuration: its version, the update's id and the content's digest."""
+    """An accepted configuration: its version, the id of its update and the update's digest."""
 
     version: int
     order_id: str
@@ -40,13 +40,16 @@
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of a snapshot that is the same in all formats."""
+    """The part of a snapshot that is common to all formats."""
 
     format: int
 
 
 class SnapshotBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The complete state after the log entry at ``applied_index``; by default a new fleet's."""
+    """The complete state after the log entry at ``applied_index``.
+
+    The defaults are the state of a new fleet.
+    """
 
     format: int = SNAPSHOT_FORMAT
     applied_index: int = 0
@@ -78,17 +81,17 @@
 
 
 def encode_snapshot(body: SnapshotBody) -> bytes:
-    """Return a snapshot's bytes."""
+    """Return the compressed bytes of a snapshot."""
     return compressed(_encoder.encode(body))
 
 
 def decode_snapshot(data: bytes) -> SnapshotBody:
-    """Return the state in a snapshot.
+    """Return the state that a snapshot contains.
 
     Raises
     ------
     SnapshotFormatError
-        The snapshot is damaged or of another format.
+        The snapshot is damaged, or its format is not supported by this version.
     """
     try:
         data = decompressed(data, MAX_SNAPSHOT_BYTES)
--- a/src/orchidpath/state/witnesses.py
+++ b/src/orchidpath/state/witnesses.py
@@ -138,9 +138,7 @@
             A set that was effective at that revision has been removed from the history.
         """
         if revision < self._sets[0].revision:
-            raise WitnessHistoryLostError(
-                f"the witness set of an earlier revision was removed from the history: {revision}"
-            )
+            raise WitnessHistoryLostError(f"the history has no witness set for revision {revision}")
         first = max(
             position
             for position, witness_set in enumerate(self._sets)
--- a/src/orchidpath/state/workers.py
+++ b/src/orchidpath/state/workers.py
@@ -68,7 +68,7 @@
         dead_limit: int = DEAD_INCARNATION_LIMIT,
     ) -> None:
         self._entries = {entry.record.worker_id: entry for entry in entries}
-        self._dead = {(item.worker_id, item.incarnation): item.sequence for item in dead}
+        self._dead = {(ended.worker_id, ended.incarnation): ended.sequence for ended in dead}
         self._cordoned = set(cordoned)
         self._dead_limit = dead_limit
 
@@ -98,13 +98,14 @@
     def announce(self, record: WorkerRecord, sequence: int) -> WorkerChange:
         """Apply a worker's announcement.
 
-        An announcement that arrives late is stale and changes nothing. That holds for the current
-        incarnation if the sequence number is below the stored one, and for a dead incarnation if
-        the sequence number is not above the one stored when the incarnation was removed.
+        An announcement that arrives late is stale and changes nothing. An announcement of the
+        current incarnation is stale if its sequence number is below the stored one, or equal to
+        it with another record. An announcement of a dead incarnation is stale if its sequence
+        number is not above the one that was stored when the incarnation ended.
         """
         if record.status is WorkerStatus.GONE or not record.worker_id or not record.incarnation:
             return WorkerChange(effect=Effect.INVALID)
-        agreed = self._with_stored_cordon(record)
+        agreed = self._record_to_store(record)
         current = self._entries.get(record.worker_id)
         if current is not None and current.record.incarnation == record.incarnation:
             return self._update_current(current, agreed, sequence)
@@ -162,7 +163,7 @@
         self._entries[agreed.worker_id] = WorkerEntry(record=agreed, sequence=sequence)
         return WorkerChange(effect=Effect.CHANGED, record=agreed)
 
-    def _with_stored_cordon(self, record: WorkerRecord) -> WorkerRecord:
+    def _record_to_store(self, record: WorkerRecord) -> WorkerRecord:
         """Return the record with its stored cordon and its failure domain, by default its id."""
         return msgspec.structs.replace(
             record,
