--- a/tests/state/state_builders.py
+++ b/tests/state/state_builders.py
@@ -1,4 +1,4 @@
-"""Builders of commands and helpers that apply them, shared by the tests of the replicated state."""
+"""Builders of commands, and helpers that apply commands to the replicated state."""
 
 from orchidpath.state.commands import (
     Command,
@@ -15,12 +15,12 @@
 
 
 def apply(state: FleetState, command: Command) -> Outcome:
-    """Apply a command as the next entry of the log."""
+    """Apply a command as the next log entry and return its outcome."""
     return state.apply(state.applied_index + 1, encode_command(command)).outcome
 
 
 def effect(state: FleetState, command: Command) -> Effect:
-    """Apply a command whose outcome is an effect."""
+    """Apply a command whose outcome is a :class:`RecordResult`, and return its effect."""
     outcome = apply(state, command)
     assert isinstance(outcome, RecordResult)
     return outcome.effect
@@ -29,6 +29,7 @@
 def configuration_update(
     order_id: str, base_version: int, name: str = "cellar"
 ) -> SubmitConfiguration:
+    """Return an update to a configuration that has one plain service."""
     configuration = Configuration(services=[Service(name=name, kind=ServiceKind.PLAIN)])
     return SubmitConfiguration(
         order_id=order_id,
@@ -41,6 +42,7 @@
 def worker(
     worker_id: str = "w1", incarnation: str = "a", status: WorkerStatus = WorkerStatus.READY
 ) -> WorkerRecord:
+    """Return the record of a plain worker of the service ``cellar``."""
     return WorkerRecord(
         worker_id=worker_id,
         incarnation=incarnation,
@@ -54,10 +56,12 @@
 def announced(
     sequence: int, incarnation: str = "a", status: WorkerStatus = WorkerStatus.READY
 ) -> WorkerChanged:
+    """Return the command for an announcement of the worker ``w1``."""
     return WorkerChanged(record=worker(incarnation=incarnation, status=status), sequence=sequence)
 
 
 def registered(router_id: str, zone: str = "z1") -> RegisterRouter:
+    """Return the command that registers a router."""
     record = RouterRecord(
         router_id=router_id, address="127.0.0.1:1", http_address="127.0.0.1:2", zone=zone
     )
@@ -65,4 +69,5 @@
 
 
 def restored(state: FleetState) -> FleetState:
+    """Return the state that is restored from a snapshot of a state."""
     return FleetState.restore(state.snapshot())
--- a/tests/state/test_bounded_table.py
+++ b/tests/state/test_bounded_table.py
@@ -3,7 +3,7 @@
 from orchidpath.state.bounded_table import insert_newest
 
 
-def test_the_oldest_entries_are_dropped_beyond_the_limit() -> None:
+def test_the_oldest_entries_are_evicted_above_the_limit() -> None:
     table = {"a": 1, "b": 2, "c": 3}
     assert insert_newest(table, "d", 4, limit=2) == ("a", "b")
     assert list(table.items()) == [("c", 3), ("d", 4)]
--- a/tests/state/test_circuits.py
+++ b/tests/state/test_circuits.py
@@ -1,4 +1,4 @@
-"""Replicated circuits: compare-and-swap of transitions on the generation."""
+"""Replicated circuits: a transition applies only to the generation that it expects."""
 
 from state_builders import announced, apply, effect, restored
 
--- a/tests/state/test_commands.py
+++ b/tests/state/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the log: digests, and fields that older logs lack."""
+"""Commands of the log: digests of configurations, and compatibility with older and newer logs."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
 
 
-def test_the_digest_depends_on_content_and_base_and_not_on_form() -> None:
+def test_the_digest_depends_on_content_and_base_version_and_not_on_formatting() -> None:
     explicit = msgspec.json.decode(b'{"routes": [], "services": []}', type=Configuration)
     assert configuration_digest(3, explicit) == configuration_digest(3, Configuration())
     assert configuration_digest(3, explicit) != configuration_digest(4, explicit)
--- a/tests/state/test_configuration_state.py
+++ b/tests/state/test_configuration_state.py
@@ -1,4 +1,4 @@
-"""Configuration updates: compare-and-swap on the version, remembered outcomes, history."""
+"""Configuration updates: compare-and-swap on the version, stored outcomes, history."""
 
 from state_builders import apply, configuration_update, restored
 
@@ -7,7 +7,7 @@
 from orchidpath.state.update_outcomes import UpdateOutcomes
 
 
-def test_of_two_updates_racing_on_one_version_exactly_one_wins() -> None:
+def test_of_two_updates_to_one_version_exactly_one_is_accepted() -> None:
     state = FleetState()
     first = apply(state, configuration_update("o1", 0, "first"))
     second = apply(state, configuration_update("o2", 0, "second"))
@@ -32,10 +32,10 @@
     assert state.configuration.services[0].name == "newer"
 
 
-def test_a_reused_id_is_rejected_and_the_first_outcome_stays() -> None:
+def test_a_reused_id_is_rejected_and_the_first_outcome_is_retained() -> None:
     state = FleetState()
     apply(state, configuration_update("o1", 0))
-    # The same id, built on the current version, so that only the digest differs.
+    # It is built on the current version, so that it can be rejected only for its digest.
     reused = apply(state, configuration_update("o1", 1, "other"))
     assert reused == UpdateResult(outcome=UpdateIdReused(current_version=1))
     assert state.configuration.services[0].name == "cellar"
@@ -44,7 +44,7 @@
     assert record.outcome == UpdateAccepted(version=1)
 
 
-def test_only_the_oldest_remembered_updates_are_dropped_at_the_limit() -> None:
+def test_only_the_oldest_stored_updates_are_evicted_at_the_limit() -> None:
     outcomes = UpdateOutcomes(limit=3)
     for number in range(5):
         outcomes.record(f"o{number}", "d", UpdateAccepted(version=number))
--- a/tests/state/test_document_items.py
+++ b/tests/state/test_document_items.py
@@ -68,8 +68,8 @@
     with pytest.raises(InvalidChangeError) as raised:
         changed(**lists)
     assert len(raised.value.problems) == len(problems)
-    for problem in problems:
-        assert any(problem in reported for reported in raised.value.problems)
+    for expected in problems:
+        assert any(expected in problem for problem in raised.value.problems)
 
 
 def test_a_truncated_document_is_rejected() -> None:
--- a/tests/state/test_fleet_state.py
+++ b/tests/state/test_fleet_state.py
@@ -1,4 +1,4 @@
-"""The composed fleet state: revisions, deltas, order of log entries, snapshots, control members."""
+"""The complete fleet state: revisions, updates, order of log entries, snapshots, effects."""
 
 import msgspec
 import pytest
@@ -57,10 +57,10 @@
         (RevisionConfirmed(revision=2), 0),
         (WorkerRemoved(worker_id="w1", incarnation="a"), 1),
     ]
-    for command, growth in steps:
+    for command, expected_increase in steps:
         before = state.revision
         apply(state, command)
-        assert state.revision - before == growth, command
+        assert state.revision - before == expected_increase, command
 
 
 def test_update_since_lists_workers_when_only_workers_changed() -> None:
@@ -103,16 +103,16 @@
     assert state.update_since(0).view == state.view()
 
 
-def test_update_since_is_a_full_view_beyond_the_remembered_changes_and_after_a_restore() -> None:
+def test_update_since_is_a_full_view_beyond_the_stored_changes_and_after_a_restore() -> None:
     state = FleetState()
     for number in range(1030):
         effect(state, announced(number + 1, incarnation=f"i{number}"))
     assert state.update_since(state.revision - 1024).view is None
     assert state.update_since(state.revision - 1025).view == state.view()
-    again = restored(state)
-    assert again.update_since(again.revision - 1).view == state.view()
-    up_to_date = again.update_since(again.revision)
-    assert (up_to_date.view, up_to_date.workers) == (None, ())
+    restored_state = restored(state)
+    assert restored_state.update_since(restored_state.revision - 1).view == state.view()
+    empty_update = restored_state.update_since(restored_state.revision)
+    assert (empty_update.view, empty_update.workers) == (None, ())
 
 
 def test_the_view_is_built_once_per_revision() -> None:
--- a/tests/state/test_fleet_state_properties.py
+++ b/tests/state/test_fleet_state_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the replicated state under random commands."""
+"""Properties of the replicated state that must hold for any sequence of commands."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -29,13 +29,12 @@
 incarnations = st.sampled_from(["a", "b", "c"])
 sequences = st.integers(0, 12)
 router_ids = st.sampled_from([f"r{number:02}" for number in range(12)])
-small = st.integers(0, 6)
-
+small_numbers = st.integers(0, 6)
 
 updates = st.builds(
     configuration_update,
     st.sampled_from([f"o{number}" for number in range(30)]),
-    small,
+    small_numbers,
     st.text(max_size=3),
 )
 workers = st.builds(worker, worker_ids, incarnations, st.sampled_from(WorkerStatus))
@@ -43,14 +42,14 @@
 circuit_transitions = st.builds(
     CircuitTransition,
     worker_id=worker_ids,
-    expected_generation=small,
+    expected_generation=small_numbers,
     status=st.sampled_from(CircuitStatus),
     duration_seconds=st.floats(0, 300),
 )
 capacity_transitions = st.builds(
     CapacityTransition,
     failure_domain=worker_ids,
-    expected_generation=small,
+    expected_generation=small_numbers,
     duration_seconds=st.floats(0, 300),
 )
 worker_commands = st.one_of(
@@ -68,14 +67,14 @@
     st.builds(CapacityChanged, transition=capacity_transitions),
     st.builds(RegisterControlMember, member=members),
     st.builds(RemoveControlMember, node_id=st.sampled_from(["c1", "c2"])),
-    st.builds(LeaderStarted, term=small),
+    st.builds(LeaderStarted, term=small_numbers),
     st.builds(RevisionConfirmed, revision=st.integers(0, 60)),
 )
 logs = st.lists(commands, min_size=150, max_size=400)
-steady = settings(max_examples=25, deadline=None, derandomize=True)
+property_settings = settings(max_examples=25, deadline=None, derandomize=True)
 
 
-@steady
+@property_settings
 @given(logs, st.integers(0, 400))
 def test_a_restored_replica_continues_byte_for_byte_like_the_original(
     log: list[Command], restored_at: int
@@ -93,7 +92,7 @@
 
 
 def adopt(adopted: FleetView, state: FleetState) -> FleetView:
-    """Adopt an update as a router does."""
+    """Return the view of a router after it has applied the newest update."""
     update = state.update_since(adopted.revision)
     if update.view is not None:
         return update.view
@@ -101,7 +100,7 @@
     return apply_delta(adopted, update)
 
 
-@steady
+@property_settings
 @given(logs, st.integers(1, 9))
 def test_updates_adopted_at_any_pace_result_in_the_full_view(log: list[Command], pace: int) -> None:
     state = FleetState()
@@ -115,7 +114,7 @@
             assert adopted == state.view()
 
 
-@steady
+@property_settings
 @given(st.lists(updates, min_size=50, max_size=200))
 def test_each_version_is_won_by_one_update_and_each_update_keeps_its_outcome(
     log: list[SubmitConfiguration],
--- a/tests/state/test_plan_state.py
+++ b/tests/state/test_plan_state.py
@@ -1,4 +1,4 @@
-"""Plan actions: stored content compatible with earlier snapshots; repeats are idempotent."""
+"""Plan actions: the stored content matches earlier snapshots, and repetitions are idempotent."""
 
 import pytest
 
--- a/tests/state/test_snapshot.py
+++ b/tests/state/test_snapshot.py
@@ -1,4 +1,7 @@
-"""Snapshots are deterministic: their bytes do not depend on the hash seed of a process."""
+"""Snapshots are deterministic: their bytes do not depend on the hash seed of the process.
+
+Replicas run with different hash seeds, so iteration over a set must not decide the order of data.
+"""
 
 import os
 import subprocess
--- a/tests/state/test_structure.py
+++ b/tests/state/test_structure.py
@@ -1,4 +1,4 @@
-"""A configuration whose structure is wrong is rejected with every problem, never with a crash."""
+"""A configuration with an invalid structure is rejected with every problem and without a crash."""
 
 import msgspec
 import pytest
--- a/tests/state/test_validation.py
+++ b/tests/state/test_validation.py
@@ -1,4 +1,4 @@
-"""Validation of configurations: each problem is reported with its path, as a typed error."""
+"""Validation of configurations: a typed error reports every problem with its path."""
 
 import json
 from collections.abc import Iterator
@@ -44,13 +44,16 @@
 
 
 def changed(path: str, value: object) -> dict[str, Any]:
-    """Return the valid document with one value replaced, at a path of keys and positions."""
+    """Return the valid document with one value replaced.
+
+    ``path`` is the path of that value: keys and list positions, separated by slashes.
+    """
     document = valid()
     *parents, last = [int(key) if key.isdigit() else key for key in path.split("/")]
-    place: Any = document
+    parent: Any = document
     for key in parents:
-        place = place.setdefault(key, {}) if isinstance(place, dict) else place[int(key)]
-    place[last] = value
+        parent = parent.setdefault(key, {}) if isinstance(parent, dict) else parent[int(key)]
+    parent[last] = value
     return document
 
 
@@ -168,12 +171,12 @@
     visits = 0
     visit = PatternIndex._owners
 
-    def counted(self: PatternIndex, node: Any, segments: tuple[str, ...]) -> Iterator[int]:
+    def count_visit(self: PatternIndex, node: Any, segments: tuple[str, ...]) -> Iterator[int]:
         nonlocal visits
         visits += 1
         return visit(self, node, segments)
 
-    monkeypatch.setattr(PatternIndex, "_owners", counted)
+    monkeypatch.setattr(PatternIndex, "_owners", count_visit)
     document = valid()
     document["routes"] = [
         {"name": f"r{number}", "service": "stock", "method": "GET", "path": f"/p{number}/{{id}}"}
--- a/tests/state/test_witnesses.py
+++ b/tests/state/test_witnesses.py
@@ -1,4 +1,4 @@
-"""Witness sets: size, spread over zones, stability, and the history for quorum intersection."""
+"""Witness sets: size, spread over zones, stability, and the history that lets quorums intersect."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 def routers_in_zones(*zones: str) -> dict[str, RouterRecord]:
     records = [record(f"r{number:02}", zone) for number, zone in enumerate(zones)]
-    return {item.router_id: item for item in records}
+    return {router.router_id: router for router in records}
 
 
 def test_witnesses_are_spread_over_the_zones() -> None:
@@ -55,14 +55,14 @@
             apply(state, registered(name, f"z{int(name[1:]) % 4}"))
         else:
             apply(state, RemoveRouter(router_id=name))
-        registered_ids = {item.router_id for item in state.routers()}
+        registered_ids = {router.router_id for router in state.routers()}
         after = set(state.witnesses)
         assert before & registered_ids <= after <= registered_ids
         assert len(after) == min(WITNESS_LIMIT, len(registered_ids))
         apply(state, RevisionConfirmed(revision=state.revision))
 
 
-def test_every_witness_set_in_force_since_a_revision_is_listed() -> None:
+def test_every_witness_set_effective_since_a_revision_is_listed() -> None:
     state = FleetState()
     for name in ("r1", "r2", "r3"):
         apply(state, registered(name, "z"))
@@ -76,7 +76,7 @@
         ("r1", "r2", "r3"),
         ("r2", "r3"),
     )
-    # Before the first router there was no witness set, so no router could be fresh.
+    # The witness set of revision 0 is empty, so no router can be confirmed as fresh by it.
     assert state.witness_sets_since(0) == state.witness_sets_since(1)
 
 
@@ -87,7 +87,7 @@
     assert history.since(1) == (("a",), ("b",))
 
 
-def test_a_full_history_drops_confirmed_sets_and_never_unconfirmed_ones() -> None:
+def test_a_full_history_removes_confirmed_sets_and_never_unconfirmed_ones() -> None:
     history = WitnessHistory(limit=3)
     assert history.change(1, ("a",), confirmed_revision=0)
     assert history.change(2, ("b",), confirmed_revision=0)
--- a/tests/state/test_workers.py
+++ b/tests/state/test_workers.py
@@ -65,7 +65,7 @@
         table.announce(worker(f"w{number}"), 1)
         table.cordon(f"w{number}", True)
         table.remove(f"w{number}", "a", 1)
-    assert [item.worker_id for item in table.dead()] == ["w2", "w3"]
+    assert [ended.worker_id for ended in table.dead()] == ["w2", "w3"]
     assert table.cordoned() == ["w2", "w3"]
 
 
@@ -82,7 +82,7 @@
     assert state.revision == 0
 
 
-def test_a_cordon_outlasts_announcements_restarts_and_absence() -> None:
+def test_a_cordon_remains_after_announcements_restarts_and_removal() -> None:
     state = FleetState()
     cordon = CordonWorker(worker_id="w1", cordoned=True)
     assert effect(state, cordon) is Effect.UNKNOWN
