--- a/bench/control_cluster.py
+++ b/bench/control_cluster.py
@@ -17,7 +17,7 @@
 from orchidpath.control.api.operator_client import (
     NoControlAnswersError,
     OperatorClient,
-    OrderOutcomeUnknownError,
+    UpdateOutcomeUnknownError,
     UpdateRejectedError,
 )
 from orchidpath.fleet.ports import LOOPBACK_HOST, choose_ports
@@ -130,7 +130,7 @@
                 reply = await (client or self.client).submit(
                     f"order-{self._order}", base_version, configuration(self._order)
                 )
-            except (UpdateRejectedError, OrderOutcomeUnknownError):
+            except (UpdateRejectedError, UpdateOutcomeUnknownError):
                 await asyncio.sleep(0.01)
                 continue
             self._version = reply.version
--- a/src/orchidpath/cli/config.py
+++ b/src/orchidpath/cli/config.py
@@ -14,8 +14,8 @@
 from orchidpath.control.api.operator_bodies import OperatorErrorBody, SubmitReplyBody
 from orchidpath.control.api.operator_client import (
     OperatorClient,
-    OrderOutcomeUnknownError,
-    OrderRefusedError,
+    UpdateOutcomeUnknownError,
+    UpdateRefusedError,
     UpdateRejectedError,
 )
 
@@ -65,12 +65,12 @@
         reply = run_with_client(
             control_addresses, lambda client: client.submit(order_id, base, configuration)
         )
-    except OrderRefusedError as error:
+    except UpdateRefusedError as error:
         _fail_refused(ctx, error.body)
     except UpdateRejectedError as error:
         click.echo(f"not taken, nothing changed: {error}", err=True)
         ctx.exit(ExitCode.FAILED)
-    except OrderOutcomeUnknownError as error:
+    except UpdateOutcomeUnknownError as error:
         click.echo(f"no answer, the order may have been taken: {error}", err=True)
         click.echo(f"send the same order again: {repeat}", err=True)
         ctx.exit(ExitCode.FAILED)
--- a/src/orchidpath/cli/plan.py
+++ b/src/orchidpath/cli/plan.py
@@ -11,8 +11,8 @@
 from orchidpath.common.daemon import ExitCode
 from orchidpath.control.api.operator_client import (
     OperatorClient,
-    OrderOutcomeUnknownError,
     PlanRefusedError,
+    UpdateOutcomeUnknownError,
     UpdateRejectedError,
 )
 from orchidpath.control.api.plan_bodies import PlanActionReplyBody, PlanErrorBody
@@ -99,7 +99,7 @@
     except UpdateRejectedError as error:
         click.echo(f"not taken, nothing changed: {error}", err=True)
         ctx.exit(ExitCode.FAILED)
-    except OrderOutcomeUnknownError as error:
+    except UpdateOutcomeUnknownError as error:
         click.echo(f"no answer, the order may have been taken: {error}", err=True)
         click.echo(f"send the same order again: {repeat}", err=True)
         ctx.exit(ExitCode.FAILED)
--- a/src/orchidpath/control/api/operator_client.py
+++ b/src/orchidpath/control/api/operator_client.py
@@ -46,7 +46,7 @@
     """No control process gave an answer; the message says what each one did."""
 
 
-class OrderRefusedError(OrchidpathError):
+class UpdateRefusedError(OrchidpathError):
     """An update is not valid, or not built on the newest version; nothing changed."""
 
     def __init__(self, body: OperatorErrorBody) -> None:
@@ -66,7 +66,7 @@
     """An update or action reached no control process that could take it; nothing changed."""
 
 
-class OrderOutcomeUnknownError(OrchidpathError):
+class UpdateOutcomeUnknownError(OrchidpathError):
     """An answer was lost: it may have been accepted. Send it again with the same order id."""
 
 
@@ -160,11 +160,11 @@
 
         Raises
         ------
-        OrderRefusedError
+        UpdateRefusedError
             The update is not valid or not built on the newest version; nothing changed.
         UpdateRejectedError
             No process could take it; nothing changed.
-        OrderOutcomeUnknownError
+        UpdateOutcomeUnknownError
             At least one process may have accepted it.
         """
         update = {
@@ -176,7 +176,7 @@
             "PUT", "/v1/configuration", msgspec.json.encode(update), frozenset({_OK, _ACCEPTED})
         )
         return await self._submit_to_any(
-            change, SubmitReplyBody, OperatorErrorBody, OrderRefusedError
+            change, SubmitReplyBody, OperatorErrorBody, UpdateRefusedError
         )
 
     async def plan(self) -> PlanBody:
@@ -194,7 +194,7 @@
             The action was rejected; nothing changed.
         UpdateRejectedError
             No process could take it; nothing changed.
-        OrderOutcomeUnknownError
+        UpdateOutcomeUnknownError
             At least one process may have accepted it.
         """
         body = PlanActionBody(plan_id=plan_id, order_id=order_id)
@@ -218,7 +218,7 @@
             What ``rejected_error`` makes of the rejection; nothing changed.
         UpdateRejectedError
             No process could take it; nothing changed.
-        OrderOutcomeUnknownError
+        UpdateOutcomeUnknownError
             At least one process may have accepted it.
         """
         may_be_accepted = False
@@ -238,7 +238,7 @@
             may_be_accepted = may_be_accepted or rejection.error.accepted is not Accepted.NO
             failures.append(f"{address}: {answer.status} {rejection.error.message}")
         if may_be_accepted:
-            raise OrderOutcomeUnknownError("; ".join(failures))
+            raise UpdateOutcomeUnknownError("; ".join(failures))
         raise UpdateRejectedError("; ".join(failures))
 
     async def _status_of(self, address: str) -> StatusBody | None:
--- a/src/orchidpath/fleet/startup.py
+++ b/src/orchidpath/fleet/startup.py
@@ -9,7 +9,7 @@
 from orchidpath.control.api.operator_client import (
     NoControlAnswersError,
     OperatorClient,
-    OrderOutcomeUnknownError,
+    UpdateOutcomeUnknownError,
     UpdateRejectedError,
 )
 from orchidpath.fleet.file import FleetFile
@@ -70,7 +70,7 @@
     # A new fleet's newest version is 0, and the order id makes repetitions take effect once.
     try:
         reply = await client.submit(INITIAL_ORDER_ID, 0, fleet.configuration)
-    except (UpdateRejectedError, OrderOutcomeUnknownError):
+    except (UpdateRejectedError, UpdateOutcomeUnknownError):
         return False
     return reply.confirmed
 
--- a/tests/control/test_plan_api.py
+++ b/tests/control/test_plan_api.py
@@ -14,8 +14,8 @@
 from orchidpath.control.api.operator_bodies import OperatorErrorCode, StatusBody, SubmitResult
 from orchidpath.control.api.operator_client import (
     OperatorClient,
-    OrderOutcomeUnknownError,
     PlanRefusedError,
+    UpdateOutcomeUnknownError,
     UpdateRejectedError,
 )
 from orchidpath.control.api.plan_api import add_plan_routes
@@ -157,10 +157,10 @@
     with pytest.raises(UpdateRejectedError):
         await client.request_plan_action(PlanAction.CONFIRM, "any", "one")
     access.result = PlanActionResult(answer=PlanActionStatus.UNKNOWN)
-    with pytest.raises(OrderOutcomeUnknownError):
+    with pytest.raises(UpdateOutcomeUnknownError):
         await client.request_plan_action(PlanAction.CONFIRM, "any", "one")
     access.fails = True
-    with pytest.raises(OrderOutcomeUnknownError):
+    with pytest.raises(UpdateOutcomeUnknownError):
         await client.request_plan_action(PlanAction.CONFIRM, "any", "one")
 
 
