--- a/src/orchidpath/control/api/conditional_updates.py
+++ b/src/orchidpath/control/api/conditional_updates.py
@@ -1,12 +1,14 @@
-"""Updates that are built on the operator's own number for a configuration instead of its version.
+"""Conditional updates of the configuration, keyed by the operator's label instead of the version.
 
-Such an operator knows a configuration by its label, which rises with each change. The same update
-sent again, to any control process, gets its first outcome; the compare and swap of the replicated
-state decides between two updates that were built on the same label.
+A label is the number that an operator assigns to a configuration; it increases with each change.
+An update names the label that it is built on. If the same update is sent again, to any control
+process, it gets its first outcome. Of two updates that are built on the same label, the compare and
+swap of the replicated state accepts one.
 
-An update brings the whole configuration, or a change of the current one. A change is worked out
-where it arrives, on the replicated state whose label it names; that the state has not moved on is
-then checked by the same compare and swap, so both kinds are decided alike.
+An update contains the complete configuration, or a change of the current one. The control process
+that receives a change applies it to its copy of the replicated state, whose label must be the one
+that the change names. The same compare and swap then checks that the state has not changed since,
+so both kinds of update are decided in the same way.
 """
 
 from collections.abc import Callable
@@ -24,22 +26,23 @@
 
 
 class ConditionalUpdateOutcome(StrEnum):
-    """What became of an update."""
+    """Outcome of a conditional update."""
 
     ACCEPTED = "taken"
-    """It is in force at every router that serves."""
+    """The update is effective at every serving router."""
     INVALID = "invalid"
-    """Its label is not above the current one; it never takes effect."""
+    """The label is not greater than the current one; the update never takes effect."""
     CONFLICT = "conflict"
-    """Another configuration is current; it never takes effect."""
+    """Another configuration is current; the update never takes effect."""
     UNKNOWN = "unknown"
-    """It may or may not take effect: the same update is to be sent again."""
+    """The update may or may not take effect: the operator should send it again unchanged."""
 
 
 class ConditionalReplacement(msgspec.Struct, frozen=True, kw_only=True):
     """A valid configuration that replaces the one labelled ``base_label``.
 
-    ``order_id`` is the same exactly for the same content.
+    Two updates have the same ``order_id`` if and only if they have the same content. ``document``
+    is the operator's text, which is stored with the configuration.
     """
 
     order_id: str
@@ -49,7 +52,7 @@
 
 
 class ResolvedConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """A valid configuration and the text that it was made from."""
+    """A valid configuration and the operator's document that it was parsed from."""
 
     configuration: Configuration
     document: bytes
@@ -58,9 +61,9 @@
 class ConditionalChange(msgspec.Struct, frozen=True, kw_only=True):
     """A change of the configuration labelled ``base_label``.
 
-    ``order_id`` is the same exactly for the same content. ``resolve`` returns what the change makes
-    of the current document, which is empty before the first one; it raises an error of its own if
-    the change can't be made.
+    Two changes have the same ``order_id`` if and only if they have the same content. ``resolve``
+    applies the change to the current document, which is empty before the first update, and returns
+    the result; it raises an error of its own if the change cannot be applied.
     """
 
     order_id: str
@@ -69,26 +72,27 @@
 
 
 class SubmitAccess(Protocol):
-    """What is needed of a control process."""
+    """Operations of a control process that `submit_labelled` requires."""
 
     async def submit(self, update: SubmitConfiguration) -> SubmitResult:
         """Propose a valid update and wait until it is confirmed."""
 
     async def read_state(self) -> FleetState:
-        """Return a state that holds everything confirmed before the call."""
+        """Return a state that contains every update confirmed before the call."""
 
 
 async def submit_labelled(
     access: SubmitAccess, update: ConditionalReplacement | ConditionalChange
 ) -> ConditionalUpdateOutcome:
-    """Submit an update and return what became of it.
+    """Submit a conditional update and return its outcome.
 
     Parameters
     ----------
     access
         A control process.
     update
-        The update. What the ``resolve`` of a change raises is passed on: nothing was submitted.
+        The update. An error that the ``resolve`` of a change raises is propagated; nothing was
+        submitted then.
     """
     try:
         state = await access.read_state()
@@ -96,7 +100,7 @@
         return ConditionalUpdateOutcome.UNKNOWN
     accepted = state.find_update(update.order_id)
     if accepted is not None and isinstance(accepted.outcome, UpdateAccepted):
-        return await _submit(access, update, _repetition(state, accepted, accepted.outcome))
+        return await _submit(access, update, _repeated_command(state, accepted, accepted.outcome))
     if update.base_label != state.configuration.label:
         return ConditionalUpdateOutcome.CONFLICT
     resolved = _resolve(state, update)
@@ -121,13 +125,14 @@
     return ResolvedConfiguration(configuration=update.configuration, document=update.document)
 
 
-def _repetition(
+def _repeated_command(
     state: FleetState, accepted: UpdateRecord, outcome: UpdateAccepted
 ) -> SubmitConfiguration:
-    """Return an accepted update once more: it changes nothing and is confirmed again.
+    """Return the command of an accepted update again; it changes nothing and is confirmed again.
 
-    What a change once made of an older configuration can't be worked out any more, and need not:
-    a replica that knows the update answers its first outcome.
+    The configuration that a change once produced cannot be computed any more, because its base has
+    been replaced. It is not needed: a replica that has recorded the update returns its first
+    outcome whatever the configuration in the command.
     """
     return SubmitConfiguration(
         order_id=accepted.order_id,
@@ -156,7 +161,10 @@
 async def _outcome_of_conflict(
     access: SubmitAccess, update: ConditionalReplacement | ConditionalChange
 ) -> ConditionalUpdateOutcome:
-    """Tell a conflict from an earlier copy of this update that was accepted meanwhile."""
+    """Return ``CONFLICT``, or ``UNKNOWN`` if an earlier copy of this update was accepted.
+
+    The copy may have been accepted between the first read of the state and the submission.
+    """
     try:
         state = await access.read_state()
     except UnavailableError:
--- a/src/orchidpath/control/api/operator_api.py
+++ b/src/orchidpath/control/api/operator_api.py
@@ -1,19 +1,19 @@
-"""The operators' HTTP API, served by every control process.
+"""HTTP API for operators and workers, served by every control process.
 
-Endpoints, all JSON:
+Endpoints; all bodies are JSON except those of the metrics:
 
-- ``GET /v1/configuration``: version and configuration.
-- ``PUT /v1/configuration``: submit an update.
+- ``GET /v1/configuration``: the current configuration and its version.
+- ``PUT /v1/configuration``: submit an update of the configuration.
 - ``GET /v1/configuration/history``: the newest configurations.
-- ``GET /v1/orders/{order_id}``: first outcome of an update.
-- ``GET /v1/status``: this process.
-- ``GET /v1/workers``, ``GET /v1/routers``, ``GET /v1/members``: the fleet.
-- ``POST /v1/workers/announce``: a worker's announcement.
-- ``GET /health/live``, ``GET /health/ready``: probes.
+- ``GET /v1/orders/{order_id}``: the first outcome of an update.
+- ``GET /v1/status``: the status of this process.
+- ``GET /v1/workers``, ``GET /v1/routers``, ``GET /v1/members``: the members of the fleet.
+- ``POST /v1/workers/announce``: accept a worker's announcement.
+- ``GET /health/live``, ``GET /health/ready``: liveness and readiness probes.
 - ``GET /metrics``: metrics in the Prometheus text format.
 
-Reads of the fleet are linearizable: they see every update confirmed before they began, at any
-control process. Every error has the shape of
+Reads of the replicated state are linearizable: whichever control process serves a read, it reflects
+every update that was confirmed before the read began. Every error body has the shape of
 :class:`~orchidpath.control.api.operator_bodies.OperatorErrorBody`.
 """
 
@@ -56,7 +56,7 @@
 )
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-"""Largest body of a request, a configuration included."""
+"""Upper bound on the body of a request; a configuration is sent as one body."""
 
 _log = structlog.get_logger(__name__)
 
@@ -65,14 +65,14 @@
     access: ControlAccess,
     registry: prometheus_client.CollectorRegistry = prometheus_client.REGISTRY,
 ) -> web.Application:
-    """Return the application that serves the operators' API.
+    """Return the web application that serves the operators' API.
 
     Parameters
     ----------
     access
-        The control process behind it.
+        The control process that executes the requests.
     registry
-        Metrics to show.
+        Registry whose metrics ``GET /metrics`` exposes.
     """
     app = web.Application(middlewares=[answer_errors], client_max_size=MAX_BODY_BYTES)
     api = _OperatorApi(access, registry)
@@ -92,7 +92,7 @@
 
 
 class _OperatorApi:
-    """Handlers of the endpoints."""
+    """Request handlers of the operators' API."""
 
     def __init__(
         self, access: ControlAccess, registry: prometheus_client.CollectorRegistry
@@ -113,12 +113,14 @@
         """``PUT /v1/configuration`` with ``{"order_id", "base_version", "configuration"}``.
 
         - 200 ``{"order_id", "version", "confirmed": true}``: accepted and confirmed.
-        - 202 the same with ``false``: accepted; send the same update again for the confirmation.
-        - 400 ``malformed`` and 422 ``invalid_configuration`` with every problem and its path:
-          nothing was proposed.
+        - 202 with ``"confirmed": false``: accepted; the same update sent again waits for the
+          confirmation.
+        - 400 ``malformed`` and 422 ``invalid_configuration`` with every problem and its
+          path: nothing was proposed.
         - 409 ``version_conflict`` or ``order_id_reused``, with ``current_version``: rejected.
-        - 503 ``no_leader`` with ``Retry-After``; ``taken`` is ``no`` or ``unknown``. An update
-          of unknown outcome is sent again as it is: its id makes it take effect once.
+        - 503 ``no_leader`` with ``Retry-After``; ``taken`` is ``no`` or ``unknown``. A client sends
+          an update of unknown outcome again unchanged: its ``order_id`` ensures that it takes
+          effect at most once.
         """
         body = decode_submit(await read_body(request))
         try:
@@ -134,7 +136,7 @@
         try:
             result = await self._access.submit(update)
         except Exception as error:  # noqa: BLE001
-            # Whatever failed, the update may already be in the log: its outcome is unknown.
+            # The update may already be in the Raft log, whatever failed: its outcome is unknown.
             _log.exception("submit_failed", order_id=body.order_id, error=str(error))
             result = SubmitResult(status=SubmitStatus.UNAVAILABLE, accepted=Accepted.UNKNOWN)
         return _submit_response(body.order_id, result)
@@ -147,8 +149,9 @@
     async def get_update(self, request: web.Request) -> web.Response:
         """``GET /v1/orders/{order_id}``: 200 with the first outcome; 404 ``unknown_order``.
 
-        An unknown update had not been accepted when the request came, or is older than the newest
-        updates that are retained; one still on its way may be accepted later.
+        404 means that no update of this id had been decided when the request was served, or that
+        its outcome is no longer among the retained ones. An update that is still being submitted
+        may be accepted later.
         """
         order_id = request.match_info["order_id"]
         state = await self._access.read_state()
@@ -159,14 +162,14 @@
         return json_response(update_body(record))
 
     async def get_status(self, request: web.Request) -> web.Response:
-        """``GET /v1/status``: 200 with what this process knows of itself."""
+        """``GET /v1/status``: 200 with the local status of this process; contacts no other one."""
         return json_response(self._access.status())
 
     async def get_workers(self, request: web.Request) -> web.Response:
-        """``GET /v1/workers``: 200 ``{"revision", "workers": [...]}`` with each one's circuit.
+        """``GET /v1/workers``: 200 ``{"revision", "workers": [...]}`` with each worker's circuit.
 
         ``circuit`` is ``available``, ``cooldown``, ``half_open``, ``rate_limited`` or
-        ``quarantined``; ``retry_after_ms`` is the time until the worker may be tried again.
+        ``quarantined``; ``retry_after_ms`` is the time until the worker may get attempts again.
         """
         circuits = {view.worker_id: view for view in await self._access.circuits()}
         state = await self._access.read_state()
@@ -197,7 +200,7 @@
         )
 
     async def post_announcement(self, request: web.Request) -> web.Response:
-        """``POST /v1/workers/announce`` with an announcement: 200 or, if not accepted, 503."""
+        """``POST /v1/workers/announce`` with an announcement: 200, or 503 if it is not accepted."""
         announcement = decode_announcement(await read_body(request))
         reply = await self._access.forward_announcement(announcement)
         response = json_response(reply, status=200 if reply.accepted else 503)
@@ -206,7 +209,7 @@
         return response
 
     async def get_live(self, request: web.Request) -> web.Response:
-        """``GET /health/live``: 200 as long as the process answers."""
+        """``GET /health/live``: 200 as long as the process serves requests."""
         return json_response(HealthBody(ready=self._access.status().ready))
 
     async def get_ready(self, request: web.Request) -> web.Response:
@@ -224,7 +227,7 @@
 
 
 def _submit_response(order_id: str, result: SubmitResult) -> web.Response:
-    """Return the answer to an update."""
+    """Return the response to an update: 200, 202, 409 or 503, see `put_configuration`."""
     match result.status:
         case SubmitStatus.CONFIRMED | SubmitStatus.ACCEPTED_NOT_CONFIRMED:
             confirmed = result.status is SubmitStatus.CONFIRMED
