--- a/src/orchidpath/control/api/__init__.py
+++ b/src/orchidpath/control/api/__init__.py
@@ -1,5 +1,5 @@
-"""The operators' and workers' HTTP API of a control process, and its client.
+"""HTTP API of a control process for operators and workers, and its client.
 
-Begin with :mod:`.operator_api`; bodies stand beside it. Imported by
-:mod:`orchidpath.control.process`, the command line and the platform adapter.
+Start reading at :mod:`.operator_api`; :mod:`.operator_bodies` and :mod:`.plan_bodies` define the
+bodies. Imported by :mod:`orchidpath.control.process`, the command line and the platform adapter.
 """
--- a/src/orchidpath/control/api/control_access.py
+++ b/src/orchidpath/control/api/control_access.py
@@ -1,4 +1,7 @@
-"""What the operators' API needs of its control process; requests may be forwarded to the leader."""
+"""Interface of a control process to the operators' API.
+
+An implementation may forward requests to the leader.
+"""
 
 import abc
 
@@ -13,14 +16,14 @@
 
 
 class UnavailableError(OrchidpathError):
-    """The control tier cannot answer now.
+    """The control tier cannot serve a request at the moment.
 
     Parameters
     ----------
     message
-        Why.
+        Why; it is part of the response to the operator.
     retry_after_seconds
-        When to come back.
+        Delay after which the client should retry.
     """
 
     def __init__(self, message: str, retry_after_seconds: float = 1.0) -> None:
@@ -33,7 +36,7 @@
 
     @abc.abstractmethod
     async def read_state(self) -> FleetState:
-        """Return a state that holds everything confirmed before the call (linearizable).
+        """Return a state that contains every update confirmed before the call (linearizable).
 
         Raises
         ------
@@ -43,13 +46,13 @@
 
 
 class ControlAccess(StateAccess):
-    """What the operators' API needs of its control process."""
+    """Operations of a control process that the operators' API requires."""
 
     @abc.abstractmethod
     async def submit(self, update: SubmitConfiguration) -> SubmitResult:
         """Propose a valid update and wait, for a bounded time, until it is confirmed.
 
-        ``accepted`` is NO in the result only if the update can never take effect any more.
+        ``accepted`` is ``NO`` in the result only if the update can never take effect.
         """
 
     @abc.abstractmethod
@@ -64,21 +67,21 @@
 
     @abc.abstractmethod
     def status(self) -> StatusBody:
-        """Return what this process knows of itself, without asking any other."""
+        """Return the status of this process, without contacting any other."""
 
     @abc.abstractmethod
     async def forward_announcement(self, announcement: Announcement) -> AnnouncementReply:
-        """Pass a worker's announcement on to the leader."""
+        """Forward a worker's announcement to the leader."""
 
 
 class PlanAccess(StateAccess):
-    """What the API for plans needs of its control process."""
+    """Operations of a control process that the API for plans requires."""
 
     @abc.abstractmethod
     async def request_plan_action(
         self, order_id: str, action: PlanAction, plan_id: str
     ) -> PlanActionResult:
-        """Take an action on a plan and wait, for a bounded time, for its outcome.
+        """Propose an action on a plan and wait, for a bounded time, for its outcome.
 
-        REJECTED only if the action can never take effect any more.
+        The outcome is ``REJECTED`` only if the action can never take effect.
         """
--- a/src/orchidpath/control/api/local_access.py
+++ b/src/orchidpath/control/api/local_access.py
@@ -1,7 +1,7 @@
-"""The operators' API on any control process: what this one cannot answer, it asks the leader.
+"""Serves the operators' API on any control process; a follower forwards requests to the leader.
 
-Forwarding keeps one rule: the outcome of an update whose forwarding got no answer is ``unknown``,
-never ``no``.
+If a forwarded update gets no reply, its outcome is reported as ``unknown``, never as ``no``: the
+leader may have received it.
 """
 
 import asyncio
@@ -45,16 +45,16 @@
 from orchidpath.wire.records import WorkerStatus
 
 UPDATE_TIMEOUT_SECONDS = CONFIRM_WAIT_SECONDS + 2.0
-"""After this long without an outcome an update or a plan action is answered as unknown."""
+"""Bound on the wait for the outcome of an update or a plan action; then it is unknown."""
 
 DEPARTURE_TIMEOUT_SECONDS = 0.8
-"""Bound on the wait until the replicated state shows that a worker drains or is removed."""
+"""Bound on the wait until a worker is draining or removed in the replicated state."""
 
 DEPARTURE_PERIOD_SECONDS = 0.05
 """Time between two reads of the state during that wait."""
 
 READ_TIMEOUT_SECONDS = 2.0
-"""Bound on a linearizable read."""
+"""Bound on each wait of a linearizable read."""
 
 _STATUS_BY_ANSWER = {
     UpdateStatus.CONFIRMED: SubmitStatus.CONFIRMED,
@@ -69,7 +69,7 @@
 
 
 class LocalControlAccess(ControlAccess, PlanAccess):
-    """Answers operators from this process's replica, or from the leader's.
+    """Serves operators from the replica of this process, or through the leader.
 
     Parameters
     ----------
@@ -78,7 +78,8 @@
     clock
         Monotonic clock.
     send_to_leader
-        Sends a message to the leader as far as it is known; False if it is surely lost.
+        Sends a message to the leader that this replica assumes; returns False if the message was
+        not sent, so that the leader cannot have received it.
     """
 
     def __init__(
@@ -88,7 +89,7 @@
         self._clock = clock
         self._send_to_leader = send_to_leader
         self._next_key = 0
-        self._waiting: dict[int, asyncio.Future[object]] = {}
+        self._pending: dict[int, asyncio.Future[object]] = {}
 
     @property
     def _replica(self) -> ControlReplica:
@@ -110,7 +111,7 @@
     async def request_plan_action(
         self, order_id: str, action: PlanAction, plan_id: str
     ) -> PlanActionResult:
-        """Take an action on a plan here, or forward it to the leader, and wait for its outcome."""
+        """Propose an action on a plan, or forward it to the leader, and wait for its outcome."""
         key = self._new_key()
         request = PlanActionRequest(
             correlation=key, order_id=order_id, action=action, plan_id=plan_id
@@ -128,7 +129,13 @@
         return PlanActionResult(answer=answer.answer, reason=answer.reason)
 
     async def read_state(self) -> FleetState:
-        """Return this process's state once it holds everything confirmed before the call."""
+        """Return the local state once it contains every update confirmed before the call.
+
+        Raises
+        ------
+        UnavailableError
+            No leader confirmed the read in time.
+        """
         try:
             if not await self._read_as_leader():
                 await self._read_as_follower()
@@ -137,7 +144,13 @@
         return self._replica.state
 
     async def circuits(self) -> tuple[WorkerCircuitView, ...]:
-        """Return the workers' circuits as the leader has them now."""
+        """Return the workers' circuits as the leader has them now.
+
+        Raises
+        ------
+        UnavailableError
+            No leader is known, or it did not answer the request in time.
+        """
         if self._replica.has_authority(self._clock()):
             return self._replica.worker_circuits(self._clock())
         key = self._new_key()
@@ -152,7 +165,7 @@
         return msgspec.msgpack.decode(reply.payload, type=tuple[WorkerCircuitView, ...])
 
     def status(self) -> StatusBody:
-        """Return what this process knows of itself."""
+        """Return the status of this process, without contacting any other."""
         replica = self._replica
         membership = replica.raft.membership
         leader_id = replica.raft.leader_id or ""
@@ -175,7 +188,7 @@
         )
 
     async def forward_announcement(self, announcement: Announcement) -> AnnouncementReply:
-        """Pass an announcement to the leader's duties, here or over the wire."""
+        """Pass an announcement to the leader: to this replica, or over the wire protocol."""
         message = ForwardedAnnouncements(announcements=(announcement,))
         replica = self._replica
         accepted = True
@@ -188,12 +201,15 @@
         return AnnouncementReply(accepted=accepted, announce_to=addresses)
 
     async def agree_on_departure(self, announcement: Announcement) -> bool:
-        """Pass on that a worker drains or leaves, and wait until the replicated state shows it.
+        """Forward that a worker drains or leaves, and wait until the replicated state shows it.
+
+        The announcement is forwarded again before each read of the state.
 
         Returns
         -------
         bool
-            Whether the state, read after the announcement was passed on, shows it.
+            Whether a linearizable read, begun after the announcement was forwarded, shows it within
+            `DEPARTURE_TIMEOUT_SECONDS`.
         """
         try:
             async with asyncio.timeout(DEPARTURE_TIMEOUT_SECONDS):
@@ -207,25 +223,28 @@
         except (TimeoutError, UnavailableError):
             return False
 
-    def answered(self, key: int, answer: object) -> None:
-        """Hand an answer of the replica, or of the leader, to the call that waits for it."""
-        waiting = self._waiting.get(key)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(answer)
+    def complete(self, key: int, answer: object) -> None:
+        """Pass an answer of the replica, or of the leader, to the pending call of this key.
+
+        An answer that arrives after its call has timed out is dropped.
+        """
+        pending = self._pending.get(key)
+        if pending is not None and not pending.done():
+            pending.set_result(answer)
 
     def receive_reply(self, message: Message) -> bool:
-        """Take a leader's reply; False if the message is not one."""
+        """Handle a leader's reply; return False if the message is of another kind."""
         match message:
             case ConfigurationUpdateReply():
                 answer = UpdateAnswered(
                     message.correlation, message.answer, message.version, message.reason
                 )
-                self.answered(message.correlation, answer)
+                self.complete(message.correlation, answer)
             case PlanActionReply():
                 outcome = PlanActionAnswered(message.correlation, message.answer, message.reason)
-                self.answered(message.correlation, outcome)
+                self.complete(message.correlation, outcome)
             case ReadIndexReply() | WorkerCircuitsReply():
-                self.answered(message.correlation, message)
+                self.complete(message.correlation, message)
             case _:
                 return False
         return True
@@ -248,15 +267,15 @@
             await self._loop.wait_until_applied(reply.index)
 
     def _forward(self, key: int, message: Message) -> bool:
-        """Send a request to the leader; False, and nothing waits any more, if it is lost."""
+        """Send a request to the leader; if that fails, drop its pending call and return False."""
         if self._send_to_leader(message):
             return True
-        self._waiting.pop(key)
+        self._pending.pop(key)
         return False
 
     def _new_key(self) -> int:
         self._next_key += 1
-        self._waiting[self._next_key] = asyncio.get_running_loop().create_future()
+        self._pending[self._next_key] = asyncio.get_running_loop().create_future()
         return self._next_key
 
     async def _wait(self, key: int, kind: type[Answer], timeout_seconds: float) -> Answer:
@@ -267,13 +286,13 @@
     async def _wait_for_any(self, key: int, timeout_seconds: float) -> object:
         try:
             async with asyncio.timeout(timeout_seconds):
-                return await self._waiting[key]
+                return await self._pending[key]
         finally:
-            self._waiting.pop(key, None)
+            self._pending.pop(key, None)
 
 
 def _shows_departure(state: FleetState, announcement: Announcement) -> bool:
-    """Whether a state shows that a worker is gone, or drains as it announced."""
+    """Whether a worker's incarnation is absent from a state, or draining if it announced that."""
     record = announcement.record
     entry = state.find_worker(record.worker_id)
     if entry is None or entry.record.incarnation != record.incarnation:
--- a/src/orchidpath/control/api/operator_bodies.py
+++ b/src/orchidpath/control/api/operator_bodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies of the operators' HTTP API, and the typed results behind them."""
+"""JSON bodies of the operators' HTTP API, and the result types that they are made from."""
 
 from enum import StrEnum
 
@@ -21,36 +21,36 @@
 )
 
 MAX_VERSION = announcements.MAX_SEQUENCE
-"""Largest version of a configuration."""
+"""Upper bound on the version of a configuration."""
 
 NEUTRAL_HEALTH = 0.5
 """Health of a worker without attempts (paper: neutral default)."""
 
 
 class MalformedRequestError(OrchidpathError):
-    """A request's body does not have the documented form."""
+    """The body of a request does not have the documented form."""
 
 
 class Accepted(StrEnum):
-    """Whether an update or action that got no outcome was accepted."""
+    """Whether an update or action whose outcome was not reported may have been accepted."""
 
     NO = "no"
     UNKNOWN = "unknown"
 
 
 class SubmitStatus(StrEnum):
-    """How the submission of an update ended."""
+    """Status of a submitted update."""
 
     CONFIRMED = "confirmed"
-    """Accepted and certain to outlast the failures that the fleet is built for."""
+    """Accepted, and confirmed to survive the failures that the fleet is designed for."""
     ACCEPTED_NOT_CONFIRMED = "taken_not_confirmed"
-    """Committed, but the wait for the confirmation ran out; send the same update again to ask."""
+    """Committed, but not confirmed in time; the same update sent again waits for confirmation."""
     CONFLICT = "conflict"
     """Not built on the current version; nothing changed."""
     ORDER_ID_REUSED = "order_id_reused"
     """The id belongs to an update with other content; nothing changed."""
     UNAVAILABLE = "unavailable"
-    """No leader answered; ``accepted`` tells what is known of the update."""
+    """No leader answered; ``accepted`` says whether the update may have been accepted."""
 
 
 class SubmitResult(msgspec.Struct, frozen=True, kw_only=True):
@@ -88,7 +88,7 @@
 
 
 class OperatorError(msgspec.Struct, frozen=True, kw_only=True):
-    """What went wrong; ``accepted`` is given where an outcome is in question."""
+    """Code and message of an error; ``accepted`` is set where the outcome may be unknown."""
 
     code: OperatorErrorCode
     message: str
@@ -96,7 +96,7 @@
 
 
 class OperatorErrorBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The one JSON shape of every error of the operators' API."""
+    """Common JSON body of the error responses of the operators' API."""
 
     error: OperatorError
     order_id: str | msgspec.UnsetType = msgspec.UNSET
@@ -105,7 +105,7 @@
 
 
 class SubmitBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Body of ``PUT /v1/configuration``; the configuration is checked apart from the rest."""
+    """Body of ``PUT /v1/configuration``; the configuration is left undecoded here."""
 
     order_id: str
     base_version: int
@@ -113,7 +113,7 @@
 
 
 class SubmitReplyBody(msgspec.Struct, frozen=True, kw_only=True):
-    """An update was accepted as ``version``."""
+    """Response to an update that was accepted as ``version``."""
 
     order_id: str
     version: int
@@ -121,7 +121,7 @@
 
 
 class ConfigurationBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest configuration and its version."""
+    """The current configuration and its version."""
 
     version: int
     configuration: Configuration
@@ -134,14 +134,14 @@
 
 
 class UpdateOutcomeName(StrEnum):
-    """Outcome of an update that was decided."""
+    """Outcome of a decided update."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
 
 
 class UpdateBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The first outcome of an update: the version it became, or the one it conflicted with."""
+    """First outcome of an update: its version, or the current version that it conflicted with."""
 
     order_id: str
     outcome: UpdateOutcomeName
@@ -150,7 +150,7 @@
 
 
 class StatusBody(msgspec.Struct, frozen=True, kw_only=True):
-    """What one control process knows of itself, without asking any other."""
+    """Status of one control process, from its own state only."""
 
     node_id: str
     role: Role
@@ -167,7 +167,7 @@
 
 
 class WorkerBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker in the view and its circuit, with the time until it may be tried again."""
+    """A worker in the view and its circuit; attempts are allowed after ``retry_after_ms``."""
 
     record: WorkerRecord
     circuit: CircuitStatus
@@ -177,7 +177,7 @@
 
 
 class WorkersBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The workers in the view, by id."""
+    """The workers in the view, ordered by id."""
 
     revision: int
     workers: tuple[WorkerBody, ...]
@@ -191,14 +191,14 @@
 
 
 class RoutersBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The registered routers, by id."""
+    """The registered routers, ordered by id."""
 
     revision: int
     routers: tuple[RouterBody, ...]
 
 
 class MembersBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The registered control replicas, by id."""
+    """The registered control replicas, ordered by id."""
 
     term: int
     leader_id: str
@@ -206,7 +206,7 @@
 
 
 class HealthBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The process is alive, or ready."""
+    """Response of a liveness or readiness probe; ``reason`` says why it is not ready."""
 
     ready: bool
     reason: str = ""
@@ -216,7 +216,7 @@
 
 
 def decode_submit(raw: bytes) -> SubmitBody:
-    """Return the body of an update, with its configuration not yet checked.
+    """Decode and check the body of an update, except its configuration.
 
     Raises
     ------
@@ -234,7 +234,7 @@
 
 
 def decode_announcement(raw: bytes) -> Announcement:
-    """Return a worker's announcement.
+    """Decode and check a worker's announcement.
 
     Raises
     ------
@@ -253,7 +253,7 @@
 
 
 def update_body(record: UpdateRecord) -> UpdateBody:
-    """Return the first outcome of an update as it is shown."""
+    """Return the response body for the first outcome of an update."""
     if isinstance(record.outcome, UpdateAccepted):
         return UpdateBody(
             order_id=record.order_id,
@@ -268,7 +268,7 @@
 
 
 def worker_body(record: WorkerRecord, view: WorkerCircuitView | None) -> WorkerBody:
-    """Return a worker with its circuit; one that is not in the circuits yet is available."""
+    """Return a worker with its circuit; a worker without a circuit yet is listed as available."""
     if view is None:
         return WorkerBody(
             record=record,
--- a/src/orchidpath/control/api/operator_client.py
+++ b/src/orchidpath/control/api/operator_client.py
@@ -1,4 +1,4 @@
-"""Client of the operators' HTTP API: tries each control process in turn."""
+"""Client of the operators' HTTP API; it sends each request to one control process after another."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -32,7 +32,7 @@
 """Bound on connecting to one control process."""
 
 READ_TIMEOUT_SECONDS = 10.0
-"""Bound on the answer of one control process; confirmations take up to a few seconds."""
+"""Bound on the response of one control process; a confirmation takes up to a few seconds."""
 
 _OK = 200
 _ACCEPTED = 202
@@ -43,11 +43,11 @@
 
 
 class NoControlAnswersError(OrchidpathError):
-    """No control process gave an answer; the message says what each one did."""
+    """No control process answered a read; the message lists the failure of each."""
 
 
 class UpdateRefusedError(OrchidpathError):
-    """An update is not valid, or not built on the newest version; nothing changed."""
+    """An update is invalid or not built on the current version; nothing changed."""
 
     def __init__(self, body: OperatorErrorBody) -> None:
         super().__init__(body.error.message)
@@ -55,7 +55,7 @@
 
 
 class PlanRefusedError(OrchidpathError):
-    """An action on a plan was rejected and changed nothing."""
+    """An action on a plan was rejected; nothing changed."""
 
     def __init__(self, body: PlanErrorBody) -> None:
         super().__init__(body.error.message)
@@ -63,15 +63,18 @@
 
 
 class UpdateRejectedError(OrchidpathError):
-    """An update or action reached no control process that could take it; nothing changed."""
+    """No control process could accept an update or action; nothing changed."""
 
 
 class UpdateOutcomeUnknownError(OrchidpathError):
-    """An answer was lost: it may have been accepted. Send it again with the same order id."""
+    """An update or action got no answer and may have been accepted.
+
+    It is safe to send it again with the same order id.
+    """
 
 
 class _Change(msgspec.Struct, frozen=True):
-    """A request that changes something; safe to repeat, for its body holds an order id."""
+    """A request that changes state; it can be repeated safely since its body has an order id."""
 
     method: str
     path: str
@@ -80,21 +83,21 @@
 
 
 class _Answer(msgspec.Struct, frozen=True):
-    """A whole HTTP answer."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes
 
 
 class OperatorClient:
-    """Talks to any of several control processes; use it as an async context manager.
+    """Client of several control processes; use it as an async context manager.
 
     Parameters
     ----------
     addresses
         Base addresses, with or without ``http://``; tried in this order.
     read_timeout_seconds
-        Bound on the answer of one control process.
+        Bound on the response of one control process.
     """
 
     def __init__(
@@ -120,15 +123,15 @@
             await self._session.close()
 
     async def configuration(self) -> ConfigurationBody:
-        """Return the newest configuration and its version."""
+        """Return the current configuration and its version."""
         return await self._get("/v1/configuration", ConfigurationBody)
 
     async def history(self) -> HistoryBody:
-        """Return the newest configurations."""
+        """Return the newest configurations, oldest first."""
         return await self._get("/v1/configuration/history", HistoryBody)
 
     async def members(self) -> MembersBody:
-        """Return the control replicas."""
+        """Return the registered control replicas."""
         return await self._get("/v1/members", MembersBody)
 
     async def routers(self) -> RoutersBody:
@@ -140,30 +143,33 @@
         return await self._get("/v1/workers", WorkersBody)
 
     async def statuses(self) -> dict[str, StatusBody | None]:
-        """Return what each control process says of itself; None for one that does not answer."""
+        """Return the status of each control process by address; None if it does not answer."""
         found = await asyncio.gather(*map(self._status_of, self._addresses))
         return dict(zip(self._addresses, found, strict=True))
 
     async def submit(
         self, order_id: str, base_version: int, configuration: object
     ) -> SubmitReplyBody:
-        """Submit a configuration; the order id makes it safe to try one process after another.
+        """Submit a configuration to one control process after another until one decides it.
+
+        The order id makes this safe: however many processes receive the update, it takes effect at
+        most once.
 
         Parameters
         ----------
         order_id
-            Identifier of this update; the same for every repetition.
+            Identifier of this update; every repetition uses the same one.
         base_version
-            Version that the configuration was built on.
+            Version that the configuration is built on.
         configuration
-            A whole configuration, typed or as plain data.
+            A complete configuration, typed or as plain data.
 
         Raises
         ------
         UpdateRefusedError
-            The update is not valid or not built on the newest version; nothing changed.
+            The update is invalid or not built on the current version; nothing changed.
         UpdateRejectedError
-            No process could take it; nothing changed.
+            No process could accept it; nothing changed.
         UpdateOutcomeUnknownError
             At least one process may have accepted it.
         """
@@ -180,7 +186,7 @@
         )
 
     async def plan(self) -> PlanBody:
-        """Return what would move now, and the newest plan that was started."""
+        """Return a preview of the plan that would be made now, and the newest started plan."""
         return await self._get("/v1/plan", PlanBody)
 
     async def request_plan_action(
@@ -193,7 +199,7 @@
         PlanRefusedError
             The action was rejected; nothing changed.
         UpdateRejectedError
-            No process could take it; nothing changed.
+            No process could accept it; nothing changed.
         UpdateOutcomeUnknownError
             At least one process may have accepted it.
         """
@@ -215,9 +221,9 @@
         Raises
         ------
         OrchidpathError
-            What ``rejected_error`` makes of the rejection; nothing changed.
+            The error that ``rejected_error`` returns for a rejection; nothing changed.
         UpdateRejectedError
-            No process could take it; nothing changed.
+            No process could accept it; nothing changed.
         UpdateOutcomeUnknownError
             At least one process may have accepted it.
         """
@@ -254,29 +260,32 @@
                 return await self._get_from(address, path, expected)
             except _AnswerError as error:
                 failures.append(f"{address}: {error}")
-        raise NoControlAnswersError("; ".join(failures) or "no control address given")
+        raise NoControlAnswersError("; ".join(failures) or "no address of a control process given")
 
     async def _get_from(self, address: str, path: str, expected: type[BodyT]) -> BodyT:
         answer = await self._exchange(address, "GET", path, b"")
         if answer.status != _OK:
-            raise _AnswerError(f"answered {answer.status}", sent=True)
+            raise _AnswerError(f"answered with HTTP status {answer.status}", sent=True)
         return _decode(answer.body, expected)
 
     async def _exchange(self, address: str, method: str, path: str, content: bytes) -> _Answer:
-        assert self._session is not None, "used outside its context"
+        assert self._session is not None, "OperatorClient used outside its async context"
         try:
             async with self._session.request(method, f"{address}{path}", data=content) as response:
                 return _Answer(response.status, await response.read())
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            raise _AnswerError(f"not reached: {error}", sent=False) from error
+            raise _AnswerError(f"cannot connect: {error}", sent=False) from error
         except (aiohttp.ClientError, TimeoutError) as error:
-            raise _AnswerError(f"no answer: {error or 'timed out'}", sent=True) from error
+            raise _AnswerError(f"no response: {error or 'timed out'}", sent=True) from error
         except ValueError as error:
-            raise _AnswerError(f"not an address: {error}", sent=False) from error
+            raise _AnswerError(f"invalid address: {error}", sent=False) from error
 
 
 class _AnswerError(OrchidpathError):
-    """One control process gave no usable answer; ``sent`` tells whether it may have the request."""
+    """A control process gave no usable response.
+
+    ``sent`` is False only if the process cannot have received the request.
+    """
 
     def __init__(self, message: str, *, sent: bool) -> None:
         super().__init__(message)
@@ -292,4 +301,4 @@
     try:
         return msgspec.json.decode(body, type=expected)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise _AnswerError(f"not the expected answer: {error}", sent=True) from error
+        raise _AnswerError(f"unexpected response body: {error}", sent=True) from error
--- a/src/orchidpath/control/api/plan_api.py
+++ b/src/orchidpath/control/api/plan_api.py
@@ -1,9 +1,13 @@
-"""The operators' HTTP API for plans, served by every control process.
+"""HTTP API for stage-change plans, served by every control process.
 
-- ``GET /v1/plan``: what would move now, and the newest plan with its progress.
+A plan is a list of steps, each of which moves one worker to another stage.
+
+- ``GET /v1/plan``: a preview of the plan that would be made now, and the newest plan with its
+  progress.
 - ``POST /v1/plan/confirm``, ``halt``, ``resume``, ``cancel``: actions on a plan.
 
-The preview is computed from the replicated state alone, so every control process answers the same.
+The preview is computed from the replicated state alone, so every control process returns the same
+one.
 """
 
 import msgspec
@@ -26,13 +30,13 @@
 from orchidpath.wire.messages import PlanAction, PlanActionStatus
 
 RETRY_AFTER_SECONDS = 1
-"""When to come back after no leader answered."""
+"""Value of ``Retry-After`` when no leader answered."""
 
 _log = structlog.get_logger(__name__)
 
 
 def add_plan_routes(app: web.Application, access: PlanAccess) -> None:
-    """Add the endpoints to the operators' application, which turns exceptions into errors."""
+    """Add the endpoints to the operators' application; its middleware handles their exceptions."""
     api = _PlanApi(access)
     app.router.add_get("/v1/plan", api.get_plan)
     app.router.add_post("/v1/plan/confirm", api.post_confirm)
@@ -42,7 +46,7 @@
 
 
 class _PlanApi:
-    """Handlers of the endpoints."""
+    """Request handlers of the API for plans."""
 
     def __init__(self, access: PlanAccess) -> None:
         self._access = access
@@ -54,26 +58,26 @@
         return json_response(PlanBody(preview=self._preview_of(state), newest=state.plan))
 
     async def post_confirm(self, request: web.Request) -> web.Response:
-        """``POST /v1/plan/confirm``: let a plan run; see `_request_action` for the answers."""
+        """``POST /v1/plan/confirm``: start a plan; see `_request_action` for the responses."""
         return await self._request_action(request, PlanAction.CONFIRM)
 
     async def post_halt(self, request: web.Request) -> web.Response:
-        """``POST /v1/plan/halt``: begin no further step."""
+        """``POST /v1/plan/halt``: start no further step of a plan until it is resumed."""
         return await self._request_action(request, PlanAction.HALT)
 
     async def post_resume(self, request: web.Request) -> web.Response:
-        """``POST /v1/plan/resume``: let a halted plan go on."""
+        """``POST /v1/plan/resume``: continue a halted plan."""
         return await self._request_action(request, PlanAction.RESUME)
 
     async def post_cancel(self, request: web.Request) -> web.Response:
-        """``POST /v1/plan/cancel``: end a plan."""
+        """``POST /v1/plan/cancel``: cancel a plan that is not over."""
         return await self._request_action(request, PlanAction.CANCEL)
 
     async def _request_action(self, request: web.Request, action: PlanAction) -> web.Response:
         """``POST /v1/plan/{action}`` with ``{"plan_id", "order_id"}``.
 
-        - 200: accepted. The same request again gets its first outcome.
-        - 409 ``plan_stale`` with the ``preview`` that holds now, or ``order_id_reused``.
+        - 200: accepted. A repetition of the request gets the first outcome.
+        - 409 ``plan_stale`` with the current ``preview``, or ``order_id_reused``.
         - 422 ``plan_refused`` with the reason.
         - 503 ``no_leader``; ``taken`` is ``no`` or ``unknown``.
         """
@@ -81,7 +85,7 @@
         try:
             result = await self._access.request_plan_action(body.order_id, action, body.plan_id)
         except Exception as error:  # noqa: BLE001
-            # Whatever failed, the action may already be in the log: its outcome is unknown.
+            # The action may already be in the Raft log, whatever failed: its outcome is unknown.
             _log.exception("plan_order_failed", order_id=body.order_id, error=str(error))
             reason = "the order failed inside the server"
             result = PlanActionResult(answer=PlanActionStatus.UNKNOWN, reason=reason)
@@ -106,8 +110,8 @@
             case PlanActionStatus.REFUSED:
                 return _error(422, OperatorErrorCode.PLAN_REFUSED, result.reason, body)
             case PlanActionStatus.REJECTED | PlanActionStatus.UNKNOWN:
-                lost = result.answer is PlanActionStatus.UNKNOWN
-                accepted = Accepted.UNKNOWN if lost else Accepted.NO
+                is_unknown = result.answer is PlanActionStatus.UNKNOWN
+                accepted = Accepted.UNKNOWN if is_unknown else Accepted.NO
                 code = OperatorErrorCode.NO_LEADER
                 response = _error(503, code, result.reason, body, accepted=accepted)
                 response.headers["Retry-After"] = str(RETRY_AFTER_SECONDS)
@@ -117,11 +121,11 @@
         try:
             state = await self._access.read_state()
         except UnavailableError:
-            return msgspec.UNSET  # the refusal stands without it
+            return msgspec.UNSET  # the action is rejected as stale also without a preview
         return self._preview_of(state)
 
     def _preview_of(self, state: FleetState) -> PlanPreview:
-        """Return the preview of a state, computed once for each revision: it is a long step."""
+        """Return the preview of a state; it is costly and so computed once for each revision."""
         if self._newest is None or self._newest.plan.revision != state.revision:
             self._newest = make_preview(state.view())
         return self._newest
--- a/src/orchidpath/control/api/plan_bodies.py
+++ b/src/orchidpath/control/api/plan_bodies.py
@@ -13,7 +13,7 @@
 
 
 class PlanBody(msgspec.Struct, frozen=True, kw_only=True):
-    """What would move now, and the newest plan that was started with its progress."""
+    """A preview of the plan that would be made now, and the newest started plan with progress."""
 
     preview: PlanPreview
     newest: PlanRecord | None = None
@@ -27,7 +27,7 @@
 
 
 class PlanActionReplyBody(msgspec.Struct, frozen=True, kw_only=True):
-    """An action on a plan was accepted."""
+    """Response to an accepted action on a plan."""
 
     plan_id: str
     order_id: str
@@ -35,14 +35,14 @@
 
 
 class PlanActionResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of an action on a plan, and why."""
+    """Outcome of an action on a plan, and the reason of a rejection."""
 
     answer: PlanActionStatus
     reason: str = ""
 
 
 class PlanErrorBody(msgspec.Struct, frozen=True, kw_only=True):
-    """An error of the operators' API; ``preview`` is the plan that would be made now."""
+    """Error response of the API for plans; ``preview`` is the plan that would be made now."""
 
     error: OperatorError
     order_id: str | msgspec.UnsetType = msgspec.UNSET
@@ -53,7 +53,7 @@
 
 
 def decode_plan_action(raw: bytes) -> PlanActionBody:
-    """Return the body of an action on a plan.
+    """Decode and check the body of an action on a plan.
 
     Raises
     ------
--- a/src/orchidpath/control/api/responses.py
+++ b/src/orchidpath/control/api/responses.py
@@ -1,4 +1,4 @@
-"""Reading requests and writing answers, shared by the operators' API and its part for plans."""
+"""Helpers that read requests and write responses, shared by the operators' API and its plan API."""
 
 import asyncio
 import math
@@ -18,7 +18,7 @@
 )
 
 BODY_TIMEOUT_SECONDS = 10.0
-"""A request whose body takes longer than this to arrive is refused."""
+"""Bound on the arrival of a request's body; a slower request gets status 408."""
 
 _log = structlog.get_logger(__name__)
 _CODES_BY_HTTP_STATUS = {
@@ -33,7 +33,7 @@
 async def answer_errors(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Turn every exception into the one JSON shape of errors."""
+    """Turn every exception of a handler into an error response in the common JSON form."""
     try:
         return await handler(request)
     except MalformedRequestError as error:
@@ -59,7 +59,13 @@
 
 
 async def read_body(request: web.Request) -> bytes:
-    """Return a request's body, for which the wait is bounded."""
+    """Return the body of a request.
+
+    Raises
+    ------
+    web.HTTPRequestTimeout
+        The body did not arrive within `BODY_TIMEOUT_SECONDS`.
+    """
     try:
         async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
             return await request.read()
@@ -77,7 +83,7 @@
     current_version: int | msgspec.UnsetType = msgspec.UNSET,
     retry_after_seconds: float | None = None,
 ) -> web.Response:
-    """Return an error's response; ``Retry-After`` counts whole seconds."""
+    """Return an error response; ``Retry-After`` is rounded up to whole seconds, at least 1."""
     body = OperatorErrorBody(
         error=OperatorError(code=code, message=message, accepted=accepted),
         order_id=order_id,
@@ -90,7 +96,7 @@
 
 
 def json_response(body: msgspec.Struct, status: int = 200) -> web.Response:
-    """Return a body as JSON."""
+    """Return a response with the body encoded as JSON."""
     return web.Response(
         body=msgspec.json.encode(body), status=status, content_type="application/json"
     )
--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -1,4 +1,4 @@
-"""The control process: connects the replica to disk, peers, routers and the operators' API."""
+"""Control process: connects its replica to disk, peers, routers, workers and the operators' API."""
 
 import asyncio
 import random as random_module
@@ -50,41 +50,43 @@
 from orchidpath.wire.records import ControlMember
 
 DISK_FULL_RETRY_SECONDS = 0.5
-"""Time between two tries to go on after the disk was full."""
+"""Time between two attempts to restart the replica after the disk was full."""
 
 IDENTITY_CHARACTERS = 12
-"""Characters of the random identity that are shown in a replica's id."""
+"""Number of characters of the log's random identity that are part of a replica's id."""
 
 LINKS_PERIOD_SECONDS = 0.2
-"""How often the set of links to other members is brought up to date."""
-
+"""Time between two updates of the set of links to other members."""
 
 RouteAdder = Callable[[web.Application, LocalControlAccess], None]
-"""Adds calls to the application that a control process serves."""
+"""Adds routes to the web application that a control process serves."""
 
 HTTP_SHUTDOWN_SECONDS = 0.5
 """Bound on the wait for open HTTP requests when the process stops."""
 
 
 class ReplicaStoppedError(OrchidpathError):
-    """The replica's disk failed or its log was contradicted; it must not go on."""
+    """The replica failed, for example on a disk error or a contradiction in its log.
+
+    It must not continue.
+    """
 
 
 class ControlProcess(Daemon[ControlSettings]):
-    """One control process.
+    """A control process of the fleet: one Raft replica and its HTTP API.
 
     Parameters
     ----------
     settings
-        Checked settings.
+        Validated settings.
     files
         File operations; injected by tests.
     clock
         Monotonic clock.
     add_routes
-        Adds further calls to the operators' API, for adapters to other interfaces.
+        Adds further routes to the operators' API, for adapters to other interfaces.
     command_format
-        How commands to workers are written; by default in the product's own form.
+        Encoding of commands to workers; by default orchidpath's own form.
     """
 
     def __init__(
@@ -110,11 +112,11 @@
 
     @property
     def drain_seconds(self) -> float:
-        """Return 0: a control process has nothing to drain, others take over at once."""
+        """Return 0: a control process has nothing to drain, because the others take over."""
         return 0.0
 
     async def start(self) -> None:
-        """Read the disk, listen, and take part."""
+        """Restore the replica from disk, start the listeners and join the fleet."""
         restored = self._storage.load()
         self._member = self._describe_member()
         self._loop = ReplicaLoop(
@@ -122,7 +124,7 @@
             self._storage,
             self._clock,
             self._execute,
-            self._synced,
+            self._on_synced,
         )
         self._connect_parts(is_restored=restored != RestoredState())
         await self._connections.start()
@@ -130,7 +132,7 @@
         self._start_tasks()
 
     async def stop(self, drain_seconds: float) -> None:
-        """Stop at once; whatever was acknowledged is on disk."""
+        """Stop at once; everything that was acknowledged is on disk already."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -140,12 +142,15 @@
         self._storage.close()
 
     async def reload(self, settings: ControlSettings) -> None:
-        """Take new settings; the log level and the seeds change in a running process."""
+        """Apply new settings; the log level and the seeds change in a running process."""
         self._settings = settings
         configure_logs(settings.log_level, node_id=settings.node_id, role="control")
 
     def _describe_member(self) -> ControlMember:
-        """Return this replica as it registers itself; its id changes with the disk's identity."""
+        """Return the record that this replica registers itself with.
+
+        Its id contains the identity of the log, so a replica with a new log gets a new id.
+        """
         return ControlMember(
             node_id=f"{self._settings.node_id}.{self._identity}",
             address=self._settings.wire_address,
@@ -158,7 +163,7 @@
         return self._storage.identity[:IDENTITY_CHARACTERS]
 
     def _connect_parts(self, *, is_restored: bool) -> None:
-        """Create what talks to operators, workers and other processes."""
+        """Create the parts that exchange messages with operators, workers and other processes."""
         hello = Hello(
             node_id=self._member.node_id,
             incarnation=self._identity,
@@ -169,7 +174,7 @@
         self._faults = LinkFaults() if self._settings.fault_file else None
         self._access = LocalControlAccess(self._loop, self._clock, self._send_to_leader)
         self._worker_commands = WorkerCommandSender(
-            self._worker_command_answered, self._command_format
+            self._on_worker_command_reply, self._command_format
         )
         self._connections = ControlConnections(hello, self._on_message, self._random, self._faults)
         self._joiner = FleetJoiner(
@@ -186,13 +191,13 @@
         self._tasks = [
             asyncio.create_task(self._run_replica()),
             asyncio.create_task(self._joiner.run_forever()),
-            asyncio.create_task(self._keep_links()),
+            asyncio.create_task(self._update_links()),
         ]
         if self._faults is not None:
             self._tasks.append(watch_fault_file(self._settings.fault_file, self._faults))
 
     def _new_storage(self) -> LogStorage:
-        """Return where this replica keeps its log; one that never votes needs no disk."""
+        """Return the storage of this replica's log; a replica that never votes needs no disk."""
         if not self._settings.may_vote:
             return MemoryLogStorage()
         return FileLogStorage(self._settings.data_folder, self._files)
@@ -235,15 +240,15 @@
                 self.fail(ReplicaStoppedError(f"{type(error).__name__}: {error}"))
                 return
             except Exception as error:
-                # The outermost loop: a replica that stopped within an event must not look alive.
+                # Outermost loop: a process whose replica stopped in an event must not look healthy.
                 self._logger.exception("replica_failed", error=str(error))
                 self.fail(ReplicaStoppedError(f"{type(error).__name__}: {error}"))
                 return
 
     async def _restart_replica(self) -> None:
-        """Go on from what is on the disk, as a restarted process would, once it takes bytes.
+        """Restart the replica from disk, as a restarted process would, once the disk is writable.
 
-        What the replica believed is ahead of its disk, so nothing of it is kept.
+        The state in memory is ahead of the disk, so none of it is reused.
         """
         while True:
             await asyncio.sleep(DISK_FULL_RETRY_SECONDS)
@@ -265,7 +270,7 @@
         self._logger.info("forming_a_new_fleet", member=self._member.node_id)
         self._loop.replica = self._new_replica(RestoredState(), membership)
 
-    async def _keep_links(self) -> None:
+    async def _update_links(self) -> None:
         while True:
             membership = self._loop.replica.raft.membership
             other_addresses = set(membership.addresses.values()) - {self._member.address}
@@ -273,7 +278,7 @@
                 self._connections.link_to(other_addresses)
             await asyncio.sleep(LINKS_PERIOD_SECONDS)
 
-    def _synced(self, seconds: float) -> None:
+    def _on_synced(self, seconds: float) -> None:
         self._sync_seconds.observe(seconds)
         if seconds > self._settings.sync_delay_warning_seconds:
             self._logger.warning("slow_disk", seconds=round(seconds, 3))
@@ -301,7 +306,7 @@
             case SendToConnected():
                 self._connections.send_to_connected(effect.message)
             case UpdateAnswered() | ReadReady() | ReadFailed() | PlanActionAnswered():
-                self._access.answered(effect.key, effect)
+                self._access.complete(effect.key, effect)
             case SendWorkerCommand():
                 self._worker_commands.send(effect.url, effect.command)
             case LeadershipChanged():
@@ -312,9 +317,11 @@
                     leader=effect.leader_id,
                 )
             case _:
-                raise ReplicaStoppedError(f"{type(effect).__name__} is a record to be synced")
+                raise ReplicaStoppedError(
+                    f"{type(effect).__name__} is a log record to sync, not an effect to execute"
+                )
 
-    def _worker_command_answered(
+    def _on_worker_command_reply(
         self, command: WorkerCommand, reply: WorkerCommandReply | None
     ) -> None:
         loop = self._loop
--- a/tests/control/test_local_access.py
+++ b/tests/control/test_local_access.py
@@ -1,4 +1,4 @@
-"""A control process without a leader answers its operators at once; no call is left waiting."""
+"""A control process without a leader answers operators at once and leaves no call pending."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def access() -> LocalControlAccess:
-    """Return the access of a follower that cannot reach any leader."""
+    """Return the API access of a follower that has no leader to forward requests to."""
     generator = random.Random(1)
     membership = Membership(("c", "d"), (), {"c": "c:1", "d": "d:1"})
     raft = RaftCore("c", RaftSettings(), RestoredState(), membership, 0.0, generator)
@@ -38,7 +38,7 @@
 ) -> None:
     result = await access.submit(configuration_update())
     assert (result.status, result.accepted) == (SubmitStatus.UNAVAILABLE, Accepted.NO)
-    assert not access._waiting
+    assert not access._pending
 
 
 async def test_a_plan_action_that_could_not_be_forwarded_is_rejected(
@@ -46,10 +46,10 @@
 ) -> None:
     result = await access.request_plan_action("a", PlanAction.HALT, "p")
     assert result.answer is PlanActionStatus.REJECTED
-    assert not access._waiting
+    assert not access._pending
 
 
 async def test_circuits_without_a_leader_are_unavailable(access: LocalControlAccess) -> None:
     with pytest.raises(UnavailableError, match="no leader is known"):
         await access.circuits()
-    assert not access._waiting
+    assert not access._pending
