--- a/src/orchidpath/control/__init__.py
+++ b/src/orchidpath/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control process: consensus shell, sessions with the fleet and the operators' HTTP API."""
+"""Control process: runs a Raft replica, its fleet connections and the operators' HTTP API."""
--- a/src/orchidpath/control/connections.py
+++ b/src/orchidpath/control/connections.py
@@ -1,4 +1,4 @@
-"""The connections of a control process: links to other members, and those opened to it."""
+"""Connections of a control process: links to other members, and incoming connections."""
 
 from random import Random
 
@@ -12,16 +12,16 @@
 
 
 class ControlConnections:
-    """Sends to members by wire address and to connected processes by node id.
+    """Sends messages to members by wire address, and to connected processes by node id.
 
     Must be used inside a running event loop.
 
     Parameters
     ----------
     hello
-        What this process says of itself; its address is listened on.
+        Description of this process, sent to each peer; its address is the one to listen on.
     on_message
-        Called for each message of any connection.
+        Called with each message that any connection receives.
     random
         Source of the reconnect jitter.
     faults
@@ -47,7 +47,7 @@
         self._links = PeerLinks(hello, on_message, random, faults=faults)
 
     async def start(self) -> None:
-        """Bind and listen.
+        """Bind the address and listen.
 
         Raises
         ------
@@ -62,34 +62,37 @@
         await self._listener.close()
 
     def link_to(self, addresses: set[str]) -> None:
-        """Keep links to exactly these wire addresses."""
+        """Open and maintain links to exactly these wire addresses; close all others."""
         self._links.set_addresses(addresses)
 
-    def linked(self, address: str) -> Connection | None:
-        """Return the open link to an address; None, and one is begun, if there is none yet."""
+    def get_or_start_link(self, address: str) -> Connection | None:
+        """Return the open link to an address; if there is none, start one and return None."""
         connection = self._links.connection(address)
         if connection is None:
             self._links.set_addresses({*self._links.addresses, address})
         return connection
 
     def send_to_address(self, address: str, message: Message) -> bool:
-        """Send over the link to an address; False if the message is lost for certain."""
+        """Send over the link to an address; return False if the message was not sent."""
         return self._links.send(address, message)
 
     def send_to_member(self, effect: SendToMember) -> None:
-        """Send a consensus message; a member without a link is answered where it connected."""
-        # A new learner knows no address yet, so the only way to it is its own connection.
+        """Send a consensus message over the link to a member, or else over its own connection.
+
+        A new learner has no addresses of members yet, so it can reply only over the connections
+        that they opened to it.
+        """
         if not self._links.send(effect.address, effect.message):
             self.send_to_node(effect.node_id, effect.message)
 
     def send_to_node(self, node_id: str, message: Message) -> None:
-        """Send over the connection that a node holds to this process, if it does."""
+        """Send over the connection that a node has opened to this process, if there is one."""
         connection = self._incoming.get(node_id)
         if connection is not None:
             connection.send(message)
 
     def send_to_connected(self, message: Message) -> None:
-        """Send to every process of the fleet that holds a connection to this one."""
+        """Send to every process of the fleet that has a connection to this one open."""
         for connection in self._incoming.values():
             connection.send(message)
 
--- a/src/orchidpath/control/fleet_joiner.py
+++ b/src/orchidpath/control/fleet_joiner.py
@@ -1,4 +1,4 @@
-"""Forms or joins the fleet whenever this replica is not a member of it."""
+"""Forms or joins the fleet while this replica is not a member of it or has no leader."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,26 +15,26 @@
 from orchidpath.wire.messages import ControlMembers, Hello, JoinRequest
 
 JOIN_PERIOD_SECONDS = 0.5
-"""Time between two tries of a replica that is not a member to form or join its fleet."""
+"""Time between two attempts of a replica to form or join its fleet."""
 
 
 class FleetJoiner:
-    """Asks the members that it can find to add this replica.
+    """Forms a new fleet, or requests that the leader of the existing one adds this replica.
 
     Parameters
     ----------
     settings
-        Returns the settings now in force, which say where to look for members.
+        Returns the current settings, which list the addresses of possible members.
     hello
-        What this process says of itself.
+        Description of this process, sent to each peer.
     replica_loop
         Runs the replica.
     connections
-        Connections of this process.
+        Connections of this process; the join request is sent over them.
     form_fleet
         Makes this replica the only voter of a new fleet.
     is_restored
-        Whether the disk held anything at the start: then no fleet is formed.
+        Whether a log was restored from disk at the start; if so, no new fleet is formed.
     faults
         Injected faults, for tests.
     """
@@ -59,36 +59,43 @@
         self._faults = faults
 
     async def run_forever(self) -> None:
-        """Try to form or join whenever that is needed, until cancelled."""
+        """Try to form or join the fleet while that is needed; runs until it is cancelled."""
         while True:
             if not self._loop.replica.is_member or not self._is_leader_known():
                 await self._try_to_join()
             await asyncio.sleep(JOIN_PERIOD_SECONDS)
 
     def _is_leader_known(self) -> bool:
-        """Whether a leader is heard: a replica that was removed while away hears none."""
+        """Whether the replica has a leader.
+
+        A replica that was removed from the fleet while it was disconnected receives from none.
+        """
         return self._loop.replica.raft.leader_id is not None
 
     async def _try_to_join(self) -> None:
-        if await self._is_to_form_fleet():
+        if await self._should_form_fleet():
             self._was_in_fleet = True
             self._form_fleet()
             return
         settings = self._settings()
         for address in dict.fromkeys([*settings.seeds, *settings.formation_members]):
-            if address != settings.wire_address and await self._ask_to_join(address):
+            if address != settings.wire_address and await self._join_through(address):
                 return
 
-    async def _is_to_form_fleet(self) -> bool:
-        """Whether this replica knows of no fleet and is the one to form it."""
+    async def _should_form_fleet(self) -> bool:
+        """Whether this replica belongs to no fleet and is the one that must form it."""
         settings = self._settings()
         is_new = not self._was_in_fleet and not self._loop.replica.raft.membership.members()
         if not is_new or not settings.may_vote:
             return False
         return await may_form_fleet(settings.wire_address, settings.formation_members, self._hello)
 
-    async def _ask_to_join(self, address: str) -> bool:
-        """Ask the leader that one process names to add this replica; False if none was asked."""
+    async def _join_through(self, address: str) -> bool:
+        """Send a join request to the leader that the process at an address names.
+
+        Returns False if no request could be sent, so that the next address is tried; True also if
+        the process lists this replica as a member already.
+        """
         try:
             answer = await query_control_members(address, self._hello, self._faults)
         except NoAnswerError:
@@ -101,7 +108,7 @@
             return True
         for member in answer.members:
             if member.node_id == answer.leader_id:
-                connection = self._connections.linked(member.address)
+                connection = self._connections.get_or_start_link(member.address)
                 if connection is None:
                     return False
                 connection.send(JoinRequest(member=own_member))
--- a/src/orchidpath/control/worker_commands.py
+++ b/src/orchidpath/control/worker_commands.py
@@ -1,7 +1,7 @@
-"""Sends workers their commands over HTTP and passes the answers on.
+"""Sends commands to workers over HTTP and reports their replies.
 
-A lost command or answer does no harm: the command is repeated with a higher sequence, and the
-worker's fence rejects whatever arrives late (docs/design/plans.md).
+If a command or its reply is lost, the command is repeated with a higher sequence, and the worker's
+fencing token makes it reject a command that arrives late (docs/design/plans.md).
 """
 
 import asyncio
@@ -13,47 +13,47 @@
 from orchidpath.wire.backend import WorkerCommand, WorkerCommandReply
 
 WORKER_COMMAND_TIMEOUT_SECONDS = 2.0
-"""Bound on a worker's answer to a command."""
+"""Bound on a worker's reply to a command."""
 
 COMMANDS_PATH = "/v1/orders"
-"""Path of commands below a worker's base address."""
+"""Path to which commands are posted, relative to a worker's base address."""
 
 AnswerHandler = Callable[[WorkerCommand, WorkerCommandReply | None], None]
 
 
 class WorkerCommandFormat:
-    """How a command is written to a worker, and how its answer is read; the product's own form."""
+    """Encoding of a command and decoding of its reply; the default is orchidpath's own form."""
 
     path = COMMANDS_PATH
 
     def headers(self, command: WorkerCommand) -> dict[str, str]:
-        """Return the headers of a command."""
+        """Return the HTTP headers of a command."""
         return {}
 
     def body(self, command: WorkerCommand) -> bytes:
-        """Return the body of a command."""
+        """Return the HTTP body of a command."""
         return msgspec.json.encode(command)
 
     def read_answer(self, command: WorkerCommand, status: int, body: bytes) -> WorkerCommandReply:
-        """Return what a worker answered.
+        """Return a worker's reply, decoded from its HTTP status and body.
 
         Raises
         ------
         msgspec.MsgspecError, ValueError
-            It is not an answer to a command.
+            The response is not a reply to a command.
         """
         return msgspec.json.decode(body, type=WorkerCommandReply)
 
 
 class WorkerCommandSender:
-    """Posts commands, each in a task of its own.
+    """Posts each command in a task of its own.
 
     Parameters
     ----------
     on_answer
-        Told each command's answer, or None when there was none in time.
+        Called with each command and its reply, or None if no usable reply arrived in time.
     command_format
-        How commands are written.
+        Encoding of commands; by default orchidpath's own form.
     """
 
     def __init__(
@@ -65,13 +65,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def send(self, url: str, command: WorkerCommand) -> None:
-        """Send a command to the worker at a base address; returns at once."""
+        """Start sending a command to the worker at a base address and return at once."""
         task = asyncio.create_task(self._post(url, command))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """Give up every command that is on its way."""
+        """Cancel every command that has no reply yet, and close the HTTP session."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -93,5 +93,5 @@
                 content = await response.read()
                 reply = self._format.read_answer(command, response.status, content)
         except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError, ValueError):
-            reply = None  # the driver repeats the command until it has had its effect
+            reply = None  # the sender of the command repeats it until it has taken effect
         self._on_answer(command, reply)
--- a/tests/control/test_conditional_updates.py
+++ b/tests/control/test_conditional_updates.py
@@ -1,4 +1,4 @@
-"""Conditional updates (`If-Match` on an operator's label): races, retries and lost replies."""
+"""Conditional updates (`If-Match` on a label): races, retries and lost replies."""
 
 import pytest
 
@@ -19,7 +19,11 @@
 
 
 class SingleReplica:
-    """A control process with the replicated state in memory and no other replica."""
+    """A control process with its replicated state in memory and no other replica.
+
+    ``before_submit`` holds updates that are submitted between the read of the state and the
+    submission of the next update, as a concurrent operator would.
+    """
 
     def __init__(self) -> None:
         self.state = FleetState()
@@ -45,7 +49,7 @@
 
 
 def replacement(name: str, base: int, label: int) -> ConditionalReplacement:
-    """Return an update that replaces the configuration, with its name as document."""
+    """Return an update that replaces the configuration; its name becomes the document."""
     return ConditionalReplacement(
         order_id=name,
         base_label=base,
@@ -72,7 +76,7 @@
 
 @pytest.fixture
 async def labelled_replica(replica: SingleReplica) -> SingleReplica:
-    """Return a replica whose configuration has the label 2 and the document ``a``."""
+    """Return a replica whose configuration has label 2 and the document ``a``."""
     await submit_labelled(replica, replacement("a", 0, 2))
     return replica
 
--- a/tests/control/test_control_process.py
+++ b/tests/control/test_control_process.py
@@ -1,4 +1,4 @@
-"""A control process without a usable disk, and one whose disk fills up, keep running."""
+"""Control processes keep running without a lockable data folder and while the disk is full."""
 
 import asyncio
 import errno
@@ -55,11 +55,14 @@
 
 
 async def test_a_process_that_may_not_vote_needs_no_lockable_files() -> None:
-    """A bench run added machines without a folder in which a file can be locked."""
+    """Guards against a non-voter that fails to start because it locks a file in its data folder.
+
+    A bench run added machines whose data folder does not support file locks.
+    """
 
     class NoFiles(SimulatedFiles):
         def lock(self, path: str) -> None:
-            raise OSError(errno.EBADF, "no locks here", path)
+            raise OSError(errno.EBADF, "file locks are not supported", path)
 
     voter_address, follower_address = unused_address(), unused_address()
     voter = ControlProcess(settings("v", voter_address, voter_address), files=SimulatedFiles())
@@ -94,7 +97,7 @@
         await asyncio.wait({pending}, timeout=0.5)
         failure = asyncio.create_task(process.failure())
         await asyncio.wait({failure}, timeout=0.2)
-        assert not failure.done(), "the process would have ended"
+        assert not failure.done(), "the control process failed on a full disk"
         failure.cancel()
         files.capacity_bytes = None
         second = await submit_until_confirmed(process, labelled_update(2, 1))
--- a/tests/control/test_operator_api.py
+++ b/tests/control/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API over a control process with its replicated state in memory."""
+"""The operators' HTTP API, served by a fake control process with an in-memory replicated state."""
 
 import asyncio
 import io
@@ -43,7 +43,7 @@
 
 
 class FakeAccess(ControlAccess):
-    """A control process that is its own leader."""
+    """A fake control process that leads a fleet of its own; ``result`` overrides its outcomes."""
 
     def __init__(self) -> None:
         self.state = FleetState()
@@ -106,8 +106,8 @@
 async def client(access: FakeAccess) -> AsyncIterator[Client]:
     registry = prometheus_client.CollectorRegistry()
     prometheus_client.Counter("sample", "A sample", registry=registry).inc()
-    async with TestClient(TestServer(create_operator_app(access, registry))) as running:
-        yield running
+    async with TestClient(TestServer(create_operator_app(access, registry))) as test_client:
+        yield test_client
 
 
 def update_body(order_id: str, base_version: int, configuration: object = CONFIGURATION) -> bytes:
@@ -157,9 +157,9 @@
 async def test_a_repeated_update_gets_its_first_reply(client: Client, access: FakeAccess) -> None:
     first = await put(client, update_body("o1", 0))
     await put(client, update_body("o2", 1, OTHER))
-    # The same content with other white space.
-    spaced = json.dumps(json.loads(update_body("o1", 0)), indent=3).encode()
-    assert await put(client, spaced) == first
+    # The same content with different white space.
+    reformatted = json.dumps(json.loads(update_body("o1", 0)), indent=3).encode()
+    assert await put(client, reformatted) == first
     assert access.state.configuration_version == 2
 
 
@@ -178,7 +178,7 @@
     assert [problem["path"] for problem in body["problems"]] == ["services[0].name", "unknown"]
     assert access.proposed == []
     assert access.state.configuration_version == 0
-    # The rejected update does not occupy its id, so a corrected one may use it.
+    # The id of a rejected update is not recorded, so the corrected update can use it.
     assert (await put(client, update_body("o1", 0)))[0] == 200
 
 
--- a/tests/control/test_operator_bodies_fuzz.py
+++ b/tests/control/test_operator_bodies_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzzed bodies of configuration updates and worker announcements."""
+"""Fuzz tests of the decoders of configuration updates and worker announcements."""
 
 import json
 
--- a/tests/control/test_plan_api.py
+++ b/tests/control/test_plan_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API for plans and its client, over a replicated state in memory."""
+"""The HTTP API for plans and its client, served from an in-memory replicated state."""
 
 from collections.abc import AsyncIterator
 
@@ -37,7 +37,7 @@
 
 
 class FakeAccess(ControlAccess, PlanAccess):
-    """A leading control process; its reply can be lost, and its leader can be unavailable."""
+    """A fake control process that leads the fleet; replies and reads can be made to fail."""
 
     def __init__(self) -> None:
         self.state = FleetState()
@@ -90,22 +90,22 @@
 
 @pytest.fixture
 def access() -> FakeAccess:
-    made = FakeAccess()
+    fake = FakeAccess()
     for number in range(4):
-        announce(made, f"w{number}", Stage.PREFILL if number < 3 else Stage.DECODE)
+        announce(fake, f"w{number}", Stage.PREFILL if number < 3 else Stage.DECODE)
     service = Service(
         name="chat", kind=ServiceKind.MODEL, models=["m"], prefill_workers=2, decode_workers=2
     )
-    made.apply(configuration_update("c", 0, Configuration(services=[service])))
-    return made
+    fake.apply(configuration_update("c", 0, Configuration(services=[service])))
+    return fake
 
 
 @pytest.fixture
 async def client(access: FakeAccess) -> AsyncIterator[OperatorClient]:
     app = create_operator_app(access, prometheus_client.CollectorRegistry())
     add_plan_routes(app, access)
-    async with TestServer(app) as server, OperatorClient([str(server.make_url("/"))]) as made:
-        yield made
+    async with TestServer(app) as server, OperatorClient([str(server.make_url("/"))]) as operator:
+        yield operator
 
 
 async def test_a_previewed_plan_can_be_confirmed_halted_and_resumed(
--- a/tests/control/test_plan_processes.py
+++ b/tests/control/test_plan_processes.py
@@ -1,4 +1,4 @@
-"""A plan on loopback: control processes and emulated workers; the leader stops midway."""
+"""A plan that is executed over real connections on loopback while its leader is stopped."""
 
 import asyncio
 import contextlib
@@ -39,16 +39,16 @@
 
 def unused_addresses(count: int) -> list[str]:
     with contextlib.ExitStack() as probes:
-        found = []
+        addresses = []
         for _ in range(count):
             probe = probes.enter_context(socket.socket())
             probe.bind(("127.0.0.1", 0))
-            found.append(f"127.0.0.1:{probe.getsockname()[1]}")
-        return found
+            addresses.append(f"127.0.0.1:{probe.getsockname()[1]}")
+        return addresses
 
 
 class Fleet:
-    """Three control processes and the workers that announce themselves to them."""
+    """Three control processes, and emulated workers that announce themselves to them."""
 
     def __init__(self, folder: Path) -> None:
         wire, http = unused_addresses(3), unused_addresses(3)
@@ -92,7 +92,7 @@
             status = statuses[url]
             if number in self.controls and status is not None and status.role is Role.LEADER:
                 return number
-        raise AssertionError("no leader")
+        raise AssertionError("no running control process reports that it is the leader")
 
     async def stop(self) -> None:
         for worker in self.workers:
@@ -103,16 +103,16 @@
 
 @pytest.fixture
 async def fleet(tmp_path: Path) -> AsyncIterator[Fleet]:
-    made = Fleet(tmp_path)
+    started = Fleet(tmp_path)
     try:
         for number in range(3):
-            await made.start_control(number)
+            await started.start_control(number)
         for number in range(4):
             stage = Stage.PREFILL if number < 3 else Stage.DECODE
-            await made.start_worker(f"w{number}", stage)
-        yield made
+            await started.start_worker(f"w{number}", stage)
+        yield started
     finally:
-        await made.stop()
+        await started.stop()
 
 
 async def eventually(condition: Callable[[], Awaitable[bool]]) -> None:
@@ -148,13 +148,13 @@
         plan_id = (await client.plan()).preview.plan.plan_id
         await client.request_plan_action(PlanAction.CONFIRM, plan_id, "two")
         await eventually(second_step_began)
-        lost = await fleet.leader(client)
-        await fleet.controls.pop(lost).stop(0.0)
+        leader = await fleet.leader(client)
+        await fleet.controls.pop(leader).stop(0.0)
         await eventually(done)
         stages = sorted(worker.core.record.stage for worker in fleet.workers)
         assert stages == [Stage.DECODE, Stage.DECODE, Stage.DECODE, Stage.PREFILL]
         assert not any(worker.core.draining for worker in fleet.workers)
-        # The action that the lost leader accepted still has its first outcome.
+        # Another leader returns the first outcome of the action that the stopped one accepted.
         await client.request_plan_action(PlanAction.CONFIRM, plan_id, "two")
         newest = (await client.plan()).newest
         assert newest is not None
--- a/tests/control/test_worker_commands.py
+++ b/tests/control/test_worker_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the platform's workers: every reply that a worker may give, and two leaders."""
+"""Commands to the platform's workers: each kind of reply, and a change of the leader."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -30,7 +30,7 @@
 
 WAIT_SECONDS = 10.0
 LEASE_SECONDS = 3.0
-"""The platform's `lease_ms`: two leaders must not command one worker within it."""
+"""The platform's `lease_ms`; two leaders must not command one worker within this time."""
 STEP_SECONDS = 0.25
 NOT_EXECUTED = {"X-Not-Executed": "1"}
 
@@ -93,12 +93,12 @@
 
 
 async def test_a_command_whose_reply_is_lost_has_an_unknown_outcome() -> None:
-    async def break_off(request: web.Request) -> web.StreamResponse:
+    async def abort_connection(request: web.Request) -> web.StreamResponse:
         assert request.transport is not None
         request.transport.abort()
         return web.Response()
 
-    assert await reply_to(break_off) is None
+    assert await reply_to(abort_connection) is None
 
 
 class Worker:
@@ -117,7 +117,7 @@
         self.state = FleetState()
         self.now = 0.0
         self.arrivals: list[tuple[float, str, WorkerCommand]] = []
-        """Time and leader's machine of each command that reached a worker."""
+        """Time, machine of the leader, and command, for each command that reached a worker."""
         self._apply(split_configuration())
         stages = [Stage.PREFILL] * prefill + [Stage.DECODE] * decode
         self.workers = {f"w{number}": Worker(f"w{number}", s) for number, s in enumerate(stages)}
@@ -126,7 +126,7 @@
         self.lead("front-z-0", 1)
 
     def lead(self, machine: str, term: int) -> None:
-        """Make a machine the leader from now on."""
+        """Make a machine the leader of a new term, with a new balancer."""
         self.machine = machine
         self.output = ControlOutput()
         self.balancer = StageBalancer(term, self.state, lambda _now: {}, self.output, self.now)
@@ -140,15 +140,15 @@
         """Replace a worker by a new one, as a restart does on the platform."""
         old = self.workers.pop(worker_id)
         self._apply(WorkerRemoved(worker_id=worker_id, incarnation=worker_id, sequence=99))
-        fresh = Worker(f"{worker_id}-again", old.stage)
-        self.workers[fresh.worker_id] = fresh
-        self.announce(fresh)
+        replacement = Worker(f"{worker_id}-again", old.stage)
+        self.workers[replacement.worker_id] = replacement
+        self.announce(replacement)
 
     def run(self, seconds: float, status: int | None, *, executes: bool = False) -> None:
-        """Let time pass.
+        """Advance the simulated time, ticking the balancer and delivering its commands.
 
-        Every command gets a reply with ``status``, or none where it is ``None``; ``executes`` says
-        whether the worker executes it, with or without a reply.
+        Every command gets a reply with ``status``, or no reply if it is ``None``. If ``executes``
+        is true, the worker executes the command, whether it replies or not.
         """
         end = self.now + seconds
         while self.now < end:
@@ -214,7 +214,7 @@
 
 @pytest.mark.parametrize("seconds_into_move", [0.25, 0.75, 1.25, 2.0])
 def test_two_leaders_never_command_one_worker_within_the_lease(seconds_into_move: float) -> None:
-    """The leader changes during a stage change; a command of its predecessor may arrive late."""
+    """A command of the former leader may arrive late when the leader changes in a stage change."""
     fleet = Fleet(prefill=4, decode=3)
     while not fleet.arrivals:
         fleet.run(STEP_SECONDS, None)
@@ -228,5 +228,5 @@
     assert of_second
     assert of_second[0][0] - last_of_first > LEASE_SECONDS
     assert {command.term for _, command in of_second} == {2}
-    # Also if the first leader's command arrived only at its sender's timeout.
+    # This also holds if the first leader's command arrived just before its sender's timeout.
     assert of_second[0][0] - last_of_first > WORKER_COMMAND_TIMEOUT_SECONDS
