--- a/src/orchidpath/control/api/operator_client.py
+++ b/src/orchidpath/control/api/operator_client.py
@@ -144,8 +144,8 @@
 
     async def statuses(self) -> dict[str, StatusBody | None]:
         """Return the status of each control process by address; None if it does not answer."""
-        found = await asyncio.gather(*map(self._status_of, self._addresses))
-        return dict(zip(self._addresses, found, strict=True))
+        statuses = await asyncio.gather(*map(self._status_of, self._addresses))
+        return dict(zip(self._addresses, statuses, strict=True))
 
     async def submit(
         self, order_id: str, base_version: int, configuration: object
--- a/src/orchidpath/control/api/plan_api.py
+++ b/src/orchidpath/control/api/plan_api.py
@@ -50,7 +50,7 @@
 
     def __init__(self, access: PlanAccess) -> None:
         self._access = access
-        self._newest: PlanPreview | None = None
+        self._cached_preview: PlanPreview | None = None
 
     async def get_plan(self, request: web.Request) -> web.Response:
         """``GET /v1/plan``: 200 ``{"preview", "newest"}``; 503 without a leader."""
@@ -126,9 +126,9 @@
 
     def _preview_of(self, state: FleetState) -> PlanPreview:
         """Return the preview of a state; it is costly and so computed once for each revision."""
-        if self._newest is None or self._newest.plan.revision != state.revision:
-            self._newest = make_preview(state.view())
-        return self._newest
+        if self._cached_preview is None or self._cached_preview.plan.revision != state.revision:
+            self._cached_preview = make_preview(state.view())
+        return self._cached_preview
 
 
 def _error(
--- a/src/orchidpath/control/process.py
+++ b/src/orchidpath/control/process.py
@@ -116,7 +116,7 @@
         return 0.0
 
     async def start(self) -> None:
-        """Restore the replica from disk, start the listeners and join the fleet."""
+        """Restore the replica from disk, start the listeners and begin to join the fleet."""
         restored = self._storage.load()
         self._member = self._describe_member()
         self._loop = ReplicaLoop(
--- a/tests/control/test_operator_api.py
+++ b/tests/control/test_operator_api.py
@@ -36,10 +36,10 @@
 )
 
 CONFIGURATION = {"services": [{"name": "stock", "kind": "plain"}]}
-OTHER = {"services": [{"name": "board", "kind": "plain"}]}
-HANG_SECONDS = 20.0
+OTHER_CONFIGURATION = {"services": [{"name": "board", "kind": "plain"}]}
+WAIT_SECONDS = 20.0
 """Upper bound of a wait, in seconds; no assertion depends on it."""
-INVALID = {"services": [{"name": "", "kind": "plain"}], "unknown": 1}
+INVALID_CONFIGURATION = {"services": [{"name": "", "kind": "plain"}], "unknown": 1}
 
 
 class FakeAccess(ControlAccess):
@@ -156,7 +156,7 @@
 
 async def test_a_repeated_update_gets_its_first_reply(client: Client, access: FakeAccess) -> None:
     first = await put(client, update_body("o1", 0))
-    await put(client, update_body("o2", 1, OTHER))
+    await put(client, update_body("o2", 1, OTHER_CONFIGURATION))
     # The same content with different white space.
     reformatted = json.dumps(json.loads(update_body("o1", 0)), indent=3).encode()
     assert await put(client, reformatted) == first
@@ -165,7 +165,7 @@
 
 async def test_a_reused_update_id_is_rejected(client: Client, access: FakeAccess) -> None:
     await put(client, update_body("o1", 0))
-    status, body = await put(client, update_body("o1", 1, OTHER))
+    status, body = await put(client, update_body("o1", 1, OTHER_CONFIGURATION))
     assert (status, body["error"]["code"], body["current_version"]) == (409, "order_id_reused", 1)
     assert access.state.configuration.services[0].name == "stock"
 
@@ -173,7 +173,7 @@
 async def test_an_invalid_configuration_is_never_proposed(
     client: Client, access: FakeAccess
 ) -> None:
-    status, body = await put(client, update_body("o1", 0, INVALID))
+    status, body = await put(client, update_body("o1", 0, INVALID_CONFIGURATION))
     assert (status, body["error"]["code"]) == (422, "invalid_configuration")
     assert [problem["path"] for problem in body["problems"]] == ["services[0].name", "unknown"]
     assert access.proposed == []
@@ -389,13 +389,13 @@
     client: Client, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(responses, "BODY_TIMEOUT_SECONDS", 0.0)
-    never = asyncio.Event()
+    release_body = asyncio.Event()
 
     async def body() -> AsyncIterator[bytes]:
         yield b"{"
-        await never.wait()
+        await release_body.wait()
 
-    async with asyncio.timeout(HANG_SECONDS):
+    async with asyncio.timeout(WAIT_SECONDS):
         response = await client.put("/v1/configuration", data=body())
     assert response.status == 408
-    never.set()
+    release_body.set()
--- a/tests/control/test_worker_commands.py
+++ b/tests/control/test_worker_commands.py
@@ -219,14 +219,14 @@
     while not fleet.arrivals:
         fleet.run(STEP_SECONDS, None)
     fleet.run(seconds_into_move, None)
-    last_of_first = fleet.arrivals[-1][0]
+    last_command_time = fleet.arrivals[-1][0]
     fleet.lead("front-z-1", 2)
     fleet.run(2 * UNTIL_FIRST_COMMAND_SECONDS, None)
-    of_second = [
+    commands_of_second = [
         (time, command) for time, machine, command in fleet.arrivals if machine == "front-z-1"
     ]
-    assert of_second
-    assert of_second[0][0] - last_of_first > LEASE_SECONDS
-    assert {command.term for _, command in of_second} == {2}
+    assert commands_of_second
+    assert commands_of_second[0][0] - last_command_time > LEASE_SECONDS
+    assert {command.term for _, command in commands_of_second} == {2}
     # This also holds if the first leader's command arrived just before its sender's timeout.
-    assert of_second[0][0] - last_of_first > WORKER_COMMAND_TIMEOUT_SECONDS
+    assert commands_of_second[0][0] - last_command_time > WORKER_COMMAND_TIMEOUT_SECONDS
