--- a/src/orchidpath/consensus/__init__.py
+++ b/src/orchidpath/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated log: election, leases, membership change, snapshots and storage."""
+"""Raft consensus: replicated log, election, leases, membership changes, snapshots and storage."""
--- a/src/orchidpath/consensus/bootstrap.py
+++ b/src/orchidpath/consensus/bootstrap.py
@@ -1,4 +1,4 @@
-"""The first entry of a new group."""
+"""Bootstrap of a new Raft group: the first log entry, which defines its membership."""
 
 from orchidpath.consensus.errors import NotBootstrapVoterError
 from orchidpath.consensus.log import encode_membership
@@ -6,16 +6,16 @@
 from orchidpath.consensus.types import EntryKind, HardState, LogEntry, Membership, RestoredState
 
 BOOTSTRAP_TERM = 1
-"""Term of the first entry, below that of any election."""
+"""Term of the first entry, below the term of any election."""
 
 
 def needs_bootstrap(restored: RestoredState) -> bool:
-    """Return whether nothing was stored, or a crash interrupted the bootstrap.
+    """Return whether nothing is stored, or a crash interrupted the bootstrap.
 
     Parameters
     ----------
     restored
-        What the disk holds.
+        State that was read from disk.
 
     Returns
     -------
@@ -29,7 +29,7 @@
 def bootstrap(replica: Replica, membership: Membership) -> None:
     """Append the first entry, which is the same on every voter of a new group.
 
-    Its term is below that of any election, so all logs agree on it from the start.
+    Its term is below the term of any election, so all logs match at this entry from the start.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
     Raises
     ------
     NotBootstrapVoterError
-        The membership doesn't count the replica as a voter.
+        The replica is not a voter of the membership.
     """
     if replica.node_id not in membership.voters:
         raise NotBootstrapVoterError(replica.node_id)
--- a/src/orchidpath/consensus/effects.py
+++ b/src/orchidpath/consensus/effects.py
@@ -1,9 +1,9 @@
-"""Effects: what a replica has its shell do.
+"""Effects: the actions that a replica returns for its shell to execute.
 
-The shell executes effects strictly in list order, and lists in the order in which the calls
-returned them. Every `Persist*` effect is synced to disk before any later effect runs; a failed
-sync is fatal for the replica and never retried. This order is what makes a reply safe: a vote or
-an acknowledgement is sent only after the record that it promises is durable.
+The shell executes the effects of a list strictly in order, and the lists in the order in which the
+calls returned them. Every `Persist*` effect is synced to disk before any later effect runs; a
+failed sync is fatal for the replica and never retried. This order makes replies safe: a vote or an
+acknowledgement is sent only after the record that it confirms is durable.
 """
 
 from typing import NamedTuple
@@ -37,7 +37,7 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Send a message to a replica; loss is allowed."""
+    """Send a message to a replica; the message may be lost."""
 
     to: str
     message: RaftMessage
@@ -50,13 +50,13 @@
 
 
 class ApplySnapshot(msgspec.Struct, frozen=True):
-    """Replace the state machine by a snapshot."""
+    """Replace the content of the state machine by a snapshot."""
 
     snapshot: Snapshot
 
 
 class LeadershipChanged(msgspec.Struct, frozen=True):
-    """Role, term or known leader has changed."""
+    """Report that the role, the term or the known leader of the replica has changed."""
 
     role: Role
     term: int
@@ -84,7 +84,7 @@
     Attributes
     ----------
     entry_index
-        Index of the entry that carries it.
+        Index of the entry that carries the membership.
     effects
         Effects to execute, in order.
     """
--- a/src/orchidpath/consensus/election.py
+++ b/src/orchidpath/consensus/election.py
@@ -1,20 +1,23 @@
-"""Pre-vote, votes, and the start of a leadership (Raft, sections 5.2, 5.4.1; thesis 9.6)."""
+"""Leader election: pre-votes, votes, and the transition to leader.
+
+Sources: Raft paper, sections 5.2 and 5.4.1; Raft thesis, section 9.6 (pre-vote).
+"""
 
 from orchidpath.consensus.raft_messages import RequestVote, RequestVoteReply
 from orchidpath.consensus.replica import Progress, Replica
 from orchidpath.consensus.replication import advance_commit, broadcast_append
 from orchidpath.consensus.restart_votes import (
-    is_answer_to_this_run,
-    must_wait,
-    nobody_holds_a_lease,
+    is_in_restart_delay,
+    is_reply_to_this_run,
+    no_replica_holds_lease,
     would_grant_without_restart,
 )
 from orchidpath.consensus.types import EntryKind, Guard, HardState, LogEntry, Role
 
 
 def on_election_timeout(replica: Replica, now: float) -> None:
-    """Process an election timeout: a voter requests pre-votes, a learner only waits again."""
-    if must_wait(replica, now):
+    """Process an election timeout: a voter requests pre-votes, a learner only rearms its timer."""
+    if is_in_restart_delay(replica, now):
         replica.arm_first_election(now)
     else:
         replica.arm_election(now)
@@ -27,10 +30,10 @@
 
 
 def _start_pre_vote(replica: Replica, now: float) -> None:
-    """Find out whether an election could be won, without raising the term.
+    """Request pre-votes, which show whether an election could be won, without raising the term.
 
-    A partitioned replica would otherwise return with a higher term and depose a leader that
-    serves a healthy majority (thesis, section 9.6).
+    Without pre-votes, a partitioned replica would return with a higher term and depose a leader
+    that serves a healthy majority (thesis, section 9.6).
     """
     replica.set_role(Role.PRE_CANDIDATE, None)
     replica.votes = {replica.node_id}
@@ -43,20 +46,21 @@
 
 def _may_start_election(replica: Replica, now: float) -> bool:
     """Return whether the replies to the pre-vote allow an election."""
-    if nobody_holds_a_lease(replica):
+    if no_replica_holds_lease(replica):
         return True
-    # Its own vote counts too, and a promise not to vote from before a restart may forbid it.
-    return _has_vote_quorum(replica) and not must_wait(replica, now)
+    # This replica's own vote counts too, but until the restart delay is over, an append received
+    # before the restart may still forbid it to vote.
+    return _has_vote_quorum(replica) and not is_in_restart_delay(replica, now)
 
 
 def _start_election(replica: Replica, now: float) -> None:
-    # The vote for itself is durable before the first request is sent (order of effects): after a
-    # crash in between, the replica can't vote for another candidate in the same term.
+    # Effects run in order, so the replica's vote for itself is durable before the first request
+    # is sent. After a crash in between, it cannot vote for another candidate in the same term.
     replica.set_hard_state(HardState(term=replica.term + 1, voted_for=replica.node_id))
     replica.set_role(Role.CANDIDATE, None)
     replica.arm_election(now)
-    # Checked before the votes are reset: it depends on the replies to the pre-vote.
-    nobody_leads = nobody_holds_a_lease(replica)
+    # This check uses the replies to the pre-vote, so it must run before the votes are reset.
+    nobody_leads = no_replica_holds_lease(replica)
     replica.votes = {replica.node_id}
     if _has_vote_quorum(replica):
         _become_leader(replica, now)
@@ -96,7 +100,7 @@
         _reply(replica, message, granted=False)
         return
     up_to_date = _is_up_to_date(replica, message)
-    if must_wait(replica, now) and not message.nobody_leads:
+    if is_in_restart_delay(replica, now) and not message.nobody_leads:
         is_idle = would_grant_without_restart(replica, message, up_to_date)
         _reply(replica, message, granted=False, start_id=message.start_id if is_idle else 0)
         return
@@ -114,11 +118,11 @@
 
 
 def _is_bound_to_leader(replica: Replica, now: float) -> bool:
-    """Return whether a promise to a leader not to vote may still bind this replica.
+    """Return whether this replica must refuse votes because a leader may hold a lease.
 
     A leader's lease depends on followers that refuse votes for the shortest election timeout
-    after they received an append. The term of a refused request isn't adopted either, as this
-    would depose the leader all the same.
+    after they received an append. The term of a refused request is not adopted either, because a
+    higher term would depose the leader just as a vote would.
     """
     window = replica.settings.election_timeout_min_seconds
     if not replica.guarded(Guard.LEASE_VOTE_REFUSAL):
@@ -129,7 +133,7 @@
 
 
 def _is_up_to_date(replica: Replica, message: RequestVote) -> bool:
-    """Return whether the candidate's log holds every entry that may be committed here."""
+    """Return whether the candidate's log is at least as up-to-date as this replica's log."""
     if not replica.guarded(Guard.LOG_UP_TO_DATE):
         return True
     own = (replica.log.last_term, replica.log.last_index)
@@ -168,7 +172,7 @@
         return
     if message.granted and message.term == replica.term + 1:
         replica.votes.add(message.sender)
-    elif message.start_id and is_answer_to_this_run(replica, message.start_id):
+    elif message.start_id and is_reply_to_this_run(replica, message.start_id):
         replica.idle_voters.add(message.sender)
     if _may_start_election(replica, now):
         _start_election(replica, now)
@@ -177,8 +181,8 @@
 def _become_leader(replica: Replica, now: float) -> None:
     """Become the leader, and append a no-op.
 
-    Entries of earlier terms commit only together with one of this term, and reads need to know
-    the commit index: the no-op provides both without waiting for a proposal.
+    Entries of earlier terms commit only together with an entry of this term, and reads need the
+    current commit index. The no-op provides both without waiting for a proposal.
     """
     replica.set_role(Role.LEADER, replica.node_id)
     replica.became_leader_at = now
@@ -189,7 +193,7 @@
         if node != replica.node_id
     }
     replica.term_start_index = next_index
-    name = replica.node_id.encode()
-    replica.append_entries([LogEntry(next_index, replica.term, EntryKind.NOOP, name)])
+    payload = replica.node_id.encode()
+    replica.append_entries([LogEntry(next_index, replica.term, EntryKind.NOOP, payload)])
     broadcast_append(replica, now, heartbeat=True)
     advance_commit(replica, now)
--- a/src/orchidpath/consensus/errors.py
+++ b/src/orchidpath/consensus/errors.py
@@ -13,7 +13,7 @@
     Parameters
     ----------
     leader_id
-        The leader it knows, if any.
+        The leader of the current term, or None if unknown.
     """
 
     def __init__(self, leader_id: str | None) -> None:
@@ -22,7 +22,7 @@
 
 
 class MembershipChangeError(ConsensusError):
-    """A membership change was rejected; nothing has changed."""
+    """A membership change was rejected; the membership is unchanged."""
 
 
 class MembershipChangePendingError(MembershipChangeError):
@@ -38,7 +38,7 @@
 
 
 class NotBootstrapVoterError(ConsensusError):
-    """A replica was to bootstrap a group that does not count it as a voter.
+    """A replica was given a bootstrap membership in which it is not a voter.
 
     Parameters
     ----------
@@ -47,19 +47,20 @@
     """
 
     def __init__(self, node_id: str) -> None:
-        super().__init__(f"{node_id} is no voter of the new group")
+        super().__init__(f"{node_id} is not a voter of the membership that bootstraps the group")
         self.node_id = node_id
 
 
 class InvalidSettingsError(ConsensusError, ValueError):
     """Settings under which the protocol would not be safe.
 
-    Also a ``ValueError``, which is what a decoder of settings turns into its own error.
+    It is also a ``ValueError``, because msgspec converts that type to its own validation error when
+    it decodes settings.
     """
 
 
 class CompactionError(ConsensusError):
-    """A snapshot was taken at an index that is not applied or already compacted."""
+    """A snapshot was taken at an index that is not applied yet or is already compacted."""
 
 
 class LogGapError(ConsensusError):
@@ -74,13 +75,13 @@
     """
 
     def __init__(self, index: int, last_index: int) -> None:
-        super().__init__(f"entry {index} does not follow {last_index}")
+        super().__init__(f"entry {index} does not follow the last entry of the log, {last_index}")
         self.index = index
         self.last_index = last_index
 
 
 class ProtocolViolationError(ConsensusError):
-    """A message contradicts what is already committed; the replica must stop."""
+    """A message contradicts committed entries, or shows a second leader; the replica must stop."""
 
 
 class StorageError(ConsensusError):
@@ -88,16 +89,20 @@
 
 
 class DamagedLogError(StorageError):
-    """Durable records are damaged before the tail: the replica must not act as its identity."""
+    """The stored files are damaged, incomplete or contradict each other.
+
+    The replica must not run under the identity that they name, because votes or entries that it
+    has acknowledged may be lost.
+    """
 
 
 class StorageFullError(StorageError):
-    """The disk is full: nothing may be acknowledged."""
+    """The disk is full; the replica must not acknowledge anything."""
 
 
 class StorageFailedError(StorageError):
-    """A write or sync failed: fatal for the replica, never retried."""
+    """A file operation failed, which is fatal for the replica and never retried."""
 
 
 class FolderInUseError(StorageError):
-    """Another process uses the data folder."""
+    """The data folder can't be locked, usually because another process uses it."""
--- a/src/orchidpath/consensus/files.py
+++ b/src/orchidpath/consensus/files.py
@@ -1,4 +1,4 @@
-"""The file operations that storage needs, on the machine or in memory for simulations."""
+"""File operations for the storage, on the real file system or in memory for simulations."""
 
 import errno
 import fcntl
@@ -13,11 +13,11 @@
 
     @abstractmethod
     def write(self, data: bytes) -> None:
-        """Append bytes; they may be lost until `sync` returns."""
+        """Append bytes, which a crash may lose until `sync` has returned."""
 
     @abstractmethod
     def sync(self) -> None:
-        """Return once all written bytes are on disk, under the name the file was opened by."""
+        """Return once all written bytes are durable under the path by which the file was opened."""
 
     @abstractmethod
     def close(self) -> None:
@@ -25,19 +25,19 @@
 
 
 class FileLayer(ABC):
-    """File operations. All of them raise `OSError` when they fail."""
+    """File operations; all of them raise `OSError` when they fail."""
 
     @abstractmethod
     def make_folder(self, folder: str) -> None:
-        """Create a folder and its parents unless it exists."""
+        """Create a folder and its missing parents, unless it exists."""
 
     @abstractmethod
     def lock(self, path: str) -> None:
-        """Hold an exclusive lock until the process ends or `unlock`."""
+        """Acquire an exclusive lock, held until `unlock` is called or the process ends."""
 
     @abstractmethod
     def unlock(self, path: str) -> None:
-        """Release a lock."""
+        """Release the lock, if it is held."""
 
     @abstractmethod
     def list_names(self, folder: str) -> list[str]:
@@ -49,11 +49,11 @@
 
     @abstractmethod
     def open_append(self, path: str) -> AppendFile:
-        """Open a file for appending, and create it if needed."""
+        """Open a file for appending, and create it if it does not exist."""
 
     @abstractmethod
     def truncate(self, path: str, size_bytes: int) -> None:
-        """Truncate a file to a size and sync it."""
+        """Truncate a file to `size_bytes` and sync it."""
 
     @abstractmethod
     def rename(self, source: str, target: str) -> None:
@@ -65,7 +65,7 @@
 
     @abstractmethod
     def sync_folder(self, folder: str) -> None:
-        """Return once created, renamed and removed names are on disk."""
+        """Return once all creations, renames and removals in a folder are durable."""
 
 
 class _RealAppendFile(AppendFile):
@@ -80,30 +80,34 @@
 
     def sync(self) -> None:
         os.fdatasync(self._descriptor)
-        # A removed file still accepts writes and syncs. Its records would be lost at the next
-        # start, so the name must still lead to this very file.
+        # A removed file still accepts writes and syncs, but its records would be lost at the next
+        # start. The path must therefore still refer to this open file.
         open_file = os.fstat(self._descriptor)
         named = os.stat(self._path)
         if (open_file.st_dev, open_file.st_ino) != (named.st_dev, named.st_ino):
-            raise OSError(errno.ENOENT, "the file was replaced or removed", self._path)
+            raise OSError(
+                errno.ENOENT,
+                "the open file was replaced or removed, expected the path to refer to it",
+                self._path,
+            )
 
     def close(self) -> None:
         os.close(self._descriptor)
 
 
 class RealFiles(FileLayer):
-    """Files of the machine."""
+    """Files of the operating system's file system."""
 
     def __init__(self) -> None:
         self._locks: dict[str, int] = {}
 
     def make_folder(self, folder: str) -> None:
-        """Create a folder and its parents unless it exists."""
+        """Create a folder and its missing parents, unless it exists."""
         Path(folder).mkdir(mode=0o700, parents=True, exist_ok=True)
         self.sync_folder(str(Path(folder).parent))
 
     def lock(self, path: str) -> None:
-        """Hold an exclusive lock until the process ends or `unlock`."""
+        """Acquire an exclusive lock, held until `unlock` is called or the process ends."""
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -113,7 +117,7 @@
         self._locks[path] = descriptor
 
     def unlock(self, path: str) -> None:
-        """Release a lock."""
+        """Release the lock, if it is held."""
         descriptor = self._locks.pop(path, None)
         if descriptor is not None:
             os.close(descriptor)
@@ -127,11 +131,11 @@
         return Path(path).read_bytes()
 
     def open_append(self, path: str) -> AppendFile:
-        """Open a file for appending, and create it if needed."""
+        """Open a file for appending, and create it if it does not exist."""
         return _RealAppendFile(path)
 
     def truncate(self, path: str, size_bytes: int) -> None:
-        """Truncate a file to a size and sync it."""
+        """Truncate a file to `size_bytes` and sync it."""
         descriptor = os.open(path, os.O_WRONLY)
         try:
             os.ftruncate(descriptor, size_bytes)
@@ -148,7 +152,7 @@
         os.remove(path)
 
     def sync_folder(self, folder: str) -> None:
-        """Return once created, renamed and removed names are on disk."""
+        """Return once all creations, renames and removals in a folder are durable."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -157,11 +161,14 @@
 
 
 UNLIMITED_BYTES = 1 << 62
-"""Free space of a simulated disk without a capacity."""
+"""Free space of a simulated disk without a capacity limit, in bytes."""
 
 
 class _SimulatedNode:
-    """Content of a simulated file: what programs see, and what a crash leaves."""
+    """Content of a simulated file.
+
+    `data` is the content that programs read, and `durable` is the content as of the last sync.
+    """
 
     def __init__(self) -> None:
         self.data = bytearray()
@@ -180,7 +187,11 @@
         free_bytes = self._files.free_bytes()
         self._node.data.extend(data[:free_bytes])
         if free_bytes < len(data):
-            raise OSError(errno.ENOSPC, "no space left", self._path)
+            raise OSError(
+                errno.ENOSPC,
+                f"no space left on the simulated disk: wrote {free_bytes} of {len(data)} bytes",
+                self._path,
+            )
 
     def sync(self) -> None:
         self._check_open()
@@ -192,20 +203,25 @@
 
     def _check_open(self) -> None:
         if self._epoch != self._files.epoch:
-            raise OSError(errno.EBADF, "opened before the crash", self._path)
+            raise OSError(
+                errno.EBADF,
+                f"the file was opened in epoch {self._epoch}, before a simulated crash; "
+                f"the current epoch is {self._files.epoch}",
+                self._path,
+            )
 
 
 class SimulatedFiles(FileLayer):
-    """Files in memory, with the faults of disks.
+    """In-memory files that simulate disk faults.
 
     Attributes
     ----------
     epoch
-        Count of crashes; a file opened before one can't be used after it.
+        Number of simulated crashes; a file that was opened before a crash is unusable after it.
     capacity_bytes
-        Size of the disk, or None for no limit.
+        Size of the disk in bytes, or None for no limit.
     sync_fails
-        Every sync fails while this is set.
+        Whether every sync fails.
     """
 
     def __init__(self) -> None:
@@ -217,7 +233,11 @@
         self._locks: set[str] = set()
 
     def crash(self, random: random_module.Random) -> None:
-        """Lose what was not synced: names, and a random part of each unsynced tail."""
+        """Simulate a crash.
+
+        All changes of names since the last folder sync are lost, and of the unsynced tail of each
+        file only a random part survives.
+        """
         self.epoch += 1
         self._locks.clear()
         self._current = dict(self._durable)
@@ -229,41 +249,45 @@
             node.durable = bytes(node.data)
 
     def remove_folder(self, folder: str) -> None:
-        """Remove a folder's content while a program uses it."""
+        """Remove all files of a folder, as an operator may do while a program uses them."""
         for names in (self._current, self._durable):
             for path in [path for path in names if path.startswith(folder + "/")]:
                 del names[path]
 
     def damage(self, path: str, offset: int) -> None:
-        """Flip the bits of one byte."""
+        """Invert all bits of the byte at `offset`, also in the durable content."""
         node = self._current[path]
         node.data[offset] ^= 0xFF
         node.durable = bytes(node.data)
 
     def free_bytes(self) -> int:
-        """Return how many bytes still fit."""
+        """Return the free space of the disk in bytes."""
         if self.capacity_bytes is None:
             return UNLIMITED_BYTES
         return max(0, self.capacity_bytes - sum(len(n.data) for n in self._current.values()))
 
     def check_sync(self, path: str, node: _SimulatedNode) -> None:
-        """Raise if a sync of this file can't succeed."""
+        """Raise `OSError` if a sync of this file can't succeed."""
         if self.sync_fails:
-            raise OSError(errno.EIO, "sync failed", path)
+            raise OSError(errno.EIO, "sync of the file failed: sync_fails is set", path)
         if self._current.get(path) is not node:
-            raise OSError(errno.ENOENT, "the file was replaced or removed", path)
+            raise OSError(
+                errno.ENOENT,
+                "the open file was replaced or removed, expected the path to refer to it",
+                path,
+            )
 
     def make_folder(self, folder: str) -> None:
-        """Do nothing: folders exist through their files."""
+        """Do nothing: a simulated folder exists as soon as a file is in it."""
 
     def lock(self, path: str) -> None:
-        """Hold an exclusive lock until `unlock` or a crash."""
+        """Acquire an exclusive lock, held until `unlock` is called or a crash is simulated."""
         if path in self._locks:
-            raise OSError(errno.EAGAIN, "locked", path)
+            raise OSError(errno.EAGAIN, "the file is already locked, expected no lock", path)
         self._locks.add(path)
 
     def unlock(self, path: str) -> None:
-        """Release a lock."""
+        """Release the lock, if it is held."""
         self._locks.discard(path)
 
     def list_names(self, folder: str) -> list[str]:
@@ -276,12 +300,12 @@
         return bytes(self._node(path).data)
 
     def open_append(self, path: str) -> AppendFile:
-        """Open a file for appending, and create it if needed."""
+        """Open a file for appending, and create it if it does not exist."""
         node = self._current.setdefault(path, _SimulatedNode())
         return _SimulatedAppendFile(self, path, node)
 
     def truncate(self, path: str, size_bytes: int) -> None:
-        """Truncate a file to a size and sync it."""
+        """Truncate a file to `size_bytes` and sync it."""
         node = self._node(path)
         del node.data[size_bytes:]
         self.check_sync(path, node)
@@ -299,9 +323,9 @@
         del self._current[path]
 
     def sync_folder(self, folder: str) -> None:
-        """Make created, renamed and removed names durable."""
+        """Make all creations, renames and removals in a folder durable."""
         if self.sync_fails:
-            raise OSError(errno.EIO, "sync failed", folder)
+            raise OSError(errno.EIO, "sync of the folder failed: sync_fails is set", folder)
         prefix = folder + "/"
         durable = {p: n for p, n in self._durable.items() if not p.startswith(prefix)}
         durable.update({p: n for p, n in self._current.items() if p.startswith(prefix)})
@@ -310,5 +334,5 @@
     def _node(self, path: str) -> _SimulatedNode:
         node = self._current.get(path)
         if node is None:
-            raise FileNotFoundError(errno.ENOENT, "no such file", path)
+            raise FileNotFoundError(errno.ENOENT, "no such file on the simulated disk", path)
         return node
--- a/src/orchidpath/consensus/follower.py
+++ b/src/orchidpath/consensus/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication: appends and snapshots from a leader."""
+"""The follower's side of replication: processes appends and snapshots from a leader."""
 
 from typing import NamedTuple
 
@@ -17,11 +17,11 @@
 def on_append(replica: Replica, message: AppendEntries, now: float) -> None:
     """Store entries from the leader.
 
-    The reply is sent after the entries are durable (order of effects): the leader counts it
-    towards a commit, which must survive a crash of this replica.
+    Effects run in order, so the reply is sent after the entries are durable. The leader counts
+    the reply towards a commit, and a commit must survive a crash of this replica.
     """
     if message.term < replica.term:
-        # The reply's higher term makes a deposed leader step down.
+        # The higher term in the reply makes a deposed leader step down.
         _reject_append(replica, message, conflict_index=0, conflict_term=0)
         return
     _follow(replica, message.sender, message.term, now)
@@ -50,7 +50,9 @@
 
 def _follow(replica: Replica, leader_id: str, term: int, now: float) -> None:
     if term == replica.term and replica.role is Role.LEADER:
-        raise ProtocolViolationError(f"two leaders in term {term}: {leader_id}, {replica.node_id}")
+        raise ProtocolViolationError(
+            f"two leaders in term {term}: {leader_id} and this replica, {replica.node_id}"
+        )
     if term > replica.term or leader_id != replica.leader_id:
         replica.become_follower(term, leader_id)
     replica.last_leader_contact = now
@@ -58,14 +60,17 @@
 
 
 class _NewEntries(NamedTuple):
-    """Entries of an append after the snapshot, and the index that they follow."""
+    """Entries of an append that the snapshot does not cover, and the index that they follow."""
 
     prev_index: int
     entries: list[LogEntry]
 
 
 def _skip_compacted(replica: Replica, message: AppendEntries) -> _NewEntries:
-    """Drop entries that the snapshot covers: they are committed, so both logs agree there."""
+    """Skip the entries that the snapshot covers.
+
+    They are committed, so the leader's log and this log match there.
+    """
     covered = replica.log.snapshot_index - message.prev_index
     if covered <= 0:
         return _NewEntries(message.prev_index, message.entries)
@@ -73,9 +78,9 @@
 
 
 def _store_entries(replica: Replica, entries: list[LogEntry]) -> None:
-    """Append new entries; truncate own ones only where they conflict with the leader's.
+    """Append new entries, and truncate this log only where it conflicts with the leader's.
 
-    An append that arrives late or twice must not truncate entries that a newer one brought.
+    An append that arrives late or twice must not truncate entries that a newer append added.
     """
     for position, entry in enumerate(entries):
         local_term = replica.log.term_at(entry.index)
@@ -84,7 +89,10 @@
         truncate_from = None
         if local_term is not None:
             if entry.index <= replica.commit_index:
-                raise ProtocolViolationError(f"leader contradicts committed entry {entry.index}")
+                raise ProtocolViolationError(
+                    f"the leader sent entry {entry.index} with term {entry.term}, but this "
+                    f"replica has committed that entry with term {local_term}"
+                )
             truncate_from = entry.index
         replica.append_entries(entries[position:], truncate_from)
         replica.refresh_role()
@@ -130,10 +138,11 @@
 def _incoming_for(replica: Replica, message: InstallSnapshot) -> IncomingSnapshot:
     """Return the chunks received so far.
 
-    They are dropped when the leader changes: two leaders may encode one state differently.
+    Chunks of an earlier leader are discarded, because two leaders may encode the same state
+    differently.
     """
     incoming = replica.incoming_snapshot
-    if incoming is None or not incoming.is_of(message):
+    if incoming is None or not incoming.matches_chunk(message):
         incoming = IncomingSnapshot(
             message.term, message.last_index, message.last_term, data=bytearray()
         )
--- a/src/orchidpath/consensus/leadership.py
+++ b/src/orchidpath/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""What a leader may rely on: its lease, linearizable reads, and when it must step down.
+"""Leader lease, linearizable reads, and the conditions under which a leader steps down.
 
 Sources: Raft thesis, sections 6.2 (check quorum) and 6.4 (read index, leader lease).
 """
@@ -11,7 +11,10 @@
 
 
 def observe_clock(replica: Replica, now: float) -> None:
-    """Compare the clock with the last event, before the replica acts on what it believes.
+    """Detect a suspended process or a lost quorum before the replica processes an event.
+
+    A leader steps down in either case. Another replica rearms its election timer when the timer
+    is long overdue.
 
     Parameters
     ----------
@@ -27,16 +30,17 @@
         return
     overdue_seconds = now - replica.election_deadline
     if overdue_seconds > replica.settings.election_timeout_min_seconds:
-        # The process was frozen: no message could arrive, so nothing is known about the leader.
+        # The process was suspended and could not receive messages, so the missing heartbeats do
+        # not show that the leader has failed.
         replica.arm_election(now)
 
 
 def _step_down_if_replaceable(replica: Replica, idle_seconds: float, now: float) -> None:
-    """Step down after a freeze longer than the lease, or without a quorum.
+    """Step down after a suspension longer than the lease, or without a quorum.
 
-    After a freeze another leader may have been elected and have committed; a proposal accepted
-    now would only be overwritten. A leader without a quorum must reject its callers, rather than
-    let them wait for a commit that can't happen.
+    During a suspension, another leader may have been elected and may have committed entries; a
+    proposal accepted now would only be overwritten. A leader without a quorum must reject its
+    callers instead of letting them wait for a commit that cannot happen.
     """
     woke = _woke_without_lease(replica, idle_seconds, now)
     has_lost_quorum = (
@@ -57,7 +61,9 @@
 
 
 def seconds_without_quorum(replica: Replica, now: float) -> float:
-    """Return for how long a leader has had no quorum, counted at most from its election.
+    """Return for how long a leader has had no acknowledgement from a quorum.
+
+    The time is counted from the later of the last acknowledged append and the election.
 
     Parameters
     ----------
@@ -69,7 +75,7 @@
     Returns
     -------
     float
-        Seconds; infinite for a replica that never led.
+        Seconds; infinite for a replica that has never been the leader.
     """
     since = max(replica.quorum_acked_sent_at(now), replica.became_leader_at)
     return now - since if since > -math.inf else math.inf
@@ -81,7 +87,7 @@
     Raises
     ------
     NotLeaderError
-        The replica doesn't lead.
+        The replica is not the leader.
     """
     if replica.role is not Role.LEADER:
         raise NotLeaderError(replica.leader_id)
@@ -90,17 +96,18 @@
 def has_lease(replica: Replica, now: float) -> bool:
     """Return whether this leader may answer a linearizable read from its applied state.
 
-    A quorum has acknowledged an append sent within the lease, and each of its voters refuses
-    votes for longer than that after it received it: nobody else can have been elected. An entry
-    of the current term must be committed, else the leader may not know yet which earlier entries
-    are.
+    While the lease is valid, a quorum has acknowledged an append that was sent within the lease
+    duration. Each voter of the quorum refuses votes for longer than that after it received the
+    append, so no other replica can have been elected. An entry of the current term must also be
+    committed; until then, the leader's commit index may lag behind entries of earlier terms that
+    are already committed.
 
     Parameters
     ----------
     replica
         The replica.
     now
-        Monotonic clock in seconds, read after the read was requested.
+        Monotonic clock in seconds, taken after the read was requested.
 
     Returns
     -------
@@ -114,7 +121,7 @@
 
 
 def issue_read_ticket(replica: Replica, now: float) -> ReadTicket:
-    """Start a linearizable read; a heartbeat is due at once to confirm the leadership.
+    """Start a linearizable read, and make a heartbeat due at once to confirm the leadership.
 
     Parameters
     ----------
@@ -126,16 +133,17 @@
     Returns
     -------
     ReadTicket
-        The read index, and when the read started.
+        The read index, the term, and the start time of the read.
     """
     replica.heartbeat_due_at = min(replica.heartbeat_due_at, now)
-    # Entries of earlier terms may be committed and not known to be, until one of this term is.
+    # Until an entry of this term is committed, the commit index may lag behind entries of earlier
+    # terms that are already committed. The read must wait for the first entry of this term.
     index = max(replica.commit_index, replica.term_start_index)
     return ReadTicket(index=index, term=replica.term, issued_at=now)
 
 
 def read_is_ready(replica: Replica, ticket: ReadTicket, now: float) -> bool:
-    """Return whether the read of a ticket may run now, on the applied state.
+    """Return whether the read of a ticket may run now on the applied state.
 
     Parameters
     ----------
@@ -149,12 +157,13 @@
     Returns
     -------
     bool
-        True once the read index is applied and the leadership is confirmed since the issue.
+        True once the read index is committed and a quorum has confirmed the leadership, by a
+        valid lease or by acknowledging an append sent after the ticket was issued.
 
     Raises
     ------
     NotLeaderError
-        The leadership that issued the ticket is over; start the read again.
+        The replica no longer leads in the term that issued the ticket; start the read again.
     """
     if replica.role is not Role.LEADER or replica.term != ticket.term:
         raise NotLeaderError(replica.leader_id)
--- a/src/orchidpath/consensus/log.py
+++ b/src/orchidpath/consensus/log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory: snapshot, entries after it, and the membership they define."""
+"""In-memory replicated log: the snapshot, the entries after it, and the memberships they define."""
 
 import msgspec
 
@@ -7,12 +7,12 @@
 
 
 def encode_membership(membership: Membership) -> bytes:
-    """Return the payload of a membership entry."""
+    """Return the msgpack payload of a membership entry."""
     return msgspec.msgpack.encode(membership)
 
 
 def decode_membership(payload: bytes) -> Membership:
-    """Return the membership that a membership entry carries."""
+    """Return the membership that the msgpack payload of a membership entry encodes."""
     return msgspec.msgpack.decode(payload, type=Membership)
 
 
@@ -24,19 +24,19 @@
 
 
 class ReplicaLog:
-    """The snapshot and all entries after it.
+    """The replicated log of one replica: the newest snapshot and all entries after it.
 
     Parameters
     ----------
     snapshot
-        Newest snapshot, or None when the log still starts at its first entry.
+        Newest snapshot, or None if the log has never been compacted.
     entries
-        Entries that follow the snapshot without a gap.
+        Entries with contiguous indexes that start after the snapshot.
 
     Attributes
     ----------
     payload_bytes
-        Bytes of the payloads of all entries after the snapshot.
+        Total size of the payloads of all entries after the snapshot, in bytes.
     """
 
     def __init__(self, snapshot: Snapshot | None, entries: list[LogEntry]) -> None:
@@ -49,7 +49,7 @@
 
     @property
     def snapshot_index(self) -> int:
-        """Index of the last entry that the snapshot covers, 0 without one."""
+        """Index of the last entry that the snapshot covers, 0 without a snapshot."""
         return self.snapshot.last_index if self.snapshot else 0
 
     @property
@@ -69,18 +69,21 @@
 
     @property
     def membership_index(self) -> int:
-        """Index of the entry that made the newest membership."""
+        """Index of the entry that defined the newest membership."""
         return self._memberships[-1].index
 
     def membership_at(self, index: int) -> Membership:
-        """Return the membership in force after the entry at `index`."""
+        """Return the membership that is effective after the entry at `index`."""
         for change in reversed(self._memberships):
             if change.index <= index:
                 return change.membership
         return self._memberships[0].membership
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None when the log doesn't hold it."""
+        """Return the term of the entry at `index`, or None if the log does not contain it.
+
+        The term of the snapshot's last entry is known, and index 0 has term 0.
+        """
         if index == self.snapshot_index:
             return self.snapshot.last_term if self.snapshot else 0
         if self.snapshot_index < index <= self.last_index:
@@ -93,7 +96,10 @@
         return self._entries[first - offset : last - offset + 1]
 
     def batch_from(self, first: int, max_bytes: int, max_entries: int) -> list[LogEntry]:
-        """Return entries from `first` on within the limits, at least one if there is any."""
+        """Return entries from `first` on within the limits, but at least one if any exists.
+
+        `max_bytes` limits the total size of the payloads in bytes.
+        """
         batch: list[LogEntry] = []
         size_bytes = 0
         last = min(self.last_index, first + max_entries - 1)
@@ -106,7 +112,7 @@
         return batch
 
     def first_index_of_term(self, index: int) -> int:
-        """Return the first index in the log whose entry has the same term as the one at `index`."""
+        """Return the first index in the log whose entry has the same term as entry `index`."""
         term = self.term_at(index)
         while index > self.snapshot_index + 1 and self.term_at(index - 1) == term:
             index -= 1
@@ -119,12 +125,12 @@
         return index
 
     def append(self, entries: list[LogEntry]) -> None:
-        """Add entries that follow the last one.
+        """Append entries, whose indexes must continue after the last entry.
 
         Raises
         ------
         LogGapError
-            An entry's index isn't the next one.
+            The index of an entry is not one above the last index.
         """
         for entry in entries:
             if entry.index != self.last_index + 1:
@@ -136,7 +142,7 @@
                 self._memberships.append(_MembershipAt(entry.index, membership))
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries from `index` on, and the memberships they made."""
+        """Remove the entries from `index` on, and the memberships that they defined."""
         offset = index - self.snapshot_index - 1
         self.payload_bytes -= sum(len(entry.payload) for entry in self._entries[offset:])
         del self._entries[offset:]
@@ -146,8 +152,9 @@
     def install(self, snapshot: Snapshot) -> None:
         """Replace the snapshot by a newer one.
 
-        Entries after it are retained only if the log holds its last entry with the same term: then
-        both logs agree up to there (log matching property). Otherwise they may conflict with it.
+        Entries after the new snapshot are retained only if the log contains the snapshot's last
+        entry with the same term. The log and the snapshot then agree up to that entry (log matching
+        property); otherwise the entries may conflict with the snapshot.
         """
         retained: list[LogEntry] = []
         if self.term_at(snapshot.last_index) == snapshot.last_term:
--- a/src/orchidpath/consensus/log_records.py
+++ b/src/orchidpath/consensus/log_records.py
@@ -1,7 +1,8 @@
 """Records of the log file: a length, a CRC-32C over length and payload, and the payload.
 
-Every write ends with a sync, so a crash can spoil the last record only. A bad record with a
-good one after it is therefore damage, not a torn write, and nothing after it can be trusted.
+Every record but `SyncedRecord` is synced before the next one is written, so a crash can corrupt
+only the tail of the file. An invalid record that is followed by a valid one is therefore damage and
+not a torn write, and no record after it can be trusted.
 """
 
 import struct
@@ -19,7 +20,7 @@
 
 
 class HeaderRecord(msgspec.Struct, frozen=True, tag="header"):
-    """First record of a file: its format, and the replica it belongs to."""
+    """First record of a file: its format version, and the id of the replica that wrote it."""
 
     version: int
     identity: str
@@ -32,23 +33,23 @@
 
 
 class EntriesRecord(msgspec.Struct, frozen=True, tag="entries"):
-    """Entries appended after the ones from `truncate_from` on were dropped."""
+    """Entries to append, after removing those from `truncate_from` on unless it is None."""
 
     truncate_from: int | None
     entries: list[LogEntry]
 
 
 class SnapshotRecord(msgspec.Struct, frozen=True, tag="snapshot"):
-    """The snapshot the log starts from."""
+    """The snapshot from which the log starts."""
 
     snapshot: Snapshot
 
 
 class SyncedRecord(msgspec.Struct, frozen=True, tag="synced"):
-    """Says that the record before it was synced.
+    """Marker that the preceding record was synced.
 
-    Itself written without a sync. Where it survives, damage to the last real record can be
-    told from a torn write.
+    The marker itself is written without a sync. If it survives a crash, damage to the record
+    before it can be distinguished from a torn write.
     """
 
 
@@ -59,14 +60,14 @@
 
 
 class FoundRecord(msgspec.Struct, frozen=True):
-    """A good record and the offset of the byte after it."""
+    """A valid record, and the offset in bytes at which it ends."""
 
     record: Record
     end: int
 
 
 def encode_record(record: Record) -> bytes:
-    """Return the bytes of a record."""
+    """Return a record in the format of the log file."""
     payload = _encoder.encode(record)
     length = _LENGTH.pack(len(payload))
     checksum = crc32c.crc32c(payload, crc32c.crc32c(length))
@@ -74,7 +75,7 @@
 
 
 def read_records(data: bytes) -> Iterator[FoundRecord]:
-    """Yield the records of a file; stop before a torn tail.
+    """Yield the records of a file, and stop before a torn tail.
 
     Raises
     ------
@@ -92,7 +93,9 @@
         try:
             record = _decoder.decode(payload)
         except (msgspec.MsgspecError, RecursionError) as error:
-            raise DamagedLogError(f"unknown record at byte {offset}: {error}") from error
+            raise DamagedLogError(
+                f"record at byte {offset} has a valid checksum, but can't be decoded: {error}"
+            ) from error
         yield FoundRecord(record, end)
         offset = end
 
@@ -111,12 +114,12 @@
 
 
 def _require_torn_tail(view: memoryview, bad_offset: int) -> None:
-    """Raise if a good record starts anywhere after a bad one.
+    """Raise `DamagedLogError` if a valid record starts anywhere after an invalid one.
 
-    Its length can't be trusted to say where the next one starts, so every offset is tried.
+    The length field of the invalid record may be wrong too, so every later offset is tried.
     """
     for offset in range(bad_offset + 1, len(view) - _HEADER.size):
         if _good_record_end(view, offset) is not None:
             raise DamagedLogError(
-                f"record at byte {bad_offset} is damaged, but a good one follows at {offset}"
+                f"record at byte {bad_offset} is damaged, but a valid one follows at {offset}"
             )
--- a/src/orchidpath/consensus/raft_core.py
+++ b/src/orchidpath/consensus/raft_core.py
@@ -1,7 +1,8 @@
-"""The consensus state machine of one replica: no input or output, no clock.
+"""The Raft state machine of one replica. It does no input or output and reads no clock.
 
-The clock values passed in must come from one monotonic clock that also runs while the machine
-is suspended; otherwise a leader could rely on a lease that has expired meanwhile.
+All clock values that the caller passes in must come from one monotonic clock that also advances
+while the machine is suspended. With any other clock, a leader could rely on a lease that expired
+during the suspension.
 """
 
 import random as random_module
@@ -50,7 +51,7 @@
 )
 
 MessageHandler = Callable[[Replica, Any, float], None]
-"""Processes one type of message at a time, and emits effects on the replica."""
+"""Handler of one type of message; it emits its effects on the replica."""
 
 MESSAGE_HANDLERS: Mapping[type, MessageHandler] = MappingProxyType(
     {
@@ -62,33 +63,33 @@
         InstallSnapshotReply: on_snapshot_reply,
     }
 )
-"""Handler of every type of message."""
+"""Message handler by message type."""
 
 
 class RaftCore:
     """One replica of a Raft group.
 
     Every call that may change state returns the effects to execute, in order. The first such
-    call also returns those of the start (snapshot to apply, bootstrap records).
+    call also returns the effects of the start: the snapshot to apply and the bootstrap records.
 
     Parameters
     ----------
     node_id
         Identity of the replica, stored in its data folder. A replica whose folder was lost must
-        come back under another id: it may have voted and acknowledged under this one.
+        rejoin under another id, because it may have voted and acknowledged entries under this id.
     settings
         Times and limits, the same on all replicas.
     restored
-        What the disk holds.
+        State that was read from disk.
     bootstrap
-        Membership of a new group, the same value on each of its voters; None to join an
+        Membership of a new group, which must be the same on each of its voters; None to join an
         existing group as a learner. Ignored if the disk already holds a log.
     now
         Monotonic clock in seconds.
     random
-        Source of the election timeouts.
+        Random generator from which election timeouts are sampled.
     disabled_guards
-        Safety rules to leave out, in tests only.
+        Safety rules to disable, in tests only.
     """
 
     def __init__(
@@ -119,7 +120,10 @@
 
     @property
     def role(self) -> Role:
-        """Role as of the last call; a leader that may have been frozen needs `has_lease`."""
+        """Role as of the last call.
+
+        A leader whose process may have been suspended since then must also check `has_lease`.
+        """
         return self._replica.role
 
     @property
@@ -134,27 +138,27 @@
 
     @property
     def commit_index(self) -> int:
-        """Last entry known to be committed."""
+        """Index of the last entry known to be committed."""
         return self._replica.commit_index
 
     @property
     def applied_index(self) -> int:
-        """Last entry handed out to be applied (by an `Apply` or `ApplySnapshot` effect)."""
+        """Index of the last entry covered by an emitted `Apply` or `ApplySnapshot` effect."""
         return self._replica.commit_index
 
     @property
     def last_index(self) -> int:
-        """Last entry of the log."""
+        """Index of the last entry of the log."""
         return self._replica.log.last_index
 
     @property
     def snapshot_index(self) -> int:
-        """Last entry that the newest snapshot covers."""
+        """Index of the last entry that the newest snapshot covers."""
         return self._replica.log.snapshot_index
 
     @property
     def membership(self) -> Membership:
-        """Newest membership in the log, in force from its append on."""
+        """Newest membership in the log, which is effective as soon as it is appended."""
         return self._replica.log.membership
 
     @property
@@ -163,7 +167,7 @@
         return self._replica.log.membership_index <= self._replica.commit_index
 
     def tick(self, now: float) -> list[Effect]:
-        """Process the passing of time: elections, heartbeats, and a quorum check."""
+        """Run the timers that are due: election timeout, heartbeat, and check of the quorum."""
         replica = self._replica
         leadership.observe_clock(self._replica, now)
         if replica.role is Role.LEADER:
@@ -179,26 +183,26 @@
         Raises
         ------
         ProtocolViolationError
-            The message contradicts the protocol; the replica must stop.
+            The message contradicts committed state; the replica must stop.
         """
         leadership.observe_clock(self._replica, now)
         MESSAGE_HANDLERS[type(message)](self._replica, message, now)
         return self._replica.take_effects()
 
     def propose(self, payloads: Sequence[bytes], now: float) -> Proposal:
-        """Append commands, in one batch.
+        """Append commands to the log in one batch.
 
         Returns
         -------
         Proposal
-            Index of each command, and the effects. A command is committed when an `Apply` shows
-            its index with the term that is current now.
+            Index of each command, and the effects. A command is committed when an `Apply` effect
+            has its index and the term that is current at this call.
 
         Raises
         ------
         NotLeaderError
-            The replica doesn't lead, or has just found that it may not lead any more. Effects
-            of that finding come with the next call.
+            The replica is not the leader, or has just stepped down. The next call returns the
+            effects of stepping down.
         """
         self._require_leader(now)
         replica = self._replica
@@ -218,9 +222,9 @@
         Raises
         ------
         NotLeaderError
-            The replica doesn't lead.
+            The replica is not the leader.
         MembershipChangeError
-            The change is rejected; its subclass says why.
+            The change is rejected; the subclass gives the reason.
         """
         self._require_leader(now)
         index = append_membership(self._replica, membership)
@@ -230,45 +234,49 @@
     def has_lease(self, now: float) -> bool:
         """Return whether this leader may answer a linearizable read from its applied state.
 
-        The state that is read must have applied `applied_index`, and `now` must have been read
-        after the read was requested; see :func:`.leadership.has_lease`.
+        The state machine must have applied all entries up to `applied_index`, and `now` must have
+        been taken from the clock after the read was requested; see :func:`.leadership.has_lease`.
         """
         return leadership.has_lease(self._replica, now)
 
     def read_barrier(self, now: float) -> ReadTicket:
-        """Start a linearizable read; a heartbeat is due at once to confirm the leadership.
+        """Start a linearizable read, and make a heartbeat due at once to confirm the leadership.
 
         Raises
         ------
         NotLeaderError
-            The replica doesn't lead.
+            The replica is not the leader.
         """
         self._require_leader(now)
         return leadership.issue_read_ticket(self._replica, now)
 
     def read_is_ready(self, ticket: ReadTicket, now: float) -> bool:
-        """Return whether the read of a ticket may run now, on the applied state.
+        """Return whether the read of a ticket may run now on the applied state.
 
         Raises
         ------
         NotLeaderError
-            The leadership that issued the ticket is over; start the read again.
+            The replica no longer leads in the term that issued the ticket; start the read again.
         """
         return leadership.read_is_ready(self._replica, ticket, now)
 
     def compact(self, snapshot_data: bytes, at_index: int, now: float) -> list[Effect]:
-        """Replace the log up to `at_index` by a snapshot of the state machine there.
+        """Replace the log up to `at_index` by a snapshot of the state machine at that index.
 
         Raises
         ------
         CompactionError
-            The index isn't applied yet, or is already covered.
+            The index is not applied yet, or the newest snapshot already covers it.
         """
         replica = self._replica
         leadership.observe_clock(self._replica, now)
         term = replica.log.term_at(at_index)
         if term is None or not replica.log.snapshot_index < at_index <= replica.commit_index:
-            raise CompactionError(f"no snapshot possible at {at_index}")
+            raise CompactionError(
+                f"cannot compact the log at index {at_index}: expected an index above the snapshot "
+                f"({replica.log.snapshot_index}) and at most the commit index "
+                f"({replica.commit_index})"
+            )
         membership = replica.log.membership_at(at_index)
         snapshot = Snapshot(at_index, term, membership, snapshot_data)
         replica.log.install(snapshot)
@@ -276,7 +284,11 @@
         return replica.take_effects()
 
     def compaction_due(self) -> bool:
-        """Return whether enough entries, or bytes, were applied since the last snapshot."""
+        """Return whether the log should be compacted.
+
+        It should be when the entries applied since the last snapshot, or the payload bytes held
+        after it, have reached their threshold.
+        """
         settings = self._replica.settings
         log = self._replica.log
         applied = self._replica.commit_index - log.snapshot_index
@@ -284,17 +296,17 @@
         return applied >= settings.snapshot_threshold_entries or (is_large and applied > 0)
 
     def next_deadline(self, now: float) -> float:
-        """Return when `tick` must be called next, if nothing else happens before."""
+        """Return the clock value, in seconds, by which `tick` must be called next."""
         replica = self._replica
         if replica.role is Role.LEADER:
             return min(replica.heartbeat_due_at, now + replica.settings.heartbeat_seconds)
         return replica.election_deadline
 
     def match_index(self, node: str) -> int:
-        """Return the last entry known to be durable at a member (0 when not known).
+        """Return the index of the last entry known to be durable at a member, 0 if unknown.
 
-        Only a leader knows of others. The own entries count from the execution of their
-        `PersistEntries`.
+        Only a leader tracks other members. For this replica itself, the value is the end of its
+        log, which is durable once the emitted `PersistEntries` effects have been executed.
         """
         if node == self._replica.node_id:
             return self._replica.log.last_index
@@ -302,7 +314,10 @@
         return progress.match_index if progress else 0
 
     def last_contact(self, node: str) -> float:
-        """Return when the newest append that a member has answered was sent (leader only)."""
+        """Return the send time of the newest append that a member has replied to (leader only).
+
+        The value is in seconds on this replica's clock, and minus infinity without a reply.
+        """
         progress = self._replica.progress.get(node)
         return progress.acked_sent_at if progress else float("-inf")
 
--- a/src/orchidpath/consensus/raft_messages.py
+++ b/src/orchidpath/consensus/raft_messages.py
@@ -1,7 +1,7 @@
-"""Messages between the replicas of a group.
+"""Messages between the replicas of a Raft group.
 
-Each carries the sender's id and its term. The tags are unique among all messages of the fleet,
-so `RaftMessage` can be one part of a larger tagged union.
+Each message carries the sender's id and a term. The tags are unique among all messages of the
+fleet, so `RaftMessage` can be one part of a larger tagged union.
 """
 
 import msgspec
@@ -10,10 +10,11 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True, tag="raft_request_vote"):
-    """A candidate requests a vote; a pre-vote requests whether a vote would be granted.
+    """Request by a candidate for a vote, or for a pre-vote: whether a vote would be granted.
 
-    `term` is the term the candidate would lead. A pre-vote binds nobody. `start_id` is the random
-    id of the candidate's run. `nobody_leads` says that every voter has replied not to lead.
+    `term` is the term in which the candidate would lead. A granted pre-vote does not bind the
+    voter. `start_id` is the random id of the current run of the candidate's process. `nobody_leads`
+    is true if every voter has replied that it does not lead.
     """
 
     sender: str
@@ -26,10 +27,11 @@
 
 
 class RequestVoteReply(msgspec.Struct, frozen=True, tag="raft_request_vote_reply"):
-    """Answer to `RequestVote`.
+    """Reply to `RequestVote`.
 
-    `term` is the requested term when granted, else the term of the replica that refuses.
-    `start_id` repeats that of a pre-vote which is refused for nothing but the voter's restart.
+    `term` is the requested term if the vote is granted, else the current term of the voter.
+    `start_id` repeats the id of a pre-vote request if the voter's recent restart is the only reason
+    for the refusal; otherwise it is 0.
     """
 
     sender: str
@@ -40,9 +42,10 @@
 
 
 class AppendEntries(msgspec.Struct, frozen=True, tag="raft_append_entries"):
-    """A leader sends entries that follow `prev_index`; without entries it is a heartbeat.
+    """Entries from the leader that follow `prev_index`; without entries, a heartbeat.
 
-    `sent_at` is the leader's own clock. The follower echoes it, and only the leader reads it.
+    `sent_at` is the send time on the leader's clock. The follower returns it in its reply, and only
+    the leader interprets it.
     """
 
     sender: str
@@ -55,12 +58,13 @@
 
 
 class AppendEntriesReply(msgspec.Struct, frozen=True, tag="raft_append_entries_reply"):
-    """Answer to `AppendEntries`.
+    """Reply to `AppendEntries`.
 
-    On success `match_index` is durable at the follower. On failure `prev_index` repeats the
-    refused position, and the conflict fields say where the logs may still agree:
-    `conflict_index` is the first index of `conflict_term` in the follower's log, or the index
-    after its last entry when `conflict_term` is 0.
+    On success, the entries up to `match_index` are durable at the follower. On failure,
+    `prev_index` repeats the rejected position, and the conflict fields show up to where the logs
+    may still match: `conflict_index` is the first index of `conflict_term` in the follower's log,
+    or the index after the follower's last entry if `conflict_term` is 0. Both are 0 if the leader's
+    term is outdated.
     """
 
     sender: str
@@ -74,7 +78,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, tag="raft_install_snapshot"):
-    """A leader sends one chunk of its snapshot to a replica that needs dropped entries."""
+    """One chunk of the leader's snapshot, for a replica that needs entries already compacted."""
 
     sender: str
     term: int
@@ -88,7 +92,11 @@
 
 
 class InstallSnapshotReply(msgspec.Struct, frozen=True, tag="raft_install_snapshot_reply"):
-    """Answer to `InstallSnapshot`: the offset expected next, or that the snapshot is durable."""
+    """Reply to `InstallSnapshot`.
+
+    `next_offset` is the offset in bytes of the chunk that the follower expects next; `installed` is
+    true once the snapshot is durable at the follower.
+    """
 
     sender: str
     term: int
--- a/src/orchidpath/consensus/replica.py
+++ b/src/orchidpath/consensus/replica.py
@@ -1,4 +1,4 @@
-"""State of one replica that the modules of the protocol share, and its elementary changes."""
+"""State of one replica that all protocol modules share, and the basic operations on it."""
 
 import enum
 import math
@@ -28,7 +28,7 @@
 )
 
 START_ID_BITS = 62
-"""Size of the random id of one run of a replica."""
+"""Size in bits of the random id of one run of a replica."""
 
 
 class ProgressMode(enum.Enum):
@@ -40,20 +40,23 @@
 
 
 class Progress(msgspec.Struct):
-    """Replication state of one follower at the leader.
+    """Replication state of one follower, tracked by the leader.
 
     Parameters
     ----------
     next_index
-        First entry to send next; in `REPLICATE` mode ahead of what was acknowledged.
+        Index of the next entry to send; in `REPLICATE` mode it runs ahead of the acknowledgements.
     match_index
-        Last entry known to be durable at the follower.
+        Index of the last entry known to be durable at the follower.
+    mode
+        How the leader replicates to the follower.
     acked_sent_at
-        Leader's clock at the sending of the newest append that the follower has answered.
+        Send time, on the leader's clock, of the newest append that the follower has replied to.
     probe_outstanding
-        A probe with entries was sent; heartbeats repeat it without entries.
+        Whether a probe awaits its reply; until then, heartbeats probe again without entries.
     snapshot, snapshot_offset, snapshot_sent_at
-        The snapshot in transfer, the next chunk, and when that chunk was last sent.
+        The snapshot in transfer, the offset in bytes of its current chunk, and when that chunk was
+        last sent.
     """
 
     next_index: int
@@ -74,8 +77,8 @@
     last_term: int
     data: bytearray
 
-    def is_of(self, message: InstallSnapshot) -> bool:
-        """Return whether a chunk belongs to this snapshot, sent in this leadership."""
+    def matches_chunk(self, message: InstallSnapshot) -> bool:
+        """Return whether a chunk belongs to this snapshot and was sent in the same term."""
         return (
             self.term == message.term
             and self.last_index == message.last_index
@@ -86,9 +89,9 @@
 class Replica:
     """Shared state of one replica; see `RaftCore` for the meaning of the parameters.
 
-    One class for all of it, though it has many fields: this is the state of the Raft paper's
-    figure 2 (term, vote, log, commit index, progress), with the timers and collected votes that
-    its rules read and write together. The rules stand in modules of functions by event.
+    The class has many fields because the rules of the protocol read and write them together: they
+    are the state of figure 2 of the Raft paper (term, vote, log, commit index, progress), plus the
+    timers and the collected votes. The rules are functions in one module for each kind of event.
     """
 
     def __init__(
@@ -106,7 +109,8 @@
         self.disabled_guards = disabled_guards
         self.log = ReplicaLog(restored.snapshot, list(restored.entries))
         self.hard_state = restored.hard_state
-        # Only the snapshot is known to be committed; the leader's appends carry the rest.
+        # After a restart, only the snapshot is known to be committed. The leader's appends carry
+        # the current commit index.
         self.commit_index = self.log.snapshot_index
         self.role = Role.FOLLOWER
         self.leader_id: str | None = None
@@ -123,7 +127,7 @@
         self.heartbeat_due_at = math.inf
         self.incoming_snapshot: IncomingSnapshot | None = None
         self._effects: list[Effect] = []
-        self._announced: LeadershipChanged | None = None
+        self._last_reported: LeadershipChanged | None = None
         if restored.snapshot is not None:
             self.emit(ApplySnapshot(restored.snapshot))
 
@@ -134,7 +138,7 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether the newest membership in the log counts this replica."""
+        """Whether this replica is a voter of the newest membership in the log."""
         return self.node_id in self.log.membership.voters
 
     @property
@@ -143,7 +147,7 @@
         return [node for node in self.log.membership.voters if node != self.node_id]
 
     def guarded(self, guard: Guard) -> bool:
-        """Return whether a safety rule is in force."""
+        """Return whether a safety rule is enabled."""
         return guard not in self.disabled_guards
 
     def emit(self, effect: Effect) -> None:
@@ -161,9 +165,10 @@
         return effects
 
     def set_hard_state(self, hard_state: HardState) -> None:
-        """Change term and vote, durably before any later effect.
+        """Change term and vote, and make them durable before any later effect runs.
 
-        A vote that a restart loses could be granted twice in a term, which elects two leaders.
+        If a restart lost a vote, the replica could vote twice in one term, and two leaders could be
+        elected.
         """
         self.hard_state = hard_state
         durable = hard_state
@@ -172,13 +177,13 @@
         self.emit(PersistHardState(durable))
 
     def arm_election(self, now: float) -> None:
-        """Draw a new random election deadline; randomness breaks ties between candidates."""
+        """Set a random election deadline; the randomness makes split votes unlikely."""
         low = self.settings.election_timeout_min_seconds
         high = self.settings.election_timeout_max_seconds
         self.election_deadline = now + self.random.uniform(low, high)
 
     def arm_first_election(self, now: float) -> None:
-        """Draw an early election deadline for a replica that has just started."""
+        """Set an early random election deadline for a replica that has just started."""
         shortest = self.settings.restart_election_seconds
         self.election_deadline = now + self.random.uniform(shortest, 2 * shortest)
 
@@ -192,30 +197,36 @@
         self.set_role(Role.FOLLOWER, leader_id)
 
     def set_role(self, role: Role, leader_id: str | None) -> None:
-        """Change the role, and report it if role, term or leader differs from the last report."""
+        """Change the role, and report it if role, term or leader differs from the last report.
+
+        A follower that is not a voter becomes a learner instead.
+        """
         if role is Role.FOLLOWER and not self.is_voter:
             role = Role.LEARNER
         self.role = role
         self.leader_id = leader_id
         report = LeadershipChanged(role, self.term, leader_id)
-        if report != self._announced:
-            self._announced = report
+        if report != self._last_reported:
+            self._last_reported = report
             self.emit(report)
 
     def refresh_role(self) -> None:
-        """Adjust follower and learner after the membership in the log may have changed."""
+        """Switch between follower and learner if the membership in the log has changed."""
         if self.role in (Role.FOLLOWER, Role.LEARNER):
             self.set_role(Role.FOLLOWER, self.leader_id)
 
     def append_entries(self, entries: list[LogEntry], truncate_from: int | None = None) -> None:
-        """Change the log in memory and on disk. A membership counts from its append on."""
+        """Change the log in memory, and emit the effect that makes the change durable.
+
+        A membership among the entries is effective as soon as it is appended.
+        """
         if truncate_from is not None:
             self.log.truncate_from(truncate_from)
         self.log.append(entries)
         self.emit(PersistEntries(truncate_from, entries))
 
     def commit_up_to(self, index: int) -> None:
-        """Mark entries as committed and have them applied in order."""
+        """Commit the entries up to `index`, and emit effects that apply them in order."""
         if index <= self.commit_index:
             return
         for entry in self.log.entries_between(self.commit_index + 1, index):
@@ -225,9 +236,9 @@
     def quorum_acked_sent_at(self, now: float) -> float:
         """Return the latest send time whose append a quorum has acknowledged.
 
-        Send times are on this replica's clock. The time of the reply's arrival would be unsafe:
-        the follower may have received the append long before, and its promise not to vote runs
-        from then.
+        Send times are on this replica's clock. The arrival time of the reply would be unsafe: the
+        follower may have received the append long before, and the time for which it refuses votes
+        started then.
         """
         membership = self.log.membership
         times = [self._acked_sent_at(node, now) for node in membership.voters]
--- a/src/orchidpath/consensus/replication.py
+++ b/src/orchidpath/consensus/replication.py
@@ -1,8 +1,8 @@
 """The leader's side of replication: appends, acknowledgements, commit (Raft, section 5.3).
 
-Appends are batched and pipelined: once a follower has confirmed where its log agrees, the
-leader sends without waiting, up to a window. A lost message causes the rejection of a later
-one, and the leader returns to probing.
+Appends are batched and pipelined. Once a follower has confirmed up to which index its log matches,
+the leader sends further appends without waiting for replies, up to a window. If a message is lost,
+the follower rejects a later append, and the leader returns to probing.
 """
 
 from orchidpath.consensus.raft_messages import (
@@ -20,7 +20,10 @@
 
 
 def broadcast_append(replica: Replica, now: float, heartbeat: bool) -> None:
-    """Send to every other member the entries it lacks; as a heartbeat also if it lacks none."""
+    """Send every other member the entries that it lacks.
+
+    A heartbeat is also sent to members that lack no entries.
+    """
     if heartbeat:
         replica.heartbeat_due_at = now + replica.settings.heartbeat_seconds
     for node in list(replica.progress):
@@ -28,7 +31,10 @@
 
 
 def send_append(replica: Replica, node: str, now: float, heartbeat: bool) -> None:
-    """Send to one member the entries it lacks, within its window."""
+    """Send one member the entries that it lacks, limited by its window of unacknowledged entries.
+
+    A member that needs entries that are no longer in the log receives the snapshot instead.
+    """
     progress = replica.progress[node]
     if progress.mode is ProgressMode.SNAPSHOT:
         if heartbeat:
@@ -48,7 +54,7 @@
 def _send_probe(
     replica: Replica, node: str, progress: Progress, now: float, heartbeat: bool
 ) -> None:
-    """Send at most one batch until the follower has confirmed where the logs agree."""
+    """Send at most one batch until the follower has confirmed where the logs match."""
     if progress.probe_outstanding:
         if heartbeat:
             _send_entries(replica, node, progress.next_index - 1, [], now)
@@ -95,7 +101,7 @@
     progress = _progress_for_reply(replica, message.sender, message.term)
     if progress is None:
         return
-    # A rejection counts for the lease too: the follower has accepted this leader and its term.
+    # A rejection also counts for the lease, because the follower has accepted this leader's term.
     _record_contact(replica, progress, message.sent_at, now)
     if message.success:
         _on_append_success(replica, message, progress, now)
@@ -107,7 +113,7 @@
     if term > replica.term:
         replica.become_follower(term, None)
         return None
-    # A reply of an earlier term belongs to another leadership, perhaps to another log.
+    # A reply of an earlier term answers an earlier leader, whose log may have differed.
     if replica.role is not Role.LEADER or term < replica.term:
         return None
     return replica.progress.get(sender)
@@ -140,14 +146,18 @@
 def _on_append_rejected(
     replica: Replica, message: AppendEntriesReply, progress: Progress, now: float
 ) -> None:
-    """Move back to where the logs may agree, one term (not one entry) a round trip."""
+    """Move `next_index` back to where the logs may match, by one term per round trip.
+
+    Moving back by one entry per round trip would take far longer when many entries differ.
+    """
     if progress.mode is ProgressMode.SNAPSHOT or message.prev_index <= progress.match_index:
         return
     if progress.mode is ProgressMode.PROBE and message.prev_index != progress.next_index - 1:
         return
     next_index = message.conflict_index
     if message.conflict_term > 0:
-        # Entries of a later term than the follower's can't match; earlier ones may.
+        # Entries of a later term than the follower's conflicting entry cannot match; entries of
+        # the same or an earlier term may.
         last = min(message.prev_index, replica.log.last_index)
         shared = replica.log.last_index_at_most_term(last, message.conflict_term)
         if replica.log.term_at(shared) == message.conflict_term:
@@ -159,7 +169,7 @@
 
 
 def on_snapshot_reply(replica: Replica, message: InstallSnapshotReply, now: float) -> None:
-    """Send the next chunk, or resume with entries when the snapshot is durable."""
+    """Send the next chunk, or resume sending entries once the follower's snapshot is durable."""
     progress = _progress_for_reply(replica, message.sender, message.term)
     if progress is None:
         return
@@ -181,12 +191,13 @@
 
 
 def advance_commit(replica: Replica, now: float) -> None:
-    """Commit what a majority of the voters holds durably.
+    """Commit the entries that are durable on a majority of the voters.
 
-    The leader's own entries count at once: its `PersistEntries` runs before the sends, so any
-    acknowledgement arrives after its own replica is durable. Only an entry of the current term
-    commits by counting; earlier ones follow from it. A majority that holds an older entry can
-    still lose it to a leader with a later last term (Raft, section 5.4.2).
+    The leader's own entries count at once: their `PersistEntries` effect runs before the sends,
+    so any acknowledgement arrives after the entries are durable at the leader. Only an entry of
+    the current term is committed by counting replicas, and it commits all earlier entries with it.
+    An entry of an earlier term can be on a majority and still be overwritten by a leader whose last
+    term is later (Raft, section 5.4.2).
     """
     membership = replica.log.membership
     matches = [_durable_index(replica, node) for node in membership.voters]
@@ -200,7 +211,7 @@
     if replica.guarded(Guard.COMMIT_ONLY_CURRENT_TERM) and not term_matches:
         return
     replica.commit_up_to(index)
-    _leave_if_removed(replica, now)
+    _step_down_if_removed(replica, now)
 
 
 def _durable_index(replica: Replica, node: str) -> int:
@@ -210,10 +221,11 @@
     return progress.match_index if progress else 0
 
 
-def _leave_if_removed(replica: Replica, now: float) -> None:
-    """Step down once the membership without this leader is committed, not before.
+def _step_down_if_removed(replica: Replica, now: float) -> None:
+    """Step down once the membership without this leader is committed, and not before.
 
-    Until then it must lead, as the others may not know the entry yet; it doesn't count itself.
+    Until then the leader must replicate the entry, because other members may not have it yet. It
+    does not count itself towards the majority.
     """
     if replica.is_voter or replica.log.membership_index > replica.commit_index:
         return
--- a/src/orchidpath/consensus/restart_votes.py
+++ b/src/orchidpath/consensus/restart_votes.py
@@ -1,13 +1,15 @@
-"""Votes of replicas that have just restarted.
+"""Rules for the votes of replicas that have just restarted.
 
 A leader's lease depends on followers that refuse votes for the shortest election timeout after an
-append, and a restart loses the time of the last append. So a restarted replica refuses votes for as
-long after its start, which delays the first election of a group that restarted together.
+append, and a restart loses the time of the last append. A restarted replica therefore refuses votes
+for the same time after its start, which delays the first election of a group whose replicas
+restarted together.
 
-The wait ends earlier when nobody can hold a lease: when the candidate, which has received no append
-since its start, has a reply of every voter that it does not lead. A leader that is elected after
-its reply is safe: it holds a lease only once an entry of its term is on a majority, and the
-candidate lacks that entry, so a voter of that majority refuses it.
+This delay ends earlier if no replica can hold a lease. That is so if the candidate has received no
+append since its start, and every voter has replied to it that the voter does not lead. A leader
+that is elected after such a reply is safe: it holds a lease only once an entry of its term is on a
+majority, and the candidate lacks that entry, so a voter of that majority refuses to vote for the
+candidate.
 """
 
 from orchidpath.consensus.raft_messages import RequestVote
@@ -15,8 +17,8 @@
 from orchidpath.consensus.types import EntryKind, Guard, Role
 
 
-def must_wait(replica: Replica, now: float) -> bool:
-    """Return whether a promise not to vote, made before the restart, may still hold."""
+def is_in_restart_delay(replica: Replica, now: float) -> bool:
+    """Return whether an append from before the restart may still forbid this replica to vote."""
     window = replica.settings.election_timeout_min_seconds
     return replica.guarded(Guard.RESTART_VOTE_DELAY) and now - replica.started_at < window
 
@@ -24,18 +26,22 @@
 def would_grant_without_restart(
     replica: Replica, request: RequestVote, is_up_to_date: bool
 ) -> bool:
-    """Return whether a pre-vote is refused for nothing but the restart."""
+    """Return whether the recent restart is the only reason to refuse a pre-vote."""
     is_newer = request.term > replica.term
     return request.pre_vote and is_newer and is_up_to_date and replica.role is not Role.LEADER
 
 
-def is_answer_to_this_run(replica: Replica, start_id: int) -> bool:
-    """Return whether a voter's reply answers a request of this run, not of one before a restart."""
+def is_reply_to_this_run(replica: Replica, start_id: int) -> bool:
+    """Return whether a voter's reply answers a request that was sent after the last restart."""
     return start_id == replica.start_id or not replica.guarded(Guard.START_ID_MATCH)
 
 
-def nobody_holds_a_lease(replica: Replica) -> bool:
-    """Return whether every voter has replied to a pre-vote, and the last leader is among them."""
+def no_replica_holds_lease(replica: Replica) -> bool:
+    """Return whether no replica can hold a leader lease.
+
+    That is so if this replica has received no append since its start, every voter has replied to
+    its pre-vote, and the last leader is one of these voters.
+    """
     if replica.last_leader_contact >= replica.started_at:
         return False
     answered = replica.votes | replica.idle_voters
@@ -45,9 +51,9 @@
 
 
 def _last_leader_votes(replica: Replica) -> bool:
-    """Return whether the leader of the log's last term is a voter, so that it was queried.
+    """Return whether the leader of the log's last term is a voter, and so received the pre-vote.
 
-    A leader that has removed itself leads until its removal is committed.
+    A leader that has removed itself from the voters still leads until its removal is committed.
     """
     log = replica.log
     if log.membership_index <= replica.commit_index:
--- a/src/orchidpath/consensus/snapshot_transfer.py
+++ b/src/orchidpath/consensus/snapshot_transfer.py
@@ -1,6 +1,7 @@
-"""The leader's side of a snapshot transfer: chunks to a follower that needs compacted entries.
+"""The leader's side of a snapshot transfer to a follower that needs compacted entries.
 
-Raft, section 7. One chunk is under way at a time; an unanswered one is sent again.
+The snapshot is sent in chunks (Raft, section 7). Only one chunk is in flight at a time, and a chunk
+that stays unanswered is sent again.
 """
 
 from orchidpath.consensus.raft_messages import AppendEntries, InstallSnapshot
@@ -8,7 +9,7 @@
 
 
 def start_transfer(replica: Replica, node: str, progress: Progress, now: float) -> None:
-    """Switch to the snapshot: the entries that the follower needs are no longer in the log."""
+    """Start to send the snapshot, because the log no longer has the entries a follower needs."""
     progress.mode = ProgressMode.SNAPSHOT
     progress.snapshot = replica.log.snapshot
     progress.snapshot_offset = 0
@@ -16,10 +17,10 @@
 
 
 def send_transfer_heartbeat(replica: Replica, node: str, progress: Progress, now: float) -> None:
-    """Send the heartbeat of a transfer, and the chunk again if it stayed unanswered.
+    """Send a heartbeat during a transfer, and repeat the chunk if it stayed unanswered.
 
-    The heartbeat is an empty append at the start of the log, which any log matches: the
-    follower's own log may not reach any later position that the leader still holds.
+    The heartbeat is an empty append at index 0, where all logs match. The follower's log may not
+    reach any later index that the leader's log still contains.
     """
     heartbeat = AppendEntries(
         sender=replica.node_id,
@@ -38,7 +39,7 @@
     replica: Replica, node: str, progress: Progress, next_offset: int, now: float
 ) -> None:
     """Send the chunk that the follower expects next."""
-    # A repeated reply requests a chunk that is already in transfer: don't send it twice.
+    # A repeated reply requests a chunk that is already in flight, which must not be sent twice.
     if progress.snapshot is None or (next_offset == progress.snapshot_offset and next_offset > 0):
         return
     progress.snapshot_offset = min(next_offset, len(progress.snapshot.data))
--- a/src/orchidpath/consensus/storage.py
+++ b/src/orchidpath/consensus/storage.py
@@ -1,8 +1,9 @@
 """Durable storage of a replica: its identity, term and vote, log and snapshot.
 
-Nothing returns before it is synced. After any error the storage refuses all further calls: the
-replica's state in memory is then ahead of its disk, and after a failed sync the system may have
-dropped the unwritten pages, so that a second sync would succeed without having written them.
+A call that stores something returns only after the data is synced. After any error, the storage
+rejects all further calls, for two reasons: the replica's state in memory is then ahead of its disk,
+and after a failed sync the operating system may have discarded the unwritten pages, so that a
+second sync would succeed without having written them.
 """
 
 import errno
@@ -42,8 +43,8 @@
 NEW_SUFFIX = ".new"
 REWRITE_BATCH_ENTRIES = 1024
 
-_SYNCED = encode_record(SyncedRecord())
-_FULL_ERRORS = (errno.ENOSPC, errno.EDQUOT)
+_ENCODED_SYNCED_RECORD = encode_record(SyncedRecord())
+_DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 class LogStorage(ABC):
@@ -56,11 +57,11 @@
     @property
     @abstractmethod
     def identity(self) -> str:
-        """Id of the replica, known after `load`."""
+        """Id of the replica, available after `load`."""
 
     @abstractmethod
     def load(self) -> RestoredState:
-        """Read everything back; create a new identity if there is nothing."""
+        """Read the stored state, or create a new identity if nothing is stored."""
 
     @abstractmethod
     def persist_hard_state(self, hard_state: HardState) -> None:
@@ -68,24 +69,24 @@
 
     @abstractmethod
     def persist_entries(self, truncate_from: int | None, entries: list[LogEntry]) -> None:
-        """Drop entries from `truncate_from` on, unless None, and append `entries`."""
+        """Remove the entries from `truncate_from` on, unless it is None, and append `entries`."""
 
     @abstractmethod
     def persist_snapshot(self, snapshot: Snapshot) -> None:
-        """Store a snapshot in place of the entries it covers."""
+        """Store a snapshot in place of the entries that it covers."""
 
     @abstractmethod
     def close(self) -> None:
-        """Release the storage."""
+        """Close the storage and release what it holds open."""
 
 
 def new_replica_id() -> str:
-    """Return a random id that no other replica has."""
+    """Return a random 128-bit replica id as 32 hexadecimal digits."""
     return uuid.uuid4().hex
 
 
 class MemoryLogStorage(LogStorage):
-    """Storage of a replica without a disk: it ends with its process.
+    """Storage of a replica without a disk; nothing survives the end of the process.
 
     Such a replica has a new identity at every start and must never vote.
     """
@@ -99,27 +100,28 @@
         return self._identity
 
     def load(self) -> RestoredState:
-        """Return an empty state: there is nothing to read back."""
+        """Return an empty state, because nothing is stored."""
         return RestoredState()
 
     def persist_hard_state(self, hard_state: HardState) -> None:
-        """Do nothing."""
+        """Do nothing: term and vote are not stored."""
 
     def persist_entries(self, truncate_from: int | None, entries: list[LogEntry]) -> None:
-        """Do nothing."""
+        """Do nothing: entries are not stored."""
 
     def persist_snapshot(self, snapshot: Snapshot) -> None:
-        """Do nothing."""
+        """Do nothing: snapshots are not stored."""
 
     def close(self) -> None:
-        """Do nothing."""
+        """Do nothing: no file is open."""
 
 
 class FileLogStorage(LogStorage):
     """Storage in one log file, which is rewritten at each snapshot.
 
-    The identity lives in the folder: an empty folder means a new identity, whatever the
-    machine. The log's first record repeats it, so files of two replicas can't be mixed.
+    The identity is stored in the data folder: an empty folder means a new identity, on whichever
+    machine the folder is. The first record of the log repeats the identity, so that files of two
+    replicas cannot be mixed unnoticed.
 
     Parameters
     ----------
@@ -145,20 +147,20 @@
 
     @property
     def identity(self) -> str:
-        """Id of the replica, known after `load`."""
+        """Id of the replica, available after `load`."""
         return self._identity
 
     def load(self) -> RestoredState:
-        """Read everything back; create a new identity if the folder is empty.
+        """Read the stored state, or create a new identity if the folder is empty.
 
         Raises
         ------
         DamagedLogError
             The files contradict each other, or a record before the tail is damaged.
         FolderInUseError
-            Another process uses the folder.
+            The folder can't be locked, usually because another process uses it.
         StorageFullError, StorageFailedError
-            The disk doesn't answer as it should.
+            A file operation failed; the disk is full in the first case.
         """
         with self._fail_for_good():
             self._files.make_folder(self._folder)
@@ -175,17 +177,17 @@
             self._hard_state = hard_state
 
     def persist_entries(self, truncate_from: int | None, entries: list[LogEntry]) -> None:
-        """Drop entries from `truncate_from` on, unless None, and append `entries`."""
+        """Remove the entries from `truncate_from` on, unless it is None, and append `entries`."""
         with self._fail_for_good():
             record = EntriesRecord(truncate_from, entries)
             self._append(record)
             self._apply_entries(record)
 
     def persist_snapshot(self, snapshot: Snapshot) -> None:
-        """Store a snapshot in place of the entries it covers.
+        """Store a snapshot in place of the entries that it covers.
 
-        The new file is complete and synced before it takes the old one's name, so a crash
-        leaves one or the other.
+        The new log file is complete and synced before it is renamed over the old one, so a crash
+        leaves either the old or the new file, and never a partial one.
         """
         with self._fail_for_good():
             self._log.install(snapshot)
@@ -196,19 +198,21 @@
             self._log_file = self._files.open_append(self._path(LOG_NAME))
 
     def close(self) -> None:
-        """Release the folder."""
+        """Close the log file and release the lock on the data folder."""
         if self._log_file is not None:
             self._log_file.close()
             self._log_file = None
         self._files.unlock(self._path(LOCK_NAME))
-        self._failure = self._failure or StorageFailedError("the storage is closed")
+        self._failure = self._failure or StorageFailedError(
+            f"{self._folder}: the storage is closed, expected no call after close"
+        )
 
     def _path(self, name: str) -> str:
         return f"{self._folder}/{name}"
 
     @contextmanager
     def _fail_for_good(self) -> Iterator[None]:
-        """Turn an error into one of this package, and repeat it on every later call."""
+        """Convert an `OSError` to a `StorageError`, and raise the same error on all later calls."""
         if self._failure is not None:
             raise self._failure
         try:
@@ -217,24 +221,28 @@
             self._failure = error
             raise
         except OSError as error:
-            full = error.errno in _FULL_ERRORS
+            full = error.errno in _DISK_FULL_ERRNOS
             kind = StorageFullError if full else StorageFailedError
             self._failure = kind(f"{self._folder}: {error}")
             raise self._failure from error
 
     def _lock(self) -> None:
-        """Prevent a second process from running as the same replica."""
+        """Lock the data folder, so that no second process can run as the same replica."""
         try:
             self._files.lock(self._path(LOCK_NAME))
         except OSError as error:
-            raise FolderInUseError(f"{self._folder} is in use: {error}") from error
+            raise FolderInUseError(
+                f"{self._folder} is in use by another process, or can't be locked: {error}"
+            ) from error
 
     def _read_or_create(self) -> None:
         names = set(self._files.list_names(self._folder))
         if LOG_NAME in names:
             self._read(has_identity_file=IDENTITY_NAME in names)
         elif IDENTITY_NAME in names:
-            raise DamagedLogError(f"{self._folder} has an identity, but its log is missing")
+            raise DamagedLogError(
+                f"{self._folder} has an identity file, but its log file is missing; expected both"
+            )
         else:
             self._create()
         for name in sorted(names):
@@ -242,7 +250,11 @@
                 self._files.remove(self._path(name))
 
     def _create(self) -> None:
-        """Create the log first: an identity file then proves that there was a log."""
+        """Create the files of a new replica.
+
+        The log is created first, so that the existence of the identity file proves that a log
+        existed.
+        """
         self._identity = self._new_identity()
         self._write_new(LOG_NAME, self._encode_log())
         self._write_new(IDENTITY_NAME, self._identity.encode())
@@ -252,27 +264,40 @@
         found_records = read_records(data)
         header = next(found_records, None)
         if header is None:
-            raise DamagedLogError(f"{self._folder}: the log has no header")
+            raise DamagedLogError(
+                f"{self._path(LOG_NAME)}: no complete record in {len(data)} bytes, "
+                "expected a header record first"
+            )
         self._read_header(header.record)
         good_size_bytes = header.end
         for found in found_records:
             self._replay(found.record)
             good_size_bytes = found.end
         self._check_identity_file(has_identity_file)
-        # Only now: a damaged log is left as it is, for whoever has to repair it.
+        # The torn tail is truncated only after all checks have passed, so that a damaged log stays
+        # unchanged for the operator who has to repair it.
         if good_size_bytes < len(data):
             self._files.truncate(self._path(LOG_NAME), good_size_bytes)
 
     def _read_header(self, record: Record) -> None:
         if not isinstance(record, HeaderRecord):
-            raise DamagedLogError(f"{self._folder}: header missing or in the wrong place")
+            raise DamagedLogError(
+                f"{self._path(LOG_NAME)}: the first record is a {type(record).__name__}, "
+                "expected a header record"
+            )
         if record.version != FORMAT_VERSION:
-            raise DamagedLogError(f"{self._folder}: unknown format {record.version}")
+            raise DamagedLogError(
+                f"{self._path(LOG_NAME)}: unknown format {record.version}, "
+                f"expected format {FORMAT_VERSION}"
+            )
         self._identity = record.identity
 
     def _replay(self, record: Record) -> None:
         if isinstance(record, HeaderRecord):
-            raise DamagedLogError(f"{self._folder}: header missing or in the wrong place")
+            raise DamagedLogError(
+                f"{self._path(LOG_NAME)}: a second header record, of replica {record.identity}; "
+                "expected one at the start only"
+            )
         if isinstance(record, HardStateRecord):
             self._hard_state = record.hard_state
         elif isinstance(record, SnapshotRecord):
@@ -291,13 +316,19 @@
     def _check_identity_file(self, has_identity_file: bool) -> None:
         if not has_identity_file:
             if self._hard_state != HardState() or self._log.last_index > 0:
-                raise DamagedLogError(f"{self._folder} has a log, but its identity is missing")
-            # A crash interrupted the creation between the two files.
+                raise DamagedLogError(
+                    f"{self._folder} has the log of replica {self._identity}, "
+                    "but its identity file is missing"
+                )
+            # A crash interrupted the creation after the log file and before the identity file.
             self._write_new(IDENTITY_NAME, self._identity.encode())
             return
         stored = self._files.read(self._path(IDENTITY_NAME)).decode(errors="replace")
         if stored != self._identity:
-            raise DamagedLogError(f"{self._folder}: the log belongs to {self._identity}")
+            raise DamagedLogError(
+                f"{self._folder}: the log belongs to replica {self._identity}, "
+                f"but the identity file contains {stored!r}"
+            )
 
     def _encode_log(self) -> bytes:
         records: list[Record] = [HeaderRecord(FORMAT_VERSION, self._identity)]
@@ -309,9 +340,10 @@
         for start in range(first, self._log.last_index + 1, REWRITE_BATCH_ENTRIES):
             end = min(start + REWRITE_BATCH_ENTRIES - 1, self._log.last_index)
             records.append(EntriesRecord(None, self._log.entries_between(start, end)))
-        return b"".join(encode_record(record) for record in records) + _SYNCED
+        return b"".join(encode_record(record) for record in records) + _ENCODED_SYNCED_RECORD
 
     def _write_new(self, name: str, content: bytes) -> None:
+        """Write and sync a new file, rename it over the old one, and sync the folder."""
         path = self._path(name)
         new_path = path + NEW_SUFFIX
         if name + NEW_SUFFIX in self._files.list_names(self._folder):
@@ -327,7 +359,9 @@
 
     def _append(self, record: Record) -> None:
         if self._log_file is None:
-            raise StorageFailedError(f"{self._folder}: load was not called")
+            raise StorageFailedError(
+                f"{self._folder}: the log file is not open, expected a call of load first"
+            )
         self._log_file.write(encode_record(record))
         self._log_file.sync()
-        self._log_file.write(_SYNCED)
+        self._log_file.write(_ENCODED_SYNCED_RECORD)
--- a/src/orchidpath/consensus/types.py
+++ b/src/orchidpath/consensus/types.py
@@ -1,7 +1,7 @@
-"""Values of the consensus protocol: log entries, membership, durable state, settings.
+"""Data types of the consensus protocol: log entries, membership, durable state, settings.
 
-Every type here is immutable, so one object can be shared by the log in memory, the messages
-in flight and the records on disk without being copied.
+Every type here is immutable, so the log in memory, the messages and the records of the log file can
+share one object without copying it.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class EntryKind(enum.Enum):
-    """What a log entry carries."""
+    """Kind of a log entry, which determines the meaning of its payload."""
 
     NOOP = 0
     COMMAND = 1
@@ -30,9 +30,9 @@
 
 
 class Guard(enum.Enum):
-    """Safety rules that a test can turn off to prove that the checkers detect it.
+    """Safety rules that a test can disable, to prove that the checkers detect the violation.
 
-    A deployed replica runs with all of them.
+    A deployed replica runs with all rules enabled.
     """
 
     VOTE_PERSISTENCE = "vote_persistence"
@@ -59,9 +59,9 @@
     term
         Term of the leader that created the entry.
     kind
-        What the payload means.
+        Kind of the entry.
     payload
-        The command, or an encoded `Membership`, or for a no-op the id of the leader.
+        The command, an encoded `Membership`, or, for a no-op, the id of the leader.
     """
 
     index: int
@@ -71,14 +71,14 @@
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """The replicas of the group.
+    """The replicas of a Raft group.
 
     Parameters
     ----------
     voters
         Replicas that vote and count towards a majority.
     learners
-        Replicas that receive the log but count for nothing.
+        Replicas that receive the log but neither vote nor count towards a majority.
     addresses
         Network address by replica id, for voters and learners.
     """
@@ -88,23 +88,23 @@
     addresses: dict[str, str] = {}
 
     def quorum_size(self) -> int:
-        """Return how many voters make a majority."""
+        """Return the number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def members(self) -> tuple[str, ...]:
-        """Return voters and learners."""
+        """Return the ids of the voters, followed by those of the learners."""
         return self.voters + self.learners
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """Term and vote, durable so that a replica votes at most once in a term across restarts."""
+    """Term and vote, stored durably so that a replica votes at most once per term."""
 
     term: int = 0
     voted_for: str | None = None
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The state machine after the entry at `last_index`, and the membership then."""
+    """The encoded state machine after the entry at `last_index`, and the membership there."""
 
     last_index: int
     last_term: int
@@ -113,7 +113,7 @@
 
 
 class RestoredState(msgspec.Struct, frozen=True):
-    """Everything that a replica reads back from its disk when it starts."""
+    """The state that a replica reads from its disk at its start."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -126,30 +126,33 @@
     Parameters
     ----------
     heartbeat_seconds
-        Time between two appends to a follower that has nothing new to receive.
+        Interval of heartbeats to a follower for which there are no new entries.
     election_timeout_min_seconds, election_timeout_max_seconds
-        A follower starts an election after a random time without a leader's message, between the
-        two. The shorter one is also how long it refuses votes after a leader's message.
+        Bounds of the random time without a message of a leader after which a follower starts an
+        election. The lower bound is also the time for which a follower refuses votes after a
+        message of a leader.
     restart_election_seconds
-        A voter that has just started requests pre-votes after a random time between this and its
-        double, and again until it has been up for the shortest election timeout.
+        A voter that has just started requests pre-votes after a random time between this value and
+        twice this value, and repeats this until the shortest election timeout since its start has
+        passed.
     leader_lease_seconds
-        How long after the send time of an acknowledged append a leader may serve reads alone.
-        Must be below `election_timeout_min_seconds` by `clock_drift_margin`.
+        How long after the send time of an append that a quorum has acknowledged a leader may serve
+        reads without a further round of messages. Times 1 + `clock_drift_margin`, it must be below
+        `election_timeout_min_seconds`.
     clock_drift_margin
-        Share by which two monotonic clocks may run at different rates.
+        Fraction by which the rates of two monotonic clocks may differ.
     max_batch_bytes
-        Payload bytes in one append message (one entry always fits).
+        Maximum payload bytes in one append message; a single larger entry is still sent.
     max_in_flight_entries
-        Entries sent to one follower ahead of its last acknowledgement.
+        Maximum number of entries sent to one follower beyond its last acknowledgement.
     snapshot_threshold_entries
-        Entries after the last snapshot at which the shell should compact the log.
+        Number of applied entries after the last snapshot at which the log should be compacted.
     snapshot_threshold_bytes
-        Payload bytes after the last snapshot at which the shell should compact the log.
+        Payload bytes of the entries after the last snapshot at which the log should be compacted.
     snapshot_chunk_bytes
-        Snapshot bytes in one message.
+        Maximum snapshot bytes in one message.
     catch_up_max_lag_entries
-        A learner may become a voter when it lacks at most this many entries.
+        Maximum number of entries that a learner may lack when it becomes a voter.
     """
 
     heartbeat_seconds: float = 0.1
@@ -166,36 +169,45 @@
     catch_up_max_lag_entries: int = 64
 
     def __post_init__(self) -> None:
-        """Reject settings under which a lease could outlive the promises not to vote.
+        """Reject settings that could make a lease outlast the time for which voters refuse votes.
 
         Raises
         ------
         InvalidSettingsError
-            Another leader could be elected while a lease is valid, or a lease could expire between
-            two heartbeats.
+            Another leader could be elected while a lease is valid, a lease could expire between
+            two heartbeats, or the bounds of the election timeout are reversed.
         """
         margin = 1.0 + self.clock_drift_margin
         if self.leader_lease_seconds * margin >= self.election_timeout_min_seconds:
             raise InvalidSettingsError(
-                "leader_lease_seconds must be below election_timeout_min_seconds"
+                f"leader_lease_seconds ({self.leader_lease_seconds}) times {margin} for clock "
+                "drift must be below election_timeout_min_seconds "
+                f"({self.election_timeout_min_seconds})"
             )
         if self.election_timeout_min_seconds > self.election_timeout_max_seconds:
-            raise InvalidSettingsError("election_timeout_min_seconds is above the maximum")
+            raise InvalidSettingsError(
+                f"election_timeout_min_seconds ({self.election_timeout_min_seconds}) must be at "
+                f"most election_timeout_max_seconds ({self.election_timeout_max_seconds})"
+            )
         if self.heartbeat_seconds * 2 > self.leader_lease_seconds:
-            raise InvalidSettingsError("heartbeat_seconds must fit twice into leader_lease_seconds")
+            raise InvalidSettingsError(
+                f"heartbeat_seconds ({self.heartbeat_seconds}) must be at most half of "
+                f"leader_lease_seconds ({self.leader_lease_seconds})"
+            )
 
 
 class ReadTicket(msgspec.Struct, frozen=True):
-    """A linearizable read that waits for its leader to be confirmed.
+    """A linearizable read that waits until the leadership is confirmed.
 
     Parameters
     ----------
     index
-        The read may run on the state after this entry, or later.
+        Read index: the read may run once the entry at this index is applied.
     term
         Term of the leader that issued the ticket.
     issued_at
-        Leader's clock at the issue; a majority must acknowledge an append sent since.
+        Leader's clock, in seconds, when the ticket was issued. A majority must acknowledge an
+        append that was sent at this time or later.
     """
 
     index: int
--- a/tests/consensus/test_consensus_log.py
+++ b/tests/consensus/test_consensus_log.py
@@ -13,7 +13,7 @@
 
 def test_an_entry_that_does_not_follow_the_last_one_is_rejected() -> None:
     log = ReplicaLog(None, [entry(1)])
-    with pytest.raises(LogGapError, match="entry 3 does not follow 1"):
+    with pytest.raises(LogGapError, match="entry 3 does not follow the last entry of the log, 1"):
         log.append([entry(3)])
 
 
