--- a/src/orchidpath/forwarding/__init__.py
+++ b/src/orchidpath/forwarding/__init__.py
@@ -1,5 +1,5 @@
-"""Forwarding of opaque requests to workers: tables and decisions, without input or output.
+"""Forwarding of opaque requests to workers: route tables and decisions, without input or output.
 
-Begin with :mod:`.progress` for what may be sent again, and :mod:`.proxy` for the state machine of a
-request. Imported by the router.
+Start reading with :mod:`.progress`, which contains the retry rules, and :mod:`.proxy`, which
+contains the state machine of a request. The router imports this package.
 """
--- a/src/orchidpath/forwarding/forward_route_table.py
+++ b/src/orchidpath/forwarding/forward_route_table.py
@@ -1,10 +1,10 @@
-"""Finds the forward route of a request; pure."""
+"""Lookup of the forward route of a request by host and path; does no input or output."""
 
 from orchidpath.wire.configuration import Configuration, ForwardRoute
 
 
 class ForwardTable:
-    """The forward routes of one configuration.
+    """Lookup table of the forward routes of one configuration.
 
     Parameters
     ----------
@@ -18,7 +18,7 @@
             self._by_host.setdefault(route.host.lower(), {})[route.path_prefix] = route
 
     def match(self, host: str, path: str) -> ForwardRoute | None:
-        """Return the route of the host with the longest prefix of the path.
+        """Return the route of the host whose path prefix is the longest that matches.
 
         Parameters
         ----------
@@ -30,11 +30,12 @@
         Returns
         -------
         ForwardRoute or None
+            None if the host has no route, or none of its prefixes matches.
         """
         routes = self._by_host.get(_without_port(host).lower())
         if routes is None:
             return None
-        # Every prefix ends with a slash, so only the beginnings up to a slash can match.
+        # Every path prefix ends with a slash, so only parts of the path up to a slash can match.
         end = path.rfind("/")
         while end >= 0:
             route = routes.get(path[: end + 1])
--- a/src/orchidpath/forwarding/progress.py
+++ b/src/orchidpath/forwarding/progress.py
@@ -1,11 +1,14 @@
-"""What one forwarded request has spent, and whether it may be dispatched again; pure.
-
-The rules, each asked as a plain question: a request that may have executed is never dispatched a
-second time unless its route allows it; the number of workers that it reaches is bounded by its
-route; every dispatch after the first is charged to the service's retry budget; and nothing is
-dispatched again after the first bytes of a response have reached the caller (paper, "Circuit
-breakers and bounded retries"), except to resume a stream on a route that allows it. Whether the
-final response may guarantee not-executed follows from the same history.
+"""Attempts of one forwarded request, and the rules for retrying it; does no input or output.
+
+The rules are:
+
+- a request that may have executed is not dispatched a second time, unless its route allows it;
+- the number of workers that a request reaches is bounded by its route;
+- every dispatch after the first is charged to the service's retry budget;
+- nothing is dispatched again after the first bytes of a response have reached the caller (paper,
+  "Circuit breakers and bounded retries"), except to resume a stream on a route that allows it.
+
+The same history determines whether the final response may guarantee not-executed.
 """
 
 from enum import StrEnum
@@ -16,65 +19,66 @@
 from orchidpath.wire.configuration import ForwardRoute, Repetition
 
 MIN_RETRY_SECONDS = 0.05
-"""With less time left than this, in seconds, no further worker is tried."""
+"""No further worker is tried with less time than this left until the deadline, in seconds."""
 
 PREFILL_DEADLINE_SHARE = 0.8
-"""A prefill gets this share of the time that is left.
+"""A prefill may take at most this fraction of the time left until the deadline.
 
-A prefill that is queued at a busy worker is not abandoned for another one: the time in the queue
-would be lost, and the other worker would recompute prefixes that the first one has cached.
+A prefill that is queued at a loaded worker is not moved to another worker. The time already spent
+in the queue would be lost, and the other worker would recompute prefixes that the first worker has
+cached.
 """
 
 PREFILL_TIMEOUT_FACTOR = 3.0
 MIN_PREFILL_TIMEOUT_SECONDS = 1.2
-"""A prefill times out after its expected time, in seconds, times the factor, plus this minimum.
+"""A prefill times out after its expected seconds times the factor, plus this minimum in seconds.
 
-Its worker is then taken as hung. Callers of streams do not wait for their deadline: they give up
-after a few target latencies.
+Its worker is then assumed to hang. The timeout does not extend to the deadline, because callers of
+streams disconnect after a few target latencies.
 """
 
 FIRST_RESPONSE_LATENCY_FACTOR = 2.0
-"""A repeatable request times out at a worker after this many of its route's target latencies."""
+"""A repeatable request times out at a worker after this multiple of the route's target latency."""
 
 MIN_TIMEOUT_SECONDS = 1.5
-"""No worker times out sooner than this, in seconds."""
+"""Lower bound of the timeout for the first byte of a response, in seconds."""
 
 
 class FailureKind(StrEnum):
     """How a dispatch to a worker failed."""
 
     NOT_SENT = "not_sent"
-    """No byte of it left this router."""
+    """No byte of the request left this router."""
     REFUSED = "refused"
-    """The worker guaranteed not-executed: it did not run and never will."""
+    """The worker guaranteed not-executed: the request did not execute and never will."""
     BROKEN = "broken"
-    """The connection failed or the response can't be relayed; it may have executed."""
+    """The connection failed or the response can't be relayed; the request may have executed."""
     TIMED_OUT = "timed_out"
-    """No response came in time; it may have executed."""
+    """No response arrived in time; the request may have executed."""
 
 
 class FailureOutcome(StrEnum):
-    """How a request ended that no worker answered; the caller's response follows from it."""
+    """Outcome of a request without a response from a worker; determines the error response."""
 
     NOT_EXECUTED = "not_run"
-    """It has not executed and never will; the caller may retry."""
+    """The request has not executed and never will; the caller may retry."""
     BROKEN = "broken"
-    """It may have executed, and the worker's response broke off."""
+    """The request may have executed, and the worker's response was interrupted or invalid."""
     TIMED_OUT = "timed_out"
-    """It may have executed, and no response came in time."""
+    """The request may have executed, and no response arrived in time."""
 
 
 class ForwardProgress:
-    """The history of one forwarded request.
+    """Attempts of one forwarded request so far, and the attempts that are still allowed.
 
     Parameters
     ----------
     route
-        The route whose rules hold for it.
+        Route of the request, which sets the retry rules.
     budget
         Retry budget of its service.
     deadline
-        Monotonic time by which it must be answered, in seconds.
+        Monotonic time by which the caller must have a response, in seconds.
     """
 
     def __init__(self, route: ForwardRoute, budget: RetryBudget, deadline: float) -> None:
@@ -93,10 +97,10 @@
         return self.deadline - now
 
     def may_prefill(self, now: float) -> bool:
-        """Whether the prompt may be prefilled, or prefilled again, on a prefill worker.
+        """Return whether the prompt may be prefilled, or prefilled again, on a prefill worker.
 
-        The first prefill is free; a further one counts as an attempt and is charged to the retry
-        budget, and one attempt must remain for the request itself.
+        The first prefill is not charged. A further prefill counts as an attempt and is charged to
+        the retry budget by this call, and one attempt must remain for the request itself.
 
         Parameters
         ----------
@@ -110,21 +114,23 @@
         spent = self._prefills - 1 + self._dispatches
         return spent + 2 <= self._route.max_attempts and self._budget.try_spend(now)
 
-    def prefill_dispatched(self) -> None:
-        """Count a prefill that has left this router."""
+    def record_prefill_dispatch(self) -> None:
+        """Record that a prefill has been sent to a worker."""
         self._prefills += 1
 
-    def prefill_failed(self, now: float) -> None:
-        """Charge a prefill that was dispatched and failed, or timed out, to the budget."""
+    def record_prefill_failure(self, now: float) -> None:
+        """Charge the retry budget for a dispatched prefill that failed or timed out."""
         self._budget.record_extra(now)
 
     def may_dispatch(self, worker_id: str, now: float) -> bool:
-        """Whether the request itself may be dispatched to a worker now; a retry is charged.
+        """Return whether the request itself may be dispatched to a worker now.
+
+        A retry is charged to the retry budget by this call.
 
         Parameters
         ----------
         worker_id
-            The worker.
+            Id of the worker.
         now
             Monotonic seconds.
         """
@@ -138,21 +144,24 @@
         workers = len(self._workers | {worker_id}) + extra_prefills
         return workers <= self._route.max_attempts and self._budget.try_spend(now)
 
-    def dispatched(self, worker_id: str) -> None:
-        """Count a dispatch whose first byte has left this router; it may execute from now on."""
+    def record_dispatch(self, worker_id: str) -> None:
+        """Record a dispatch whose first byte was sent; from now on the request may execute."""
         self._may_have_executed_before = self.may_have_executed
         self.may_have_executed = True
         self._dispatches += 1
         self._workers.add(worker_id)
 
-    def dispatch_failed(self, kind: FailureKind) -> None:
-        """Record how the last dispatch failed; a refusal guarantees that it never executes."""
+    def record_dispatch_failure(self, kind: FailureKind) -> None:
+        """Record how the last dispatch failed.
+
+        A refusal guarantees that this dispatch never executes, but not that earlier ones did not.
+        """
         self.last_failure = kind
         if kind is FailureKind.REFUSED:
             self.may_have_executed = self._may_have_executed_before
 
     def has_workers_left(self) -> bool:
-        """Whether another worker than those used may still be tried."""
+        """Return whether the route allows the request to be dispatched to a further worker."""
         extra_prefills = max(self._prefills - 1, 0)
         return len(self._workers) + extra_prefills < self._route.max_attempts
 
@@ -164,7 +173,7 @@
         now
             Monotonic seconds.
         expected_seconds
-            How long it is expected to take, queueing included; 0 when nothing is known.
+            Expected duration including the time in the queue; 0 if unknown.
         """
         longest = max(self.time_left(now) * PREFILL_DEADLINE_SHARE, 0.0)
         if expected_seconds <= 0:
@@ -174,8 +183,8 @@
     def first_response_timeout_seconds(self, now: float) -> float:
         """Return how long to wait for the first byte of a response, in seconds.
 
-        A worker that has sent nothing may still respond, so it times out before the deadline only
-        where another worker may then execute the request.
+        A worker that has sent nothing may still respond. The timeout therefore ends before the
+        deadline only if another worker may then execute the request.
         """
         left = max(self.time_left(now), 0.0)
         may_time_out = self._route.repetition is not Repetition.NEVER and self.has_workers_left()
@@ -185,7 +194,7 @@
         return min(left, max(target_seconds, MIN_TIMEOUT_SECONDS))
 
     def failure_outcome(self) -> FailureOutcome:
-        """Return how the request ended if it is given up now."""
+        """Return the outcome of the request if it is abandoned now."""
         if not self.may_have_executed:
             return FailureOutcome.NOT_EXECUTED
         if self.last_failure is FailureKind.TIMED_OUT:
@@ -197,20 +206,21 @@
 
 
 class RetryAfterRange(msgspec.Struct, frozen=True):
-    """Range of Retry-After, in seconds; spread so that callers do not return together."""
+    """Range of the Retry-After value in seconds, which spreads the retries of callers over time."""
 
     shortest_seconds: float = 0.1
     longest_seconds: float = 0.4
 
     def seconds(self, share: float, at_least: float = 0.0) -> float:
-        """Return the Retry-After for a random share between 0 and 1, in seconds.
+        """Return a Retry-After value in seconds.
 
         Parameters
         ----------
         share
-            Drawn uniformly between 0 and 1.
+            Random position within the range, sampled uniformly from 0 to 1.
         at_least
-            Known time before which a retry is rejected, in seconds.
+            Seconds during which a retry is known to be rejected; 0 if unknown. The value exceeds
+            this minimum by up to 25 %, so that callers do not return together.
         """
         spread = self.shortest_seconds + share * (self.longest_seconds - self.shortest_seconds)
         return max(spread, at_least * (1.0 + 0.25 * share))
--- a/src/orchidpath/forwarding/proxy/__init__.py
+++ b/src/orchidpath/forwarding/proxy/__init__.py
@@ -1,5 +1,5 @@
-"""The state machine of one forwarded request: events in, effects out.
+"""The state machine of one forwarded request, which turns events into effects.
 
-Begin with the table of transitions in :mod:`.proxy_machine`. Imported by the router's proxy path,
-which carries the effects out; it does no input or output.
+Start reading with the table of transitions in :mod:`.proxy_machine`. This package does no input or
+output; the router's proxy path imports it and executes the effects.
 """
--- a/src/orchidpath/forwarding/proxy/decision_rounds.py
+++ b/src/orchidpath/forwarding/proxy/decision_rounds.py
@@ -1,4 +1,4 @@
-"""The rounds of decisions of one forwarded request; pure."""
+"""Rounds of worker selection for one forwarded request; does no input or output."""
 
 from orchidpath.forwarding.proxy.proxy_effects import ChooseWorkers
 from orchidpath.forwarding.proxy.proxy_events import ChosenWorker
@@ -6,19 +6,25 @@
 from orchidpath.wire.records import Stage
 
 MAX_ROUNDS = 8
-"""Rounds for one request, at most: bounds failures before the first byte, which cost nothing."""
+"""Maximum number of rounds for one request.
+
+It bounds failures before the first byte, which are not charged to the retry budget.
+"""
 
 MAX_POSTPONED_SECONDS = 2.0
-"""The leader may postpone a decision this long, until another request's prefill is cached."""
+"""Maximum time in seconds for which the leader may postpone a decision.
+
+The leader postpones a decision until the prefill of another request is cached.
+"""
 
 
 class DecisionRounds:
-    """Counts rounds and attempts, and knows which workers were tried.
+    """Counts the rounds and attempts of one request, and tracks the workers that were tried.
 
     Parameters
     ----------
     request_id
-        Id of the request; ids of attempts begin with it.
+        Id of the request, which is the prefix of its attempt ids.
     """
 
     def __init__(self, request_id: str) -> None:
@@ -32,11 +38,11 @@
 
     @property
     def includes_prefill(self) -> bool:
-        """Whether this round's decision is about a prefill worker too."""
+        """Whether the current round selects a prefill worker too."""
         return Stage.PREFILL in self._stages
 
     def begin(self) -> bool:
-        """Begin a round; returns whether there may be one more."""
+        """Begin a round, and return whether the maximum number of rounds allows it."""
         if self._rounds == MAX_ROUNDS:
             return False
         self._rounds += 1
@@ -45,14 +51,14 @@
     def choose(
         self, stages: tuple[Stage, ...], prefill_worker_id: str, now: float
     ) -> ChooseWorkers:
-        """Return the effect that has this round's workers chosen.
+        """Return the effect that requests the workers of this round.
 
         Parameters
         ----------
         stages
             Stages of the attempt.
         prefill_worker_id
-            The worker that holds the KV cache of the prompt already; empty for none.
+            Id of the worker that already holds the KV cache of the prompt; empty for none.
         now
             Monotonic seconds.
         """
@@ -62,7 +68,7 @@
         return self.choose_again(now)
 
     def choose_again(self, now: float) -> ChooseWorkers:
-        """Return the same effect as an attempt of its own, after it was postponed."""
+        """Return the same effect under a new attempt id, after the decision was postponed."""
         self._attempts += 1
         return ChooseWorkers(
             attempt_id=f"{self._request_id}.{self._attempts}",
@@ -75,5 +81,5 @@
         )
 
     def record_tried(self, chosen: ChosenWorker) -> None:
-        """Prefer other workers from now on."""
+        """Record that a worker was tried, so that other workers are preferred from now on."""
         self._tried[chosen.stage].append(chosen.worker.worker_id)
--- a/src/orchidpath/forwarding/proxy/prefill_path.py
+++ b/src/orchidpath/forwarding/proxy/prefill_path.py
@@ -1,4 +1,7 @@
-"""Where the prompt of one forwarded request is prefilled, and its KV cache; pure."""
+"""Choice of the worker that prefills the prompt of one forwarded request, and its KV cache.
+
+The module does no input or output.
+"""
 
 from collections.abc import Callable
 
@@ -10,9 +13,10 @@
 
 
 class PendingTransfer(msgspec.Struct, frozen=True):
-    """A prefill that is complete, and its KV cache.
+    """A completed prefill whose KV cache has not been transferred yet.
 
-    How the attempt ended for its worker is reported once the cache was transferred, or was not.
+    The outcome of the prefill worker's attempt is reported only once the KV transfer has succeeded
+    or failed.
     """
 
     chosen: ChosenWorker
@@ -21,19 +25,19 @@
 
     @property
     def source(self) -> KvSource:
-        """Where the KV cache is."""
+        """Location of the KV cache."""
         return KvSource(self.chosen.address, self.handle)
 
 
 class PrefillPath:
-    """Chooses between a prefill worker and the decode worker itself.
+    """Chooses whether a prefill worker or the decode worker prefills the prompt.
 
     Parameters
     ----------
     plan
-        The request.
+        Properties of the request.
     has_prefill_workers
-        Tells whether its service has an eligible prefill worker now.
+        Returns whether the service of the request currently has an eligible prefill worker.
     """
 
     def __init__(self, plan: ProxyPlan, has_prefill_workers: Callable[[], bool]) -> None:
@@ -43,13 +47,15 @@
         self._transfer_has_failed = False
         self.pending: PendingTransfer | None = None
 
-    def begins_round(self, progress: ForwardProgress, now: float) -> bool:
-        """Whether the next round begins with a prefill on a worker of its own; pays for it.
+    def charge_prefill_round(self, progress: ForwardProgress, now: float) -> bool:
+        """Return whether the next round begins with a prefill on a prefill worker.
+
+        A repeated prefill is charged to the retry budget by this call.
 
         Parameters
         ----------
         progress
-            What the request has spent.
+            Attempts of the request so far.
         now
             Monotonic seconds.
         """
@@ -58,15 +64,16 @@
         return self._has_prefill_workers() and progress.may_prefill(now)
 
     def may_prefill_on_decode(self, *, has_started: bool) -> bool:
-        """Whether a decode worker may prefill by itself, if that still has to be done.
+        """Return whether the decode worker may prefill the prompt itself, if still necessary.
 
-        Nothing else is taken up there meanwhile, so a long prompt is refused as long as prefill
-        workers are there: the caller comes back.
+        A decode worker admits no other request during a prefill. A long prompt is therefore
+        rejected while prefill workers are available, and the caller retries later.
 
         Parameters
         ----------
         has_started
-            Whether a part of an answer has reached the caller, so that it can't be refused.
+            Whether part of a response has reached the caller, so that the request can't be
+            rejected any more.
         """
         if self.pending is not None or not self._plan.wants_prefill_stage:
             return True
@@ -76,27 +83,27 @@
             return True
         return not self._has_prefill_workers()
 
-    def leave_to_decode(self) -> None:
-        """Have the decode worker prefill from now on."""
+    def disable_prefill_stage(self) -> None:
+        """Let the decode worker prefill the prompt from now on."""
         self._uses_prefill_stage = False
 
-    def transfer_failed(self) -> None:
-        """Note that the KV cache could not be transferred: the decode worker prefills itself."""
+    def record_transfer_failure(self) -> None:
+        """Record a failed KV transfer, after which the decode worker prefills the prompt itself."""
         self._transfer_has_failed = True
         self._uses_prefill_stage = False
 
-    def cache_lost(self, *, has_workers_left: bool) -> None:
-        """Forget a KV cache that was transferred, or may have been: it is gone.
+    def discard_cache(self, *, has_workers_left: bool) -> None:
+        """Discard a KV cache that was, or may have been, transferred and can't be fetched again.
 
         Parameters
         ----------
         has_workers_left
-            Whether the request may still reach another worker.
+            Whether the request may still be dispatched to another worker.
         """
         self.pending = None
         self._uses_prefill_stage = self._plan.wants_prefill_stage and has_workers_left
 
     def take_pending(self) -> PendingTransfer | None:
-        """Return the KV cache that waits for its transfer, and forget it."""
+        """Return and remove the prefill whose KV cache awaits its transfer, or None."""
         pending, self.pending = self.pending, None
         return pending
--- a/src/orchidpath/forwarding/proxy/proxy_core.py
+++ b/src/orchidpath/forwarding/proxy/proxy_core.py
@@ -1,7 +1,7 @@
-"""State of one forwarded request and the steps that its transitions share.
+"""State of one forwarded request, and the steps that several transitions share.
 
-Steps return effects and leave the request in the phase that follows. Nothing here looks at events;
-which step follows which event is decided in :mod:`.proxy_machine`.
+A step returns effects and sets the phase of the request. Steps do not examine events;
+:mod:`.proxy_machine` defines which event leads to which step.
 """
 
 from enum import StrEnum
@@ -30,7 +30,7 @@
 RETRY_AFTER = RetryAfterRange()
 
 BROKEN_OFF_OUTCOME = "broken_off"
-"""What metrics call a request whose answer was given up after it had begun."""
+"""Outcome in the metrics of a request whose response was aborted after it had begun."""
 
 _STATUS_BY_OUTCOME = {
     FailureOutcome.NOT_EXECUTED: 503,
@@ -40,30 +40,31 @@
 
 
 class ProxyPhase(StrEnum):
-    """What is known of a forwarded request."""
+    """Phase of a forwarded request."""
 
     NEW = "new"
+    """The request has not been started."""
     CHOOSING = "choosing"
-    """Workers are being chosen; nothing has reached the caller."""
+    """Workers are being selected; no part of a response has reached the caller."""
     PREFILLING = "prefilling"
-    """A prefill worker was chosen for the prompt; its KV cache is not there yet."""
+    """The prefill is dispatched to a prefill worker; the KV cache is not available yet."""
     TRANSFERRING = "transferring"
-    """A decode worker is to fetch the KV cache; its answer will tell whether it could."""
+    """A decode worker fetches the KV cache; its response shows whether the transfer succeeded."""
     AWAITING_HEAD = "awaiting_head"
-    """A worker was chosen for the whole request, and has not answered."""
+    """A worker is to execute the complete request, and has not responded yet."""
     STREAMING = "streaming"
-    """The head of an answer has reached the caller; its body follows."""
+    """The head of a response has reached the caller; its body follows."""
     RESUMING = "resuming"
-    """A stream broke off; another worker is being chosen to go on with it."""
+    """A stream was interrupted; another worker is being selected to resume it."""
     DONE = "done"
-    """The caller got a final answer, or never will."""
+    """The caller has received a final response, or will not receive one."""
 
 
 class ResponseState(msgspec.Struct):
-    """What has reached the caller, and whether another worker can go on with it.
+    """State of the response to the caller, and whether another worker can resume it.
 
-    ``weights_version`` is the version that began the answer; ``last_event_id`` is empty before the
-    first event.
+    ``weights_version`` is the weights version that began the response. ``last_event_id`` is the id
+    of the last event that was relayed, and is empty before the first event.
     """
 
     has_started: bool = False
@@ -73,14 +74,14 @@
 
 
 class ProxyCore:
-    """What is known of one forwarded request, and the steps that several transitions share.
+    """State of one forwarded request, and the steps that several transitions share.
 
     Parameters
     ----------
     plan
-        The request.
+        Properties of the request.
     shared
-        Retry budget of its service, randomness, and whether prefill workers are there.
+        Retry budget, random generator, and availability of prefill workers.
     """
 
     def __init__(self, plan: ProxyPlan, shared: ProxyShared) -> None:
@@ -97,15 +98,13 @@
         self._prefill_timeout_at = 0.0
         self._head: HeadReceived | None = None
 
-    # Rounds
-
     def _next_round(self, now: float) -> list[ProxyEffect]:
         if not self._rounds.begin():
-            return self._give_up("no worker could be reached")
+            return self._end_with_error("no worker could be reached")
         has_started = self._response.has_started
-        prefills = self._prefill.begins_round(self._progress, now)
+        prefills = self._prefill.charge_prefill_round(self._progress, now)
         if not prefills and not self._prefill.may_prefill_on_decode(has_started=has_started):
-            return self._give_up("the prompt can't be read now")
+            return self._end_with_error("the prompt can't be read now")
         self._phase = ProxyPhase.RESUMING if has_started else ProxyPhase.CHOOSING
         pending = self._prefill.pending
         prefill_worker_id = pending.chosen.worker.worker_id if pending is not None else ""
@@ -116,8 +115,6 @@
             return (Stage.PLAIN,)
         return (Stage.PREFILL, Stage.DECODE) if prefills else (Stage.DECODE,)
 
-    # Dispatches
-
     def _dispatch_prefill(self, target: ChosenWorker, now: float) -> list[ProxyEffect]:
         self._phase = ProxyPhase.PREFILLING
         self._target = target
@@ -126,7 +123,8 @@
         dispatch = effects.Dispatch(
             target=target,
             deadline_seconds=self._progress.time_left(now),
-            # Only prefills go by rank: at a decode worker the urgent preempt running streams.
+            # Only prefills have a priority: at a decode worker, requests of a higher priority
+            # would preempt running streams.
             priority=self._plan.route.priority,
             is_prefill=True,
             timeout_at=self._prefill_timeout_at,
@@ -139,7 +137,7 @@
         self._target = target
         if not self._progress.may_dispatch(target.worker.worker_id, now):
             unused = effects.Report(target, Observed.GATEWAY_FAULT)
-            return [unused, *self._give_up("no further attempt is allowed")]
+            return [unused, *self._end_with_error("no further attempt is allowed")]
         pending = self._prefill.pending
         self._phase = ProxyPhase.AWAITING_HEAD if pending is None else ProxyPhase.TRANSFERRING
         version = pending.weights_version if pending is not None else None
@@ -152,8 +150,6 @@
         )
         return [dispatch]
 
-    # Failures
-
     def _prefill_failed(
         self, observed: Observed, status: int | None, now: float
     ) -> list[ProxyEffect]:
@@ -162,21 +158,21 @@
             effects.ReportRest(Observed.GATEWAY_FAULT),
         ]
         if not self._progress.has_workers_left():
-            # A decode worker can prefill by itself, without a further worker.
-            self._prefill.leave_to_decode()
+            # The decode worker can prefill the prompt itself, which uses no further worker.
+            self._prefill.disable_prefill_stage()
         return [*reports, *self._next_round(now)]
 
     def _execution_in_doubt(
         self, kind: FailureKind, observed: Observed, status: int | None, now: float
     ) -> list[ProxyEffect]:
-        """Take a failure after which the request may have run, or may still run."""
-        self._progress.dispatch_failed(kind)
-        reports = [self._report_failed(observed, status), *self._transferred()]
-        self._prefill.cache_lost(has_workers_left=self._progress.has_workers_left())
-        return [*reports, *self._go_on(now)]
-
-    def _go_on(self, now: float) -> list[ProxyEffect]:
-        """Begin the next round after a failure, or break off an answer that can't be resumed."""
+        """Process a failure after which the request may have executed or may still execute."""
+        self._progress.record_dispatch_failure(kind)
+        reports = [self._report_failed(observed, status), *self._report_transferred()]
+        self._prefill.discard_cache(has_workers_left=self._progress.has_workers_left())
+        return [*reports, *self._retry_or_abort(now)]
+
+    def _retry_or_abort(self, now: float) -> list[ProxyEffect]:
+        """Begin the next round after a failure, or abort a response that can't be resumed."""
         if not self._response.has_started:
             return self._next_round(now)
         if self._response.is_resumable and self._progress.has_workers_left():
@@ -184,9 +180,8 @@
         self._phase = ProxyPhase.DONE
         return [effects.AbortResponse(), effects.AbortConnection(), effects.DropCaller()]
 
-    # Ends
-
-    def _give_up(self, reason: str, retry_after_seconds: float = 0.0) -> list[ProxyEffect]:
+    def _end_with_error(self, reason: str, retry_after_seconds: float = 0.0) -> list[ProxyEffect]:
+        """End the request with an error response, or abort a response that has begun."""
         self._phase = ProxyPhase.DONE
         if self._response.has_started:
             return [effects.AbortResponse(), effects.CountOutcome(BROKEN_OFF_OUTCOME)]
@@ -197,20 +192,18 @@
         answer = effects.SendErrorResponse(_STATUS_BY_OUTCOME[outcome], reason, seconds)
         return [effects.CountOutcome(outcome.value), answer]
 
-    # Reports
-
-    def _current(self) -> ChosenWorker:
+    def _current_target(self) -> ChosenWorker:
         assert self._target is not None
         return self._target
 
     def _report_failed(self, observed: Observed, status: int | None = None) -> ProxyEffect:
-        """Report a failure of the current worker, and prefer others from now on."""
-        chosen = self._current()
+        """Report a failure of the current worker, and prefer other workers from now on."""
+        chosen = self._current_target()
         self._rounds.record_tried(chosen)
         return effects.Report(chosen, observed, status)
 
-    def _transferred(self) -> list[ProxyEffect]:
-        """Report that the KV cache of a prefill was transferred, or may have been."""
+    def _report_transferred(self) -> list[ProxyEffect]:
+        """Report success for a prefill whose KV cache was, or may have been, transferred."""
         pending = self._prefill.pending
         return [] if pending is None else [effects.Report(pending.chosen, Observed.SUCCESS)]
 
--- a/src/orchidpath/forwarding/proxy/proxy_effects.py
+++ b/src/orchidpath/forwarding/proxy/proxy_effects.py
@@ -1,7 +1,7 @@
-"""Effects out of the machine of a forwarded request (:mod:`.proxy_machine`).
+"""Effects that the state machine of a forwarded request returns (:mod:`.proxy_machine`).
 
-Effects are of two kinds: actions, which the shell carries out at once, and operations, which take
-time and end in one event. The machine never has more than one operation under way.
+There are two kinds of effects. The router's shell executes an action at once; an operation takes
+time and ends with one event. The machine never has more than one operation in progress.
 """
 
 import msgspec
@@ -10,11 +10,9 @@
 from orchidpath.forwarding.proxy.proxy_events import ChosenWorker
 from orchidpath.routing.request.events import StageTried
 
-# Operations: each takes time and ends in one event
-
 
 class ChooseWorkers(msgspec.Struct, frozen=True, kw_only=True):
-    """Have a worker chosen for each stage; ``may_wait`` allows the leader to postpone it."""
+    """Request a worker for each stage; ``may_wait`` allows the leader to postpone the decision."""
 
     attempt_id: str
     per_stage: tuple[StageTried, ...]
@@ -23,39 +21,40 @@
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """Let a time pass."""
+    """Wait for ``seconds``, then emit :class:`~.proxy_events.WaitElapsed`."""
 
     seconds: float
 
 
 class KvSource(msgspec.Struct, frozen=True):
-    """The KV cache that a prefill worker keeps under a handle."""
+    """Location of a KV cache: the address of the prefill worker that holds it, and its handle."""
 
     address: str
     handle: str
 
 
 class Dispatch(msgspec.Struct, frozen=True, kw_only=True):
-    """Connect to a worker and send it the request, or its prefill.
+    """Connect to a worker and send it the request, or only its prefill.
 
     Attributes
     ----------
     target
         The worker.
     deadline_seconds
-        How long the worker may work on it.
+        Time that the worker may spend on the request, in seconds.
     priority
-        Rank among a worker's requests; None to leave it out.
+        Priority among the requests of the worker; None to send no priority.
     is_prefill
-        Whether only the prefill is asked for.
+        Whether only the prefill is requested.
     kv_source
-        Where the worker fetches the KV cache of the prompt; None when it prefills itself.
+        Where the worker fetches the KV cache of the prompt; None if the worker prefills itself.
     expected_version
-        Version of the weights that must answer; None for any.
+        Weights version that must serve the request; None for any version.
     last_event_id
-        Event after which a stream is resumed; empty to leave it to what the caller said.
+        Id of the event after which a stream is resumed; empty to use the value that the caller
+        sent.
     timeout_at
-        Monotonic time at which the connection is given up; None for no bound of its own.
+        Monotonic time in seconds at which connecting times out; None for no separate timeout.
     """
 
     target: ChosenWorker
@@ -69,23 +68,23 @@
 
 
 class AwaitPrefill(msgspec.Struct, frozen=True):
-    """Read the answer to a prefill, until a monotonic time at the latest."""
+    """Read the response to a prefill, until the monotonic time ``timeout_at`` in seconds."""
 
     timeout_at: float
 
 
 class AwaitHead(msgspec.Struct, frozen=True):
-    """Read the head of the answer and the first bytes of its body."""
+    """Read the head of the response and the first bytes of its body."""
 
     timeout_seconds: float
 
 
 class DrainRefusal(msgspec.Struct, frozen=True):
-    """Read the rest of a refusal, so that its connection can be used again."""
+    """Read the rest of a refusal, so that its connection can be reused."""
 
 
 class RelayResponse(msgspec.Struct, frozen=True):
-    """Pass the answer on to the caller as it comes."""
+    """Relay the response to the caller as it arrives."""
 
 
 ProxyOperation = (
@@ -93,14 +92,11 @@
 )
 
 OPERATIONS = (ChooseWorkers, Wait, Dispatch, AwaitPrefill, AwaitHead, DrainRefusal, RelayResponse)
-"""The same for ``isinstance``, which takes longer with a union."""
-
-
-# Actions: each is carried out at once
+"""The types of `ProxyOperation` as a tuple, because ``isinstance`` is slower with a union."""
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Report how an attempt ended for one worker, unless that was reported before."""
+    """Report the outcome of an attempt for one worker, unless it was already reported."""
 
     chosen: ChosenWorker
     observed: Observed
@@ -108,42 +104,45 @@
 
 
 class ReportRest(msgspec.Struct, frozen=True):
-    """Report the same end for every worker whose end was not reported yet."""
+    """Report the same outcome for every worker whose outcome was not reported yet."""
 
     observed: Observed
 
 
 class RecordPrefillDone(msgspec.Struct, frozen=True):
-    """Tell the leader that a worker holds the KV cache of the prompt; its attempt goes on."""
+    """Notify the leader that a worker holds the KV cache of the prompt; its attempt continues."""
 
     chosen: ChosenWorker
 
 
 class RecordDelay(msgspec.Struct, frozen=True):
-    """Note how long a worker took to the first bytes of its answer."""
+    """Record the time in seconds from a dispatch to the first bytes of the worker's response."""
 
     worker_id: str
     seconds: float
 
 
 class AbortConnection(msgspec.Struct, frozen=True):
-    """Close the connection that the last request was dispatched on, if there is one."""
+    """Close the connection of the last dispatch, if it is open."""
 
 
 class ReleaseHandle(msgspec.Struct, frozen=True):
-    """Free a KV cache that no worker will fetch."""
+    """Release a KV cache that no worker will fetch."""
 
     source: KvSource
 
 
 class CountOutcome(msgspec.Struct, frozen=True):
-    """Count the request in the metrics."""
+    """Count the request in the metrics under its outcome."""
 
     outcome: str
 
 
 class SendErrorResponse(msgspec.Struct, frozen=True):
-    """Answer the caller in place of a worker; without Retry-After when that is None."""
+    """Send the caller an error response from the router.
+
+    The response has no Retry-After header if ``retry_after_seconds`` is None.
+    """
 
     status: int
     reason: str
@@ -151,11 +150,11 @@
 
 
 class AbortResponse(msgspec.Struct, frozen=True):
-    """Close the caller's connection in the middle of its answer, so that it looks broken."""
+    """Close the caller's connection during the response, so that the caller detects the failure."""
 
 
 class DropCaller(msgspec.Struct, frozen=True):
-    """Take the caller as disconnected: no further request is read from its connection."""
+    """Treat the caller as disconnected: no further request is read from its connection."""
 
 
 ProxyAction = (
--- a/src/orchidpath/forwarding/proxy/proxy_events.py
+++ b/src/orchidpath/forwarding/proxy/proxy_events.py
@@ -1,7 +1,7 @@
-"""What the machine of a forwarded request starts from, and the events that it takes.
+"""Inputs of the state machine of a forwarded request: its initial properties and its events.
 
-All of them are plain values: the machine (:mod:`.proxy_machine`) decides, the router's shell
-sends, reads and waits. Its answers are the effects in :mod:`.proxy_effects`.
+The state machine (:mod:`.proxy_machine`) makes the decisions; the router's shell sends, reads and
+waits. The machine returns the effects of :mod:`.proxy_effects`.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,24 +16,25 @@
 
 
 class ProxyPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What the machine must know of a request before its first round.
+    """Properties of a request that the state machine needs before the first round.
 
     Attributes
     ----------
     request_id
-        Id of the request; ids of attempts begin with it.
+        Id of the request, which is the prefix of its attempt ids.
     route
-        The route whose rules hold for it.
+        Route of the request, which sets the retry rules.
     is_model
-        Whether its service runs a model, in a prefill and a decode stage.
+        Whether the service runs a model in a prefill and a decode stage.
     prompt_tokens
-        Size of its prompt, in tokens.
+        Length of the prompt in tokens.
     wants_prefill_stage
         Whether the prompt is long enough for a prefill worker.
     max_decode_side_prefill_tokens
-        A longer prompt is not prefilled on a decode worker while prefill workers are there.
+        Maximum length in tokens of a prompt that a decode worker prefills while prefill workers are
+        available.
     deadline
-        Monotonic time by which it must be answered, in seconds.
+        Monotonic time by which the caller must have a response, in seconds.
     """
 
     request_id: str
@@ -46,9 +47,10 @@
 
 
 class ProxyShared(msgspec.Struct, frozen=True, kw_only=True):
-    """What the machines of one router share.
+    """Dependencies of the state machine beyond the single request.
 
-    ``has_prefill_workers`` tells whether the request's service has an eligible prefill worker now.
+    ``has_prefill_workers`` returns whether the service of the request currently has an eligible
+    prefill worker.
     """
 
     retry_budget: RetryBudget
@@ -57,7 +59,7 @@
 
 
 class ChosenWorker(msgspec.Struct, frozen=True):
-    """A worker that was chosen for one stage of an attempt; times are in seconds."""
+    """A worker that was selected for one stage of an attempt; times are in seconds."""
 
     attempt_id: str
     stage: Stage
@@ -72,31 +74,31 @@
         return self.worker.url.removeprefix("http://")
 
 
-# Events
-
-
 class RequestStarted(msgspec.Struct, frozen=True):
-    """The request was read whole, and may be served."""
+    """The request was read completely and may be served."""
 
 
 class WorkersChosen(msgspec.Struct, frozen=True):
-    """A worker was chosen for each stage; none for a prefill that is left to the decode worker."""
+    """A worker was selected for each stage.
+
+    The prefill stage is missing if the decode worker is to prefill the prompt.
+    """
 
     workers: Mapping[Stage, ChosenWorker]
 
 
 class ChosenWorkerRemoved(msgspec.Struct, frozen=True):
-    """One of the chosen workers is not known here any more; the others were given back."""
+    """A selected worker is no longer registered at this router; the others were released."""
 
 
 class DecisionPostponed(msgspec.Struct, frozen=True):
-    """The decision is to be asked for again after a time."""
+    """The leader postponed the decision; request it again after ``retry_after_seconds``."""
 
     retry_after_seconds: float
 
 
 class DecisionRejected(msgspec.Struct, frozen=True):
-    """No worker may be tried now; ``retry_after_seconds`` is 0 when nothing is known of when."""
+    """No worker may be tried now; ``retry_after_seconds`` is 0 if the waiting time is unknown."""
 
     reason: str
     retry_after_seconds: float = 0.0
@@ -107,7 +109,7 @@
 
 
 class ConnectFailed(msgspec.Struct, frozen=True):
-    """No connection to the worker could be had, so no byte was sent."""
+    """No connection to the worker could be established, so no byte was sent."""
 
 
 class SendRefused(msgspec.Struct, frozen=True):
@@ -117,7 +119,7 @@
 
 
 class Dispatched(msgspec.Struct, frozen=True):
-    """The request has left this router."""
+    """The request, or its prefill, was sent to the worker."""
 
 
 class PrefillSucceeded(msgspec.Struct, frozen=True):
@@ -128,16 +130,16 @@
 
 
 class PrefillRejected(msgspec.Struct, frozen=True):
-    """The worker answered a prefill without a handle."""
+    """The worker responded to a prefill without a handle."""
 
     status: int
     guarantees_not_executed: bool
 
 
 class HeadReceived(msgspec.Struct, frozen=True, kw_only=True):
-    """The head of the worker's answer, and the first bytes of its body, are there.
+    """The head of the worker's response and the first bytes of its body were received.
 
-    ``is_full`` says that the worker has no room for a further request, as far as it tells.
+    ``is_full`` is true if the worker reported that it has no capacity for a further request.
     """
 
     status: int
@@ -149,34 +151,34 @@
 
 
 class RefusalDrained(msgspec.Struct, frozen=True):
-    """The rest of an answer that guarantees not-executed was read."""
+    """The rest of a response that guarantees not-executed was read."""
 
 
 class ExchangeBroken(msgspec.Struct, frozen=True):
-    """The connection failed, or what came is not an answer that HTTP allows."""
+    """The connection failed, or the response violates HTTP."""
 
 
 class ExchangeTimedOut(msgspec.Struct, frozen=True):
-    """The worker did not answer in the time that it was given."""
+    """The worker did not respond before its timeout."""
 
 
 class ResponseCompleted(msgspec.Struct, frozen=True):
-    """The whole answer was passed on to the caller."""
+    """The complete response was relayed to the caller."""
 
 
 class StreamBroken(msgspec.Struct, frozen=True):
-    """The worker broke off after the head of its answer was passed on."""
+    """The worker's response was interrupted after its head had been relayed."""
 
     is_resumable: bool
     last_event_id: str
 
 
 class DeadlinePassed(msgspec.Struct, frozen=True):
-    """The request's deadline has passed; what was under way was stopped."""
+    """The request's deadline has passed; the operation in progress was cancelled."""
 
 
 class RequestClosed(msgspec.Struct, frozen=True):
-    """Nothing more is done for the request: it was answered, given up, or its caller left."""
+    """The request is over: it was answered or abandoned, or its caller disconnected."""
 
 
 ProxyEvent = (
--- a/src/orchidpath/forwarding/resumable_stream.py
+++ b/src/orchidpath/forwarding/resumable_stream.py
@@ -1,25 +1,26 @@
-"""A stream of events that another worker can resume after its last complete event; pure.
+"""Event stream that another worker can resume after the last complete event.
 
-Only complete events are relayed, so that a worker that breaks off inside one leaves nothing that
-would have to be retracted. Every event of such a stream has an id, and ids increase: a worker that
-restarts the stream instead of resuming it is detected by an id that does not.
+Only complete events are relayed, so nothing has to be retracted when a worker fails in the middle
+of an event. Every event of such a stream has an id, and the ids increase. A worker that restarts
+the stream instead of resuming it is detected because its ids do not increase. The module does no
+input or output.
 """
 
 from orchidpath.common.errors import OrchidpathError
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""A larger event is relayed in pieces, and its stream can't be resumed any more."""
+"""An event larger than this is relayed in pieces, and its stream can't be resumed afterwards."""
 
 _ENDS_OF_EVENT = (b"\n\n", b"\r\n\r\n")
 _ID_FIELD = b"id:"
 
 
 class StitchedStreamError(OrchidpathError):
-    """A worker that was to resume after an event did not: its events are never relayed."""
+    """A worker did not resume a stream after the last event; its events must not be relayed."""
 
 
 class ResumableStream:
-    """The events of one response, from all the workers that contributed to it."""
+    """Event stream of one response, from all workers that contributed to it."""
 
     def __init__(self) -> None:
         self._pending = b""
@@ -29,21 +30,21 @@
 
     @property
     def last_event_id(self) -> str:
-        """Id of the last event that was relayed; empty before the first."""
+        """Id of the last relayed event; empty before the first event."""
         return "" if self._last_id is None else str(self._last_id)
 
     @property
     def can_be_resumed(self) -> bool:
-        """Whether another worker can resume where this response broke off."""
+        """Whether another worker can resume this response after the last relayed event."""
         return self._is_complete and (not self._has_passed or self._last_id is not None)
 
     def take(self, data: bytes) -> bytes:
-        """Receive bytes of a response and return those that can be relayed now.
+        """Add received bytes of a response, and return the bytes that can be relayed now.
 
         Raises
         ------
         StitchedStreamError
-            An event does not follow the last one.
+            The id of an event is not greater than that of the event before it.
         """
         self._pending += data
         end = max(self._end_after(mark) for mark in _ENDS_OF_EVENT)
@@ -55,12 +56,12 @@
         return complete
 
     def end(self) -> bytes:
-        """Return what remains at the clean end of a response."""
+        """Return the bytes not relayed yet, at the regular end of a response."""
         rest, self._pending = self._pending, b""
         return rest
 
     def broke_off(self) -> None:
-        """Discard an event that a worker did not finish."""
+        """Discard the bytes of an incomplete event after a worker's response was interrupted."""
         self._pending = b""
 
     def _end_after(self, mark: bytes) -> int:
@@ -68,7 +69,10 @@
         return position + len(mark) if position >= 0 else 0
 
     def _record_ids(self, events: bytes) -> None:
-        """Record the ids of complete events."""
+        """Check and record the ids of complete events.
+
+        An event without a numeric id makes the stream impossible to resume.
+        """
         last_id = self._last_id
         for line in events.splitlines():
             if not line.startswith(_ID_FIELD):
@@ -78,7 +82,9 @@
                 self._is_complete = False
                 continue
             if last_id is not None and int(value) <= last_id:
-                raise StitchedStreamError(f"event {int(value)} follows event {last_id}")
+                raise StitchedStreamError(
+                    f"event id {int(value)} follows event id {last_id}, expected a greater id"
+                )
             last_id = int(value)
         self._last_id = last_id
         self._has_passed = self._has_passed or bool(events)
--- a/src/orchidpath/forwarding/split.py
+++ b/src/orchidpath/forwarding/split.py
@@ -1,7 +1,7 @@
-"""Divides the requests of a route among its services, by weight; pure.
+"""Weighted split of the requests of a route among its services; does no input or output.
 
-Each router steps through the weights in a fixed order with a random beginning, so that the shares
-of few requests are already close to the weights, over all routers together too.
+Each router steps through the weights in a fixed sequence with a random start. The shares are
+therefore close to the weights even after few requests, both at one router and over all routers.
 """
 
 import random as random_module
@@ -9,19 +9,19 @@
 from orchidpath.wire.configuration import ForwardRoute
 
 STEP = 0.6180339887498949
-"""Distance between two positions: the golden ratio, which spreads any number of them evenly."""
+"""Step between two positions: the golden ratio, which spreads any number of positions evenly."""
 
 MAX_ROUTES = 4_096
-"""Positions that are kept; beyond that all are drawn anew."""
+"""Maximum number of stored positions; when it is reached, all are discarded and sampled anew."""
 
 
 class WeightedSplit:
-    """Which service gets the next request of each route.
+    """Selects the service for the next request of each route.
 
     Parameters
     ----------
     random
-        Source of the first positions.
+        Random generator from which the initial positions are sampled.
     """
 
     def __init__(self, random: random_module.Random) -> None:
@@ -38,12 +38,12 @@
         """
         if len(route.services) == 1:
             return route.services[0].service
-        point = self._next_position(route.name) * sum(one.weight for one in route.services)
+        point = self._next_position(route.name) * sum(target.weight for target in route.services)
         for target in route.services:
             point -= target.weight
             if point < 0:
                 return target.service
-        return next(one.service for one in reversed(route.services) if one.weight)
+        return next(target.service for target in reversed(route.services) if target.weight)
 
     def _next_position(self, route_name: str) -> float:
         position = self._positions.get(route_name)
--- a/tests/forwarding/test_forward_progress.py
+++ b/tests/forwarding/test_forward_progress.py
@@ -51,8 +51,8 @@
 @pytest.mark.parametrize("kind", [FailureKind.BROKEN, FailureKind.TIMED_OUT])
 def test_a_request_that_may_have_executed_is_never_retried(kind: FailureKind) -> None:
     request = progress()
-    request.dispatched("a")
-    request.dispatch_failed(kind)
+    request.record_dispatch("a")
+    request.record_dispatch_failure(kind)
     assert not request.may_dispatch("b", NOW)
     assert request.failure_outcome() is not FailureOutcome.NOT_EXECUTED
 
@@ -60,53 +60,53 @@
 @pytest.mark.parametrize("repetition", [Repetition.WHOLE, Repetition.RESUMED])
 def test_an_idempotent_request_is_retried_on_one_other_worker(repetition: Repetition) -> None:
     request = progress(repetition)
-    request.dispatched("a")
-    request.dispatch_failed(FailureKind.BROKEN)
+    request.record_dispatch("a")
+    request.record_dispatch_failure(FailureKind.BROKEN)
     assert request.may_dispatch("b", NOW)
-    request.dispatched("b")
-    request.dispatch_failed(FailureKind.BROKEN)
+    request.record_dispatch("b")
+    request.record_dispatch_failure(FailureKind.BROKEN)
     assert not request.may_dispatch("c", NOW)
     assert request.failure_outcome() is FailureOutcome.BROKEN
 
 
 def test_a_not_executed_guarantee_permits_a_retry() -> None:
     request = progress()
-    request.dispatched("a")
-    request.dispatch_failed(FailureKind.REFUSED)
+    request.record_dispatch("a")
+    request.record_dispatch_failure(FailureKind.REFUSED)
     assert request.failure_outcome() is FailureOutcome.NOT_EXECUTED
     assert request.may_dispatch("b", NOW)
 
 
 def test_a_not_executed_guarantee_does_not_cover_an_earlier_attempt() -> None:
     request = progress(Repetition.WHOLE, max_attempts=3)
-    request.dispatched("a")
-    request.dispatch_failed(FailureKind.BROKEN)
-    request.dispatched("b")
-    request.dispatch_failed(FailureKind.REFUSED)
+    request.record_dispatch("a")
+    request.record_dispatch_failure(FailureKind.BROKEN)
+    request.record_dispatch("b")
+    request.record_dispatch_failure(FailureKind.REFUSED)
     assert request.failure_outcome() is FailureOutcome.BROKEN
 
 
 def test_with_one_attempt_only_the_same_worker_may_be_retried() -> None:
     request = progress(max_attempts=1)
-    request.dispatched("a")
-    request.dispatch_failed(FailureKind.REFUSED)
+    request.record_dispatch("a")
+    request.record_dispatch_failure(FailureKind.REFUSED)
     assert request.may_dispatch("a", NOW)
     assert not request.may_dispatch("b", NOW)
 
 
 def test_a_retry_is_charged_to_the_budget() -> None:
     request = progress(budget_per_second=0.0)
-    request.dispatched("a")
-    request.dispatch_failed(FailureKind.REFUSED)
+    request.record_dispatch("a")
+    request.record_dispatch_failure(FailureKind.REFUSED)
     assert not request.may_dispatch("b", NOW)
 
 
 def test_a_second_prefill_counts_as_an_attempt() -> None:
     request = progress(max_attempts=2)
     assert request.may_prefill(NOW)
-    request.prefill_dispatched()
+    request.record_prefill_dispatch()
     assert request.may_prefill(NOW)
-    request.prefill_dispatched()
+    request.record_prefill_dispatch()
     # One attempt remains for the decode, and only on one worker.
     assert not request.may_prefill(NOW)
     assert request.may_dispatch("a", NOW)
@@ -114,8 +114,8 @@
 
 def test_a_failed_prefill_is_charged_even_as_the_first_dispatch() -> None:
     request = progress(max_attempts=3, budget_per_second=0.1)
-    request.prefill_dispatched()
-    request.prefill_failed(NOW)
+    request.record_prefill_dispatch()
+    request.record_prefill_failure(NOW)
     assert not request.may_prefill(NOW)
 
 
@@ -130,7 +130,7 @@
     expected = 0.8 * FIRST_RESPONSE_LATENCY_FACTOR
     assert idempotent.first_response_timeout_seconds(NOW) == pytest.approx(expected)
     single_attempt = progress(Repetition.RESUMED, max_attempts=1)
-    single_attempt.dispatched("a")
+    single_attempt.record_dispatch("a")
     assert single_attempt.first_response_timeout_seconds(NOW) == pytest.approx(8.0)
 
 
