--- a/src/orchidpath/consensus/errors.py
+++ b/src/orchidpath/consensus/errors.py
@@ -30,7 +30,7 @@
 
 
 class LearnerNotCaughtUpError(MembershipChangeError):
-    """A replica must hold nearly the whole log before it may vote. Try again later."""
+    """A learner lacks too many log entries to become a voter. Try again later."""
 
 
 class InvalidMembershipError(MembershipChangeError):
--- a/tests/consensus/consensus_builders.py
+++ b/tests/consensus/consensus_builders.py
@@ -1,4 +1,4 @@
-"""A scripted replica group for tests of single rules, with a guard enabled or disabled."""
+"""A scripted Raft group for tests of single rules, in which one guard can be disabled."""
 
 import random
 from collections.abc import Callable
@@ -37,10 +37,15 @@
 
 
 class Group:
-    """Replicas whose messages are delivered by the test."""
+    """Replicas of a Raft group whose messages are delivered only when the test says so.
 
-    def __init__(self, voters: str = "abc", joining: str = "", off: Guard | None = None) -> None:
-        self.guards = frozenset({off}) if off else frozenset()
+    The `joining` replicas start without a membership, and `disabled` is a guard to disable.
+    """
+
+    def __init__(
+        self, voters: str = "abc", joining: str = "", disabled: Guard | None = None
+    ) -> None:
+        self.guards = frozenset({disabled}) if disabled else frozenset()
         self.outbox: list[tuple[str, str, RaftMessage]] = []
         self.applied: dict[str, list[LogEntry]] = {}
         self.logs: dict[str, ReplicaLog] = {}
@@ -81,7 +86,10 @@
         self.run(name, self.cores[name].tick(now))
 
     def deliver(self, now: float, allow: Filter = lambda *_: True, rounds: int = 50) -> int:
-        """Deliver until no message is left; return the count of rounds."""
+        """Deliver messages until none is left or `rounds` is reached; return the number of rounds.
+
+        Messages for which `allow` returns False are lost.
+        """
         for done in range(rounds):
             if not self.outbox:
                 return done
@@ -95,7 +103,7 @@
         return self.cores[name].role
 
     def elect(self, name: str, now: float) -> RaftCore:
-        """Elect a replica; the caller first lets the others time out."""
+        """Elect a replica; `now` must be past the time for which the others refuse votes."""
         self.cores[name]._replica.election_deadline = now
         self.tick(name, now)
         self.deliver(now)
--- a/tests/consensus/test_consensus_bootstrap.py
+++ b/tests/consensus/test_consensus_bootstrap.py
@@ -1,4 +1,4 @@
-"""The first entry of a new group."""
+"""Bootstrap of a new Raft group: the first log entry."""
 
 import random
 
--- a/tests/consensus/test_consensus_cluster.py
+++ b/tests/consensus/test_consensus_cluster.py
@@ -1,4 +1,4 @@
-"""Many seeds of faults, and tests that the checks detect a disabled guard."""
+"""Simulations of a Raft group with faults, and tests that the checks detect a disabled guard."""
 
 import pytest
 
@@ -20,9 +20,9 @@
     assert run_seed(7) == run_seed(7)
 
 
-# No seed tried so far provokes COMMIT_ONLY_CURRENT_TERM, START_ID_MATCH or LAST_LEADER_ANSWERS:
-# scripted tests in test_consensus_*.py cover them, and also PRE_VOTE and CHECK_QUORUM, which
-# protect availability and no invariant.
+# No known seed violates an invariant when COMMIT_ONLY_CURRENT_TERM, START_ID_MATCH or
+# LAST_LEADER_ANSWERS is disabled, so scripted tests in test_consensus_*.py cover these guards. They
+# also cover PRE_VOTE and CHECK_QUORUM, which protect availability and not an invariant.
 @pytest.mark.parametrize(
     ("guard", "seeds"),
     [
@@ -36,7 +36,7 @@
     ],
 )
 def test_the_checks_detect_a_disabled_guard(guard: Guard, seeds: range) -> None:
-    off = frozenset({guard})
-    provoking = next((seed for seed in seeds if run_seed(seed, off).violation), None)
+    disabled = frozenset({guard})
+    provoking = next((seed for seed in seeds if run_seed(seed, disabled).violation), None)
     assert provoking is not None
     assert run_seed(provoking).violation is None
--- a/tests/consensus/test_consensus_election.py
+++ b/tests/consensus/test_consensus_election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, votes and the promise not to vote."""
+"""Elections: pre-votes, votes, and the refusal of votes while a leader may hold a lease."""
 
 import pytest
 from consensus_builders import Group
@@ -19,6 +19,7 @@
 
 
 def test_a_vote_is_durable_before_it_is_answered() -> None:
+    # The effects run in order, so the vote must be persisted before the reply is sent.
     group = Group()
     effects = group.cores["b"].receive(RequestVote("a", 5, False, 9, 4), 2.0)
     kinds = [type(effect) for effect in effects if not isinstance(effect, LeadershipChanged)]
@@ -28,9 +29,9 @@
     ]
 
 
-@pytest.mark.parametrize(("off", "rises"), [(None, False), (Guard.PRE_VOTE, True)])
-def test_an_isolated_follower_keeps_its_term(off: Guard | None, rises: bool) -> None:
-    group = Group(off=off)
+@pytest.mark.parametrize(("disabled", "rises"), [(None, False), (Guard.PRE_VOTE, True)])
+def test_an_isolated_follower_keeps_its_term(disabled: Guard | None, rises: bool) -> None:
+    group = Group(disabled=disabled)
     group.elect("a", 2.0)
     term = group.cores["c"].term
     for step in range(30):
@@ -38,12 +39,12 @@
     assert (group.cores["c"].term > term) is rises
 
 
-@pytest.mark.parametrize(("off", "granted"), [(None, False), (Guard.LEASE_VOTE_REFUSAL, True)])
+@pytest.mark.parametrize(("disabled", "granted"), [(None, False), (Guard.LEASE_VOTE_REFUSAL, True)])
 @pytest.mark.parametrize("pre_vote", [True, False])
-def test_a_follower_that_hears_a_leader_gives_no_vote(
-    off: Guard | None, granted: bool, pre_vote: bool
+def test_a_follower_in_contact_with_a_leader_grants_no_vote(
+    disabled: Guard | None, granted: bool, pre_vote: bool
 ) -> None:
-    group = Group(off=off)
+    group = Group(disabled=disabled)
     group.elect("a", 2.0)
     term = group.cores["b"].term
     request = RequestVote("c", term + 1, pre_vote, 2, term)
@@ -56,9 +57,9 @@
         assert group.cores["b"].term == term
 
 
-@pytest.mark.parametrize("off", [None, Guard.LEASE_VOTE_REFUSAL])
-def test_a_leader_with_a_majority_is_not_deposed_by_a_request(off: Guard | None) -> None:
-    group = Group(off=off)
+@pytest.mark.parametrize("disabled", [None, Guard.LEASE_VOTE_REFUSAL])
+def test_a_leader_with_a_majority_is_not_deposed_by_a_request(disabled: Guard | None) -> None:
+    group = Group(disabled=disabled)
     leader = group.elect("a", 2.0)
     leader.receive(RequestVote("c", leader.term + 1, False, 9, leader.term), 2.1)
-    assert (leader.role is Role.LEADER) is (off is None)
+    assert (leader.role is Role.LEADER) is (disabled is None)
--- a/tests/consensus/test_consensus_follower.py
+++ b/tests/consensus/test_consensus_follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication."""
+"""The follower's side of replication: second leaders and conflicting entries."""
 
 import pytest
 from consensus_builders import Group
--- a/tests/consensus/test_consensus_leadership.py
+++ b/tests/consensus/test_consensus_leadership.py
@@ -1,4 +1,4 @@
-"""Lease, linearizable reads, and when a leader steps down."""
+"""Leader lease, linearizable reads, and the conditions under which a leader steps down."""
 
 import pytest
 from consensus_builders import Group
@@ -17,32 +17,32 @@
 
 
 @pytest.mark.parametrize(
-    ("off", "role"), [(None, Role.FOLLOWER), (Guard.CHECK_QUORUM, Role.LEADER)]
+    ("disabled", "role"), [(None, Role.FOLLOWER), (Guard.CHECK_QUORUM, Role.LEADER)]
 )
-def test_a_leader_without_a_majority_steps_down(off: Guard | None, role: Role) -> None:
-    group = Group(off=off)
+def test_a_leader_without_a_majority_steps_down(disabled: Guard | None, role: Role) -> None:
+    group = Group(disabled=disabled)
     leader = group.elect("a", 2.0)
     for step in range(15):
         group.tick("a", 2.0 + step * 0.1)
     assert leader.role is role
 
 
-@pytest.mark.parametrize("off", [None, Guard.WAKE_STEP_DOWN])
-def test_a_leader_resumed_after_a_pause_accepts_no_proposal(off: Guard | None) -> None:
-    group = Group(off=off)
+@pytest.mark.parametrize("disabled", [None, Guard.WAKE_STEP_DOWN])
+def test_a_leader_resumed_after_a_pause_accepts_no_proposal(disabled: Guard | None) -> None:
+    group = Group(disabled=disabled)
     leader = group.elect("a", 2.0)
     assert leader.has_lease(2.2)
     assert not leader.has_lease(2.6)
-    if off is not None:
+    if disabled is not None:
         assert leader.propose([b"x"], 2.6)[0] == [3]
         return
     with pytest.raises(NotLeaderError):
         leader.propose([b"x"], 2.6)
 
 
-@pytest.mark.parametrize("off", [None, Guard.LEASE_FROM_SEND_TIME])
-def test_a_late_acknowledgement_renews_no_lease(off: Guard | None) -> None:
-    group = Group(off=off)
+@pytest.mark.parametrize("disabled", [None, Guard.LEASE_FROM_SEND_TIME])
+def test_a_late_acknowledgement_renews_no_lease(disabled: Guard | None) -> None:
+    group = Group(disabled=disabled)
     leader = group.elect("a", 2.0)
     group.tick("a", 2.1)
     group.deliver(2.1, lambda _, receiver, __: receiver != "a")
@@ -50,7 +50,7 @@
         group.tick("a", 2.1 + step * 0.1)
     late = AppendEntriesReply("b", leader.term, True, sent_at=2.1, prev_index=2, match_index=2)
     leader.receive(late, 2.62)
-    assert leader.has_lease(2.62) is (off is not None)
+    assert leader.has_lease(2.62) is (disabled is not None)
 
 
 def test_a_read_without_a_lease_waits_for_a_majority() -> None:
--- a/tests/consensus/test_consensus_log.py
+++ b/tests/consensus/test_consensus_log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory."""
+"""The in-memory replicated log: gaps and the installation of snapshots."""
 
 import pytest
 
--- a/tests/consensus/test_consensus_membership.py
+++ b/tests/consensus/test_consensus_membership.py
@@ -1,4 +1,4 @@
-"""Membership changes."""
+"""Membership changes: which are rejected, and how a removed leader steps down."""
 
 import pytest
 from consensus_builders import Group, membership
@@ -16,11 +16,11 @@
 )
 
 
-@pytest.mark.parametrize("off", [None, Guard.SINGLE_MEMBERSHIP_CHANGE])
-def test_two_voters_do_not_change_at_once(off: Guard | None) -> None:
-    group = Group("abcde", off=off)
+@pytest.mark.parametrize("disabled", [None, Guard.SINGLE_MEMBERSHIP_CHANGE])
+def test_two_voters_do_not_change_at_once(disabled: Guard | None) -> None:
+    group = Group("abcde", disabled=disabled)
     leader = group.elect("a", 2.0)
-    if off is not None:
+    if disabled is not None:
         group.change("a", membership("abc"), 2.1)
         return
     with pytest.raises(InvalidMembershipError):
@@ -38,7 +38,7 @@
         leader.propose_membership(membership("ab"), 2.0)
 
 
-def test_a_leader_that_is_removed_leads_until_that_is_committed() -> None:
+def test_a_leader_that_is_removed_leads_until_its_removal_is_committed() -> None:
     group = Group()
     group.elect("a", 2.0)
     group.change("a", membership("bc"), 2.1)
@@ -49,7 +49,7 @@
     group.elect("b", 4.0)
 
 
-def test_a_group_that_grew_to_two_can_elect_before_the_second_knows() -> None:
+def test_a_group_that_grew_to_two_can_elect_before_the_second_has_the_change() -> None:
     group = Group("a", joining="b")
     group.elect("a", 2.0)
     group.change("a", membership("a", "b"), 2.1)
--- a/tests/consensus/test_consensus_raft_core.py
+++ b/tests/consensus/test_consensus_raft_core.py
@@ -1,4 +1,4 @@
-"""A replica group without faults."""
+"""Proposals, commits and applied entries in a Raft group without faults."""
 
 import pytest
 from consensus_builders import Group
@@ -32,5 +32,5 @@
     group.elect("a", 2.0)
     _, effects = group.cores["a"].propose([b"x"], 2.0)
     assert [type(effect) for effect in effects] == [PersistEntries, Apply]
-    # Even after a long pause: no other replica can have been elected.
+    # The lease holds even after a long pause, because no other replica can have been elected.
     assert group.cores["a"].has_lease(60.0)
--- a/tests/consensus/test_consensus_raft_messages.py
+++ b/tests/consensus/test_consensus_raft_messages.py
@@ -1,4 +1,4 @@
-"""Messages between replicas."""
+"""Encoding of the messages between replicas."""
 
 import msgspec
 
--- a/tests/consensus/test_consensus_replication.py
+++ b/tests/consensus/test_consensus_replication.py
@@ -21,10 +21,10 @@
 )
 
 
-@pytest.mark.parametrize("off", [None, Guard.COMMIT_ONLY_CURRENT_TERM])
-def test_an_entry_of_an_earlier_term_does_not_commit_by_counting(off: Guard | None) -> None:
-    """Figure 8 of the Raft paper: such an entry can still be overwritten."""
-    group = Group(off=off)
+@pytest.mark.parametrize("disabled", [None, Guard.COMMIT_ONLY_CURRENT_TERM])
+def test_an_entry_of_an_earlier_term_does_not_commit_by_counting(disabled: Guard | None) -> None:
+    """A later leader can still overwrite such an entry (figure 8 of the Raft paper)."""
+    group = Group(disabled=disabled)
     group.hard_states["a"] = HardState(term=3)
     group.logs["a"].append([LogEntry(2, 2, EntryKind.COMMAND, b"old")])
     leader = group.start("a", 0.0)
@@ -35,8 +35,8 @@
     assert leader.role is Role.LEADER
     ack = AppendEntriesReply("b", 4, True, sent_at=2.0, prev_index=1, match_index=2)
     leader.receive(ack, 2.0)
-    assert leader.commit_index == (0 if off is None else 2)
-    assert not leader.has_lease(2.0) or off is not None
+    assert leader.commit_index == (0 if disabled is None else 2)
+    assert not leader.has_lease(2.0) or disabled is not None
     leader.receive(msgspec.structs.replace(ack, match_index=3), 2.0)
     assert leader.commit_index == 3
     assert leader.has_lease(2.0)
@@ -66,7 +66,7 @@
     assert leader.commit_index == 8
 
 
-def test_a_learner_counts_for_no_majority() -> None:
+def test_a_learner_does_not_count_towards_a_majority() -> None:
     group = Group("abc", joining="d")
     leader = group.elect("a", 2.0)
     group.change("a", membership("abc", "d"), 2.1)
--- a/tests/consensus/test_consensus_restart_votes.py
+++ b/tests/consensus/test_consensus_restart_votes.py
@@ -15,10 +15,13 @@
 )
 
 
-@pytest.mark.parametrize("off", [None, Guard.RESTART_VOTE_DELAY])
-def test_a_lease_outlives_the_restart_of_a_follower(off: Guard | None) -> None:
-    """The leader's lease depends on b; b restarts and c requests its vote."""
-    group = Group(off=off)
+@pytest.mark.parametrize("disabled", [None, Guard.RESTART_VOTE_DELAY])
+def test_a_lease_outlives_the_restart_of_a_follower(disabled: Guard | None) -> None:
+    """The leader's lease depends on b, which restarts just before c requests its vote.
+
+    If b granted the vote, a second leader could be elected while the lease is valid.
+    """
+    group = Group(disabled=disabled)
     leader = group.elect("a", 2.0)
     group.propose("a", 1, 3.0 - 0.9)
     group.deliver(2.1)
@@ -29,13 +32,13 @@
     group.run("b", group.cores["b"].receive(request, 2.3))
     voted = group.hard_states["b"].voted_for == "c"
     assert leader.has_lease(2.3)
-    assert voted is (off is not None)
+    assert voted is (disabled is not None)
     group.run("b", group.cores["b"].receive(request, 2.9))
     assert group.hard_states["b"].voted_for == "c"
 
 
 def restart_all(group: Group, now: float) -> None:
-    """Lose every process at once, and all messages in transit."""
+    """Restart all replicas at the same time, and drop all messages in flight."""
     group.outbox.clear()
     for name in tuple(group.cores):
         group.start(name, now)
@@ -80,17 +83,21 @@
     assert Role.LEADER not in {group.role("b"), group.role("c")}
 
 
-@pytest.mark.parametrize("off", [None, Guard.START_ID_MATCH])
-def test_replies_to_an_earlier_run_of_a_replica_do_not_count(off: Guard | None) -> None:
-    """a replies to c that it does not lead, is elected, and c restarts before that reply."""
-    group = Group(off=off)
+@pytest.mark.parametrize("disabled", [None, Guard.START_ID_MATCH])
+def test_replies_to_an_earlier_run_of_a_replica_do_not_count(disabled: Guard | None) -> None:
+    """A reply that voter a is not the leader must not count after a was elected.
+
+    Replica a replies to c that it does not lead, and is elected. Then c restarts, and the late
+    reply arrives.
+    """
+    group = Group(disabled=disabled)
     group.elect("a", 2.0)
     group.deliver(2.1)
     restart_all(group, 5.0)
     group.tick("c", 5.2)
     group.deliver(5.2, lambda _, receiver, __: receiver == "a", rounds=1)
-    [(_, _, late_word)] = group.outbox
-    assert isinstance(late_word, RequestVoteReply)
+    [(_, _, late_reply)] = group.outbox
+    assert isinstance(late_reply, RequestVoteReply)
     group.outbox.clear()
     leader = group.elect("a", 5.7)
     group.tick("a", 5.8)
@@ -99,15 +106,18 @@
     group.start("c", 5.85)
     group.outbox.clear()
     group.tick("c", 6.02)
-    late = msgspec.structs.replace(late_word, term=group.cores["c"].term)
+    late = msgspec.structs.replace(late_reply, term=group.cores["c"].term)
     group.run("c", group.cores["c"].receive(late, 6.03))
     group.deliver(6.04, lambda sender, receiver, _: "a" not in (sender, receiver))
     assert leader.has_lease(6.05)
-    assert (group.role("c") is Role.LEADER) is (off is not None)
+    assert (group.role("c") is Role.LEADER) is (disabled is not None)
 
 
 def test_a_reply_from_before_an_election_breaks_no_lease() -> None:
-    """c has replies of all, a is elected meanwhile: a replica with a's entry rejects c."""
+    """Replica c has the replies of all voters, but a is elected before c requests votes.
+
+    A voter that has the entry of a's term must refuse its vote to c.
+    """
     group = Group()
     group.elect("a", 2.0)
     group.deliver(2.1)
@@ -127,10 +137,10 @@
     assert group.hard_states["b"].voted_for != "c"
 
 
-@pytest.mark.parametrize("off", [None, Guard.LAST_LEADER_ANSWERS])
-def test_a_leader_that_removed_itself_retains_its_lease(off: Guard | None) -> None:
-    """a's successors restart before a knows that its removal is committed."""
-    group = Group(off=off)
+@pytest.mark.parametrize("disabled", [None, Guard.LAST_LEADER_ANSWERS])
+def test_a_leader_that_removed_itself_retains_its_lease(disabled: Guard | None) -> None:
+    """The remaining voters restart before leader a can commit its removal."""
+    group = Group(disabled=disabled)
     leader = group.elect("a", 2.0)
     group.tick("a", 2.1)
     group.deliver(2.1)
@@ -145,4 +155,4 @@
     group.tick("c", 2.46)
     group.deliver(2.46, lambda sender, receiver, _: "a" not in (sender, receiver))
     assert leader.has_lease(2.46)
-    assert (group.role("c") is Role.LEADER) is (off is not None)
+    assert (group.role("c") is Role.LEADER) is (disabled is not None)
--- a/tests/consensus/test_consensus_storage.py
+++ b/tests/consensus/test_consensus_storage.py
@@ -1,4 +1,4 @@
-"""Storage on simulated disks with faults, and on the disk of the machine."""
+"""Storage on simulated disks with faults, and on the real file system."""
 
 import random
 from pathlib import Path
@@ -44,7 +44,7 @@
 
 
 def write_history(storage: FileLogStorage, count: int) -> RestoredState:
-    """Write entries, votes, truncations and snapshots; return what must be read back."""
+    """Write entries, votes, truncations and snapshots; return the state that must be read back."""
     entries: list[LogEntry] = []
     snapshot = None
     hard_state = HardState()
@@ -83,7 +83,7 @@
     assert second.identity == storage.identity
 
 
-def test_a_folder_has_one_user(tmp_path: Path) -> None:
+def test_a_data_folder_is_locked_against_a_second_storage(tmp_path: Path) -> None:
     storage = opened(RealFiles(), str(tmp_path))
     with pytest.raises(FolderInUseError):
         opened(RealFiles(), str(tmp_path))
@@ -100,7 +100,7 @@
     file.write(torn[: min(cut, len(torn) - 1)])
     file.sync()
     assert reloaded(files).entries == [entry(1), entry(2)]
-    # The truncated log can be continued.
+    # Entries can be appended to the truncated log.
     again = FileLogStorage(FOLDER, files)
     files.crash(random.Random(0))
     again.load()
@@ -119,7 +119,7 @@
         reloaded(files)
 
 
-def test_damage_to_the_last_synced_record_is_no_torn_tail() -> None:
+def test_damage_to_the_last_synced_record_is_not_taken_for_a_torn_tail() -> None:
     files = SimulatedFiles()
     storage = opened(files)
     size = len(files.read(LOG))
@@ -165,7 +165,7 @@
         storage.persist_hard_state(HardState(3, "b"))
 
 
-def test_a_vanished_folder_fails_the_next_sync_and_makes_a_new_identity() -> None:
+def test_a_removed_folder_fails_the_next_sync_and_leads_to_a_new_identity() -> None:
     files = SimulatedFiles()
     storage = opened(files)
     storage.persist_entries(None, [entry(1)])
--- a/tests/consensus/test_consensus_storage_fuzz.py
+++ b/tests/consensus/test_consensus_storage_fuzz.py
@@ -1,4 +1,4 @@
-"""Log files of any content: read back as they were written, or rejected."""
+"""Property tests of log files: any content is read back as it was written, or is rejected."""
 
 import random
 from itertools import pairwise
@@ -33,7 +33,7 @@
 
 
 def write_log(*, snapshot_at: int | None) -> tuple[dict[str, bytes], list[RestoredState]]:
-    """Return the files of a small history, and the state after each of its writes."""
+    """Write a short history; return its files, and the state after each write."""
     files = SimulatedFiles()
     storage = FileLogStorage(FOLDER, files, new_identity)
     storage.load()
@@ -65,7 +65,7 @@
 
 
 def load(contents: dict[str, bytes]) -> RestoredState:
-    """Load a replica from these files."""
+    """Load the state of a replica from files with these contents."""
     files = SimulatedFiles()
     for path, content in contents.items():
         file = files.open_append(path)
@@ -93,14 +93,14 @@
         state = load_log(bytes(log))
     except DamagedLogError:
         return
-    # Only the last mark, which has no content and is written without a sync, may be torn.
+    # Only the last synced marker may be torn, which has no content and is written without a sync.
     assert state == STATES[-1]
 
 
 @FUZZ
 @given(size=st.integers(0, SIZE - 1))
 def test_a_truncated_rewritten_file_contains_only_its_beginning(size: int) -> None:
-    # A crash cannot truncate it: the file is synced completely before it gets its name.
+    # A crash cannot truncate this file, because it is synced completely before it is renamed.
     try:
         state = load_log(CONTENT[LOG][:size])
     except DamagedLogError:
--- a/tests/consensus/test_consensus_types.py
+++ b/tests/consensus/test_consensus_types.py
@@ -1,4 +1,4 @@
-"""Settings of the protocol."""
+"""Validation of the settings of the protocol."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from orchidpath.consensus.types import RaftSettings
 
 
-def test_settings_reject_a_lease_longer_than_the_vote_promise() -> None:
+def test_settings_reject_a_lease_longer_than_the_refusal_of_votes() -> None:
     with pytest.raises(InvalidSettingsError, match="leader_lease_seconds"):
         RaftSettings(leader_lease_seconds=0.58)
 
--- a/tests/forwarding/proxy/proxy_machine_driver.py
+++ b/tests/forwarding/proxy/proxy_machine_driver.py
@@ -1,4 +1,4 @@
-"""Driver of a proxy machine and builders of its events, shared by the tests of the machine."""
+"""Driver of the proxy machine and builders of its events, shared by the machine's tests."""
 
 from random import Random
 from typing import TypeVar
@@ -34,8 +34,8 @@
     return events.HeadReceived(status=status, weights_version=7, **{**flags, **changes})
 
 
-class Driven:
-    """A machine and the effects of its last event."""
+class MachineDriver:
+    """A proxy machine with fixed settings, and the effects of the last event it handled."""
 
     def __init__(
         self,
@@ -77,16 +77,16 @@
         self.now = NOW
         self.effects: list[effects.ProxyEffect] = []
 
-    def take(self, *events_taken: events.ProxyEvent) -> "Driven":
-        for event in events_taken:
+    def take(self, *sequence: events.ProxyEvent) -> "MachineDriver":
+        for event in sequence:
             self.effects = self.machine.handle(event, self.now)
         return self
 
-    def one(self, kind: type[EffectT]) -> EffectT:
+    def single_effect(self, kind: type[EffectT]) -> EffectT:
         (effect,) = (effect for effect in self.effects if isinstance(effect, kind))
         return effect
 
-    def has(self, kind: type) -> bool:
+    def has_effect(self, kind: type) -> bool:
         return any(isinstance(effect, kind) for effect in self.effects)
 
 
@@ -99,19 +99,19 @@
     return events.WorkersChosen({stage: chosen(stage, worker_id)})
 
 
-def transferring(**settings: object) -> Driven:
+def transferring(**settings: object) -> MachineDriver:
     """Return a machine whose prefill is complete and whose decode was dispatched."""
-    driven = Driven(**settings)  # type: ignore[arg-type]
+    driver = MachineDriver(**settings)  # type: ignore[arg-type]
     prefilled = events.PrefillSucceeded("h1", 4)
-    return driven.take(
+    return driver.take(
         events.RequestStarted(), pair(), events.Dispatched(), prefilled, events.Dispatched()
     )
 
 
-def awaiting_head(**settings: object) -> Driven:
+def awaiting_head(**settings: object) -> MachineDriver:
     """Return a machine that has dispatched a plain request."""
-    driven = Driven(is_model=False, **settings)  # type: ignore[arg-type]
-    return driven.take(
+    driver = MachineDriver(is_model=False, **settings)  # type: ignore[arg-type]
+    return driver.take(
         events.RequestStarted(), single_worker("w1", Stage.PLAIN), events.Dispatched()
     )
 
--- a/tests/forwarding/proxy/test_proxy_machine.py
+++ b/tests/forwarding/proxy/test_proxy_machine.py
@@ -1,11 +1,11 @@
-"""Effects of the proxy machine after each event."""
+"""Effects that the proxy machine returns for sequences of events."""
 
 import pytest
 from proxy_machine_driver import (
     MAX_DECODE_SIDE_TOKENS,
     REJECTED,
     REJECTED_FULL,
-    Driven,
+    MachineDriver,
     awaiting_head,
     head,
     pair,
@@ -23,34 +23,34 @@
 
 
 def test_a_prompt_is_prefilled_before_the_decode_worker_pulls_its_cache() -> None:
-    driven = Driven().take(events.RequestStarted())
-    decision = driven.one(effects.ChooseWorkers)
+    driver = MachineDriver().take(events.RequestStarted())
+    decision = driver.single_effect(effects.ChooseWorkers)
     assert [candidates.stage for candidates in decision.per_stage] == [Stage.PREFILL, Stage.DECODE]
-    prefill = driven.take(pair()).one(effects.Dispatch)
+    prefill = driver.take(pair()).single_effect(effects.Dispatch)
     assert (prefill.is_prefill, prefill.priority, prefill.kv_source) == (True, 3, None)
-    driven.take(events.Dispatched(), events.PrefillSucceeded("h1", 4))
-    assert driven.one(effects.RecordPrefillDone).chosen.worker.worker_id == "p1"
-    decode = driven.one(effects.Dispatch)
+    driver.take(events.Dispatched(), events.PrefillSucceeded("h1", 4))
+    assert driver.single_effect(effects.RecordPrefillDone).chosen.worker.worker_id == "p1"
+    decode = driver.single_effect(effects.Dispatch)
     assert decode.kv_source == effects.KvSource("p1:1", "h1")
     assert (decode.expected_version, decode.priority, decode.is_prefill) == (4, None, False)
 
 
 def test_a_prefill_worker_succeeds_once_its_cache_is_transferred() -> None:
-    driven = transferring().take(head())
-    report = driven.one(effects.Report)
+    driver = transferring().take(head())
+    report = driver.single_effect(effects.Report)
     assert (report.chosen.worker.worker_id, report.observed) == ("p1", Observed.SUCCESS)
-    assert isinstance(driven.effects[-1], effects.RelayResponse)
+    assert isinstance(driver.effects[-1], effects.RelayResponse)
 
 
 def test_a_failed_kv_transfer_charges_the_prefill_worker_and_the_decode_worker_prefills() -> None:
-    driven = transferring().take(*REJECTED)
-    reports = [effect for effect in driven.effects if isinstance(effect, effects.Report)]
+    driver = transferring().take(*REJECTED)
+    reports = [effect for effect in driver.effects if isinstance(effect, effects.Report)]
     assert [(report.chosen.worker.worker_id, report.observed) for report in reports] == [
         ("p1", Observed.KV_TRANSFER_CHARGED),
         ("d1", Observed.KV_TRANSFER_UNDECIDED),
     ]
-    assert driven.one(effects.ReleaseHandle).source == effects.KvSource("p1:1", "h1")
-    decision = driven.one(effects.ChooseWorkers)
+    assert driver.single_effect(effects.ReleaseHandle).source == effects.KvSource("p1:1", "h1")
+    decision = driver.single_effect(effects.ChooseWorkers)
     # The decode worker itself can serve, so it does not count as tried.
     assert [(candidates.stage, candidates.tried) for candidates in decision.per_stage] == [
         (Stage.DECODE, ())
@@ -58,37 +58,37 @@
 
 
 def test_a_full_decode_worker_charges_no_worker_and_the_cache_is_retained() -> None:
-    driven = transferring().take(*REJECTED_FULL)
-    assert driven.one(effects.Report).chosen.worker.worker_id == "d1"
-    assert not driven.has(effects.ReleaseHandle)
-    decision = driven.one(effects.ChooseWorkers)
+    driver = transferring().take(*REJECTED_FULL)
+    assert driver.single_effect(effects.Report).chosen.worker.worker_id == "d1"
+    assert not driver.has_effect(effects.ReleaseHandle)
+    decision = driver.single_effect(effects.ChooseWorkers)
     assert decision.prefill_worker_id == "p1"
     assert [(candidates.stage, candidates.tried) for candidates in decision.per_stage] == [
         (Stage.DECODE, ("d1",))
     ]
-    assert driven.take(single_worker("d2")).one(effects.Dispatch).kv_source is not None
+    assert driver.take(single_worker("d2")).single_effect(effects.Dispatch).kv_source is not None
 
 
 @pytest.mark.parametrize("failure", [events.ExchangeBroken(), events.ExchangeTimedOut()])
 def test_a_non_idempotent_request_that_may_have_executed_ends_without_a_guarantee(
     failure: events.ProxyEvent,
 ) -> None:
-    driven = awaiting_head().take(failure, single_worker("w2", Stage.PLAIN))
-    response = driven.one(effects.SendErrorResponse)
+    driver = awaiting_head().take(failure, single_worker("w2", Stage.PLAIN))
+    response = driver.single_effect(effects.SendErrorResponse)
     assert response.status in {502, 504}
     assert response.retry_after_seconds is None
 
 
 def test_a_not_executed_guarantee_permits_another_worker() -> None:
-    driven = awaiting_head().take(*REJECTED)
-    assert driven.one(effects.Report).status == 429
-    assert driven.take(single_worker("w2", Stage.PLAIN)).has(effects.Dispatch)
+    driver = awaiting_head().take(*REJECTED)
+    assert driver.single_effect(effects.Report).status == 429
+    assert driver.take(single_worker("w2", Stage.PLAIN)).has_effect(effects.Dispatch)
 
 
 def test_a_final_response_to_a_request_never_executed_has_a_retry_after() -> None:
     rejected = events.DecisionRejected("circuits_open", 2.0)
-    driven = Driven(is_model=False).take(events.RequestStarted(), rejected)
-    response = driven.one(effects.SendErrorResponse)
+    driver = MachineDriver(is_model=False).take(events.RequestStarted(), rejected)
+    response = driver.single_effect(effects.SendErrorResponse)
     assert response.status == 503
     assert response.retry_after_seconds is not None
     assert response.retry_after_seconds >= 2.0
@@ -96,89 +96,89 @@
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
 def test_a_status_that_implies_a_guarantee_is_never_relayed_without_one(status: int) -> None:
-    driven = awaiting_head().take(head(status))
-    assert not driven.has(effects.RelayResponse)
-    assert driven.has(effects.AbortConnection)
+    driver = awaiting_head().take(head(status))
+    assert not driver.has_effect(effects.RelayResponse)
+    assert driver.has_effect(effects.AbortConnection)
 
 
 def test_a_rejected_prefill_decision_leads_to_decode_side_prefill() -> None:
-    driven = Driven().take(events.RequestStarted(), events.DecisionRejected("exhausted"))
-    assert [candidates.stage for candidates in driven.one(effects.ChooseWorkers).per_stage] == [
-        Stage.DECODE
-    ]
+    driver = MachineDriver().take(events.RequestStarted(), events.DecisionRejected("exhausted"))
+    assert [
+        candidates.stage for candidates in driver.single_effect(effects.ChooseWorkers).per_stage
+    ] == [Stage.DECODE]
 
 
 def test_a_long_prompt_is_rejected_instead_of_decode_side_prefill() -> None:
     long = MAX_DECODE_SIDE_TOKENS + 1
-    driven = Driven(prompt_tokens=long)
-    driven.take(events.RequestStarted(), events.DecisionRejected("exhausted"))
-    assert driven.one(effects.SendErrorResponse).status == 503
-    without_prefill_workers = Driven(prompt_tokens=long, has_prefill_workers=False)
-    assert without_prefill_workers.take(events.RequestStarted()).has(effects.ChooseWorkers)
+    driver = MachineDriver(prompt_tokens=long)
+    driver.take(events.RequestStarted(), events.DecisionRejected("exhausted"))
+    assert driver.single_effect(effects.SendErrorResponse).status == 503
+    without_prefill_workers = MachineDriver(prompt_tokens=long, has_prefill_workers=False)
+    assert without_prefill_workers.take(events.RequestStarted()).has_effect(effects.ChooseWorkers)
 
 
 def test_a_decision_is_postponed_for_a_bounded_time() -> None:
-    driven = Driven().take(events.RequestStarted())
-    driven.take(events.DecisionPostponed(0.3))
-    assert driven.one(effects.Wait).seconds == 0.3
-    driven.now += 0.3
-    again = driven.take(events.WaitElapsed()).one(effects.ChooseWorkers)
+    driver = MachineDriver().take(events.RequestStarted())
+    driver.take(events.DecisionPostponed(0.3))
+    assert driver.single_effect(effects.Wait).seconds == 0.3
+    driver.now += 0.3
+    again = driver.take(events.WaitElapsed()).single_effect(effects.ChooseWorkers)
     assert (again.attempt_id, again.may_wait) == ("r.2", True)
-    driven.now += MAX_POSTPONED_SECONDS
-    assert not driven.take(events.WaitElapsed()).one(effects.ChooseWorkers).may_wait
+    driver.now += MAX_POSTPONED_SECONDS
+    assert not driver.take(events.WaitElapsed()).single_effect(effects.ChooseWorkers).may_wait
 
 
 def test_a_router_without_a_lease_dispatches_nothing() -> None:
-    driven = Driven().take(events.RequestStarted(), pair())
-    driven.take(events.SendRefused(SendRefusal.NOT_FRESH))
-    assert driven.one(effects.SendErrorResponse).status == 503
-    driven = Driven().take(events.RequestStarted(), pair())
-    driven.take(events.SendRefused(SendRefusal.WORKER_UNAVAILABLE))
-    assert driven.has(effects.ChooseWorkers)
+    driver = MachineDriver().take(events.RequestStarted(), pair())
+    driver.take(events.SendRefused(SendRefusal.NOT_FRESH))
+    assert driver.single_effect(effects.SendErrorResponse).status == 503
+    driver = MachineDriver().take(events.RequestStarted(), pair())
+    driver.take(events.SendRefused(SendRefusal.WORKER_UNAVAILABLE))
+    assert driver.has_effect(effects.ChooseWorkers)
 
 
 def test_rounds_are_bounded() -> None:
-    driven = Driven(is_model=False).take(events.RequestStarted())
+    driver = MachineDriver(is_model=False).take(events.RequestStarted())
     for _ in range(MAX_ROUNDS - 1):
-        driven.take(single_worker("w1", Stage.PLAIN), events.ConnectFailed())
-        assert driven.has(effects.ChooseWorkers)
-    driven.take(single_worker("w1", Stage.PLAIN), events.ConnectFailed())
-    assert driven.one(effects.SendErrorResponse).reason == "no worker could be reached"
+        driver.take(single_worker("w1", Stage.PLAIN), events.ConnectFailed())
+        assert driver.has_effect(effects.ChooseWorkers)
+    driver.take(single_worker("w1", Stage.PLAIN), events.ConnectFailed())
+    assert driver.single_effect(effects.SendErrorResponse).reason == "no worker could be reached"
 
 
 def test_a_broken_stream_is_resumed_with_the_same_weights_version() -> None:
-    driven = awaiting_head(repetition=Repetition.RESUMED).take(head())
-    driven.take(events.StreamBroken(is_resumable=True, last_event_id="5"))
-    dispatch = driven.take(single_worker("w2", Stage.PLAIN)).one(effects.Dispatch)
+    driver = awaiting_head(repetition=Repetition.RESUMED).take(head())
+    driver.take(events.StreamBroken(is_resumable=True, last_event_id="5"))
+    dispatch = driver.take(single_worker("w2", Stage.PLAIN)).single_effect(effects.Dispatch)
     assert (dispatch.last_event_id, dispatch.expected_version) == ("5", 7)
 
 
 def test_a_broken_response_that_cannot_be_resumed_is_aborted() -> None:
-    driven = awaiting_head(repetition=Repetition.WHOLE).take(head())
-    driven.take(events.StreamBroken(is_resumable=False, last_event_id=""))
-    assert driven.has(effects.AbortResponse)
-    assert isinstance(driven.effects[-1], effects.DropCaller)
+    driver = awaiting_head(repetition=Repetition.WHOLE).take(head())
+    driver.take(events.StreamBroken(is_resumable=False, last_event_id=""))
+    assert driver.has_effect(effects.AbortResponse)
+    assert isinstance(driver.effects[-1], effects.DropCaller)
 
 
 def test_the_deadline_aborts_a_begun_response_and_answers_504_otherwise() -> None:
-    driven = awaiting_head().take(events.DeadlinePassed())
-    assert driven.one(effects.SendErrorResponse).status == 504
-    assert driven.take(events.RequestClosed()).one(effects.ReportRest).observed is (
+    driver = awaiting_head().take(events.DeadlinePassed())
+    assert driver.single_effect(effects.SendErrorResponse).status == 504
+    assert driver.take(events.RequestClosed()).single_effect(effects.ReportRest).observed is (
         Observed.TIMED_OUT
     )
     streaming = awaiting_head().take(head(), events.DeadlinePassed())
-    assert streaming.has(effects.AbortResponse)
-    assert not streaming.has(effects.SendErrorResponse)
+    assert streaming.has_effect(effects.AbortResponse)
+    assert not streaming.has_effect(effects.SendErrorResponse)
 
 
 def test_the_cache_of_a_disconnected_caller_is_released() -> None:
-    driven = transferring().take(events.RequestClosed())
-    assert driven.one(effects.ReportRest).observed is Observed.CLIENT_CANCELLED
-    assert driven.has(effects.ReleaseHandle)
+    driver = transferring().take(events.RequestClosed())
+    assert driver.single_effect(effects.ReportRest).observed is Observed.CLIENT_CANCELLED
+    assert driver.has_effect(effects.ReleaseHandle)
 
 
 def test_an_event_of_another_phase_is_ignored() -> None:
-    driven = awaiting_head()
-    assert not driven.take(events.WaitElapsed()).effects
-    assert not driven.take(events.PrefillSucceeded("h", 1)).effects
-    assert driven.take(head()).has(effects.RelayResponse)
+    driver = awaiting_head()
+    assert not driver.take(events.WaitElapsed()).effects
+    assert not driver.take(events.PrefillSucceeded("h", 1)).effects
+    assert driver.take(head()).has_effect(effects.RelayResponse)
--- a/tests/forwarding/test_forward_progress.py
+++ b/tests/forwarding/test_forward_progress.py
@@ -1,4 +1,4 @@
-"""Progress of a forwarded request: permitted retries, their budget, and the final outcome."""
+"""Progress of a forwarded request: permitted retries, the retry budget, and the final outcome."""
 
 import pytest
 
--- a/tests/forwarding/test_forward_route_table.py
+++ b/tests/forwarding/test_forward_route_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and services by weight."""
+"""Lookup of forward routes by host and longest path prefix."""
 
 import pytest
 
--- a/tests/forwarding/test_resumable_stream.py
+++ b/tests/forwarding/test_resumable_stream.py
@@ -1,4 +1,4 @@
-"""Streams that another worker resumes after their last complete event."""
+"""Event streams that another worker resumes after the last complete event."""
 
 from random import Random
 
--- a/tests/forwarding/test_weighted_split.py
+++ b/tests/forwarding/test_weighted_split.py
@@ -1,4 +1,4 @@
-"""A route's requests are divided among its services by weight."""
+"""Division of a route's requests among its services by weight."""
 
 from collections import Counter
 from random import Random
