--- a/src/orchidpath/consensus/files.py
+++ b/src/orchidpath/consensus/files.py
@@ -167,7 +167,8 @@
 class _SimulatedNode:
     """Content of a simulated file.
 
-    `data` is the content that programs read, and `durable` is the content as of the last sync.
+    `data` is the content that programs read. `durable` is the content as of the last sync, which
+    survives a crash.
     """
 
     def __init__(self) -> None:
--- a/src/orchidpath/consensus/leadership.py
+++ b/src/orchidpath/consensus/leadership.py
@@ -30,8 +30,8 @@
         return
     overdue_seconds = now - replica.election_deadline
     if overdue_seconds > replica.settings.election_timeout_min_seconds:
-        # The process was suspended and could not receive messages, so the missing heartbeats do
-        # not show that the leader has failed.
+        # The process was suspended and could not receive messages. The missing heartbeats are
+        # therefore no sign of a failed leader.
         replica.arm_election(now)
 
 
--- a/src/orchidpath/consensus/log_records.py
+++ b/src/orchidpath/consensus/log_records.py
@@ -94,7 +94,7 @@
             record = _decoder.decode(payload)
         except (msgspec.MsgspecError, RecursionError) as error:
             raise DamagedLogError(
-                f"record at byte {offset} has a valid checksum, but can't be decoded: {error}"
+                f"unknown record at byte {offset}, although its checksum is valid: {error}"
             ) from error
         yield FoundRecord(record, end)
         offset = end
--- a/src/orchidpath/consensus/storage.py
+++ b/src/orchidpath/consensus/storage.py
@@ -81,7 +81,7 @@
 
 
 def new_replica_id() -> str:
-    """Return a random 128-bit replica id as 32 hexadecimal digits."""
+    """Return a random id of 32 hexadecimal digits (a UUID), which no other replica has."""
     return uuid.uuid4().hex
 
 
--- a/src/orchidpath/forwarding/progress.py
+++ b/src/orchidpath/forwarding/progress.py
@@ -154,7 +154,8 @@
     def record_dispatch_failure(self, kind: FailureKind) -> None:
         """Record how the last dispatch failed.
 
-        A refusal guarantees that this dispatch never executes, but not that earlier ones did not.
+        A refusal guarantees that this dispatch never executes; earlier dispatches may still have
+        executed.
         """
         self.last_failure = kind
         if kind is FailureKind.REFUSED:
--- a/src/orchidpath/forwarding/proxy/proxy_machine.py
+++ b/src/orchidpath/forwarding/proxy/proxy_machine.py
@@ -208,8 +208,8 @@
         # prefills the prompt itself.
         pending = self._prefill.pending
         assert pending is not None
-        # A failed link is charged to the prefill worker too. Once decode workers fetch from that
-        # worker again, the first success clears the failures counted against it.
+        # A failed link is charged to the prefill worker too. If several decode workers fetch from
+        # that worker again, its first success clears the failures counted against it.
         charged = effects.Report(pending.chosen, Observed.KV_TRANSFER_CHARGED)
         released = self._release_handle()
         self._prefill.record_transfer_failure()
