--- a/src/orchidpath/router/observability/decision_log_writer.py
+++ b/src/orchidpath/router/observability/decision_log_writer.py
@@ -1,8 +1,8 @@
-"""Writes the decision log on a thread of its own, so that no request ever waits for the disk.
+"""Writes the decision log from a separate thread, so that no request ever waits for the disk.
 
-Lines wait in a bounded queue; while it is full, or the disk refuses, they are dropped and counted,
-and the log says how many are missing. The file is rotated by size and a few old ones are kept:
-``NAME.1`` is the newest of them.
+Lines wait in a bounded queue. While the queue is full or writing fails, lines are dropped and
+counted, and a later line in the log states how many are missing. The file is rotated by size, and
+a few rotated files are retained; ``NAME.1`` is the newest of them.
 """
 
 import contextlib
@@ -16,37 +16,37 @@
 from orchidpath.routing.decision_log import DroppedLine, LogLine, PolicyLine, encode_line
 
 MAX_WAITING_LINES = 16_384
-"""Lines that wait for the disk at most."""
+"""Upper bound on the lines that wait to be written."""
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
-"""A file that has grown to this is rotated."""
+"""Size at which the file is rotated."""
 
 RETAINED_FILES = 4
-"""Rotated files that are kept beside the current one."""
+"""Number of rotated files that are retained beside the current file."""
 
 REOPEN_SECONDS = 1.0
-"""After an error the file is not opened again before this long."""
+"""Delay after an error before the file is opened again."""
 
 IDLE_SECONDS = 0.2
-"""An idle writer looks this often whether it must stop."""
+"""Interval at which an idle writer thread checks whether it has to stop."""
 
 STOP_SECONDS = 1.0
-"""A stop waits this long at most for the lines that still wait."""
+"""Upper bound on the time that a stop waits for queued lines to be written."""
 
 
 class DecisionLogWriter:
-    """Appends lines to a file from a thread.
+    """Appends lines to a rotated file from a separate thread.
 
     Parameters
     ----------
     path
-        The current file; its folder must exist.
+        Path of the current file; its folder must exist.
     max_file_bytes
-        Size that rotates it.
-    kept_files
-        Rotated files that are kept.
+        Size, in bytes, at which the file is rotated.
+    retained_files
+        Number of rotated files that are retained.
     max_waiting_lines
-        Lines that wait at most.
+        Upper bound on the lines that wait to be written.
     """
 
     def __init__(
@@ -60,37 +60,37 @@
         self._path = path
         self._max_file_bytes = max_file_bytes
         self._retained_files = retained_files
-        self._waiting: queue.Queue[LogLine] = queue.Queue(max_waiting_lines)
+        self._queue: queue.Queue[LogLine] = queue.Queue(max_waiting_lines)
         self._stopping = threading.Event()
         self._lock = threading.Lock()
         self._dropped = 0
-        self._untold = 0
+        self._unreported_drops = 0
         self._policy: PolicyLine | None = None
         self._file: FileIO | None = None
         self._size_bytes = 0
         self._reopen_at = 0.0
         self._logger = get_logger("decision_log")
-        # A daemon thread: a disk that never answers must not keep the process from ending.
+        # A daemon thread, because a disk that hangs must not keep the process from exiting.
         self._thread = threading.Thread(target=self._run, name="decision_log", daemon=True)
 
     @property
     def dropped(self) -> int:
-        """Lines that were dropped since the start."""
+        """Number of lines that were dropped since the start."""
         return self._dropped
 
     def start(self) -> None:
-        """Start to write."""
+        """Start the thread that writes the queued lines."""
         self._thread.start()
 
     def write(self, line: LogLine) -> None:
-        """Queue a line, or drop it; never waits."""
+        """Queue a line, or drop it if the queue is full; never waits."""
         try:
-            self._waiting.put_nowait(line)
+            self._queue.put_nowait(line)
         except queue.Full:
             self._drop()
 
     def stop(self, timeout_seconds: float = STOP_SECONDS) -> None:
-        """Write what still waits, for a bounded time."""
+        """Stop the thread once it has written the queued lines; wait for a bounded time."""
         self._stopping.set()
         if self._thread.is_alive():
             self._thread.join(timeout_seconds)
@@ -98,30 +98,30 @@
     def _drop(self) -> None:
         with self._lock:
             self._dropped += 1
-            self._untold += 1
+            self._unreported_drops += 1
 
     def _run(self) -> None:
         while True:
             try:
-                line = self._waiting.get(timeout=IDLE_SECONDS)
+                line = self._queue.get(timeout=IDLE_SECONDS)
             except queue.Empty:
                 if self._stopping.is_set():
                     break
                 continue
             self._append(line)
-            if self._stopping.is_set() and self._waiting.empty():
+            if self._stopping.is_set() and self._queue.empty():
                 break
         self._close()
 
     def _append(self, line: LogLine) -> None:
         try:
-            if not self._is_open():
+            if not self._ensure_open():
                 self._drop()
                 return
             if self._size_bytes >= self._max_file_bytes:
                 self._rotate()
-            self._tell_dropped()
-            self._put(line)
+            self._write_drop_count()
+            self._write_line(line)
         except OSError as error:
             self._drop()
             self._logger.warning("decision_log_refused", error=str(error))
@@ -129,10 +129,10 @@
             self._reopen_at = time.monotonic() + REOPEN_SECONDS
         finally:
             if isinstance(line, PolicyLine):
-                # Also one that was dropped: the next file to be opened begins with it.
+                # Stored even if the line was dropped: the next file that is opened begins with it.
                 self._policy = line
 
-    def _is_open(self) -> bool:
+    def _ensure_open(self) -> bool:
         if self._file is not None:
             return True
         if time.monotonic() < self._reopen_at:
@@ -141,24 +141,24 @@
         return True
 
     def _open(self) -> None:
-        # Unbuffered, so that a line that the disk refuses is known to be lost.
+        # Unbuffered, so that a failed write is reported for the line that it loses.
         self._file = FileIO(self._path, "ab")
         self._size_bytes = self._path.stat().st_size
         if self._size_bytes > 0:
-            # A process that was killed may have left half a line.
+            # A process that was killed may have left an incomplete last line.
             self._write_bytes(b"\n")
         if self._policy is not None:
-            # Each file can be replayed by itself.
-            self._put(self._policy)
+            # Each file begins with the policy, so that it can be replayed without the others.
+            self._write_line(self._policy)
 
-    def _tell_dropped(self) -> None:
-        untold = self._untold
-        if untold:
-            self._put(DroppedLine(count=untold))
+    def _write_drop_count(self) -> None:
+        unreported_drops = self._unreported_drops
+        if unreported_drops:
+            self._write_line(DroppedLine(count=unreported_drops))
             with self._lock:
-                self._untold -= untold
+                self._unreported_drops -= unreported_drops
 
-    def _put(self, line: LogLine) -> None:
+    def _write_line(self, line: LogLine) -> None:
         self._write_bytes(encode_line(line))
 
     def _write_bytes(self, content: bytes) -> None:
--- a/src/orchidpath/router/observability/decision_recorder.py
+++ b/src/orchidpath/router/observability/decision_recorder.py
@@ -1,4 +1,4 @@
-"""Makes the lines of the decision log from what a router decides and reports."""
+"""Creates the decision log lines for the routing decisions and attempt reports of a router."""
 
 from collections.abc import Callable
 from datetime import UTC, datetime
@@ -16,29 +16,29 @@
 from orchidpath.wire.messages import AttemptReport, DecisionReply, DecisionRequest
 
 WriteLine = Callable[[LogLine], None]
-"""Takes a line; never waits."""
+"""Accepts one line of the decision log; never waits."""
 
 
 def wall_clock_text() -> str:
-    """Return the wall clock as ISO 8601 in UTC."""
+    """Return the current UTC time in ISO 8601, to the millisecond."""
     return datetime.now(UTC).isoformat(timespec="milliseconds")
 
 
 class DecisionRecorder:
-    """Records decisions and reports of one router.
+    """Records the decisions and attempt reports of one router in its decision log.
 
     Parameters
     ----------
     write
-        Takes the lines.
+        Accepts the lines.
     router_id
-        The router.
+        Id of the router.
     incarnation
-        New for each start of its process.
+        Identifies one run of the router's process; different after each start.
     clock
         Monotonic clock.
     wall_clock
-        Returns the time for people.
+        Returns the wall-clock time of a line as text, for human readers.
     """
 
     def __init__(
@@ -58,14 +58,14 @@
         self._configuration_version = 0
 
     def configuration(self, configuration: Configuration, version: int) -> None:
-        """Record the policy applied, if it is another one than before.
+        """Record the current policy if the configuration has changed since the last call.
 
         Parameters
         ----------
         configuration
             The adopted configuration.
         version
-            Its version.
+            Version of the configuration.
         """
         if self._configuration is configuration and self._configuration_version == version:
             return
@@ -85,16 +85,16 @@
     def decision(
         self, request: DecisionRequest, reply: DecisionReply, decided_by: DecidedBy
     ) -> None:
-        """Record one decision.
+        """Record one routing decision.
 
         Parameters
         ----------
         request
-            What was asked.
+            The decision request.
         reply
-            What was decided.
+            The reply, with the chosen workers or the rejection.
         decided_by
-            Whose state it was decided on.
+            Whether the state of the leader or of the router was used.
         """
         line = DecisionLine(
             time=self._wall_clock(),
@@ -119,9 +119,9 @@
         Parameters
         ----------
         report
-            What the leader is told.
+            The report that the leader receives.
         entry
-            What the request's trace says of it.
+            The entry for the attempt in the trace of the request.
         """
         line = ReportLine(
             time=self._wall_clock(),
--- a/src/orchidpath/router/observability/metrics_page.py
+++ b/src/orchidpath/router/observability/metrics_page.py
@@ -1,18 +1,18 @@
-"""The router's metrics and the page that shows them."""
+"""Prometheus metrics of a router, and the ``GET /metrics`` page that exposes them."""
 
 from aiohttp import web
 
 from orchidpath.common.metrics import METRICS_CONTENT_TYPE, Metrics
 
 OUTCOME_OK = "ok"
-"""Outcome of a request that got its whole answer; any other outcome is an error code."""
+"""Outcome of a request whose response was sent completely; other outcomes are error codes."""
 
 OUTCOME_CLIENT_DISCONNECTED = "client_gone"
-"""Outcome of a request whose caller left."""
+"""Outcome of a request whose caller disconnected."""
 
 
 class RouterMetrics:
-    """Counters of one router."""
+    """Metrics of the requests that one router serves."""
 
     def __init__(self) -> None:
         self._metrics = Metrics()
@@ -29,7 +29,7 @@
         self.in_flight = self._metrics.gauge("requests_in_flight", "Requests being served.")
 
     def page(self) -> web.Response:
-        """Return every metric as the answer to ``GET /metrics``."""
+        """Return every metric as the response to ``GET /metrics``."""
         return web.Response(
             body=self._metrics.exposition(), headers={"content-type": METRICS_CONTENT_TYPE}
         )
--- a/src/orchidpath/router/observability/readiness.py
+++ b/src/orchidpath/router/observability/readiness.py
@@ -1,7 +1,7 @@
-"""Liveness and readiness of a router.
+"""Liveness and readiness probes of a router.
 
-A router is ready only while it holds a lease to serve and is not stopping; otherwise the answer
-says why, so that an operator need not guess.
+A router is ready only while it holds a lease to serve and is not draining. If it is not ready, the
+response states the reason for the operator.
 """
 
 import msgspec
@@ -30,14 +30,14 @@
 
 
 class HealthPages:
-    """Answers the probes of whoever hands connections to routers.
+    """Responds to the health probes, for example of a load balancer in front of the routers.
 
     Parameters
     ----------
     fleet
-        Knows whether the router may serve.
+        Provides the fleet view and whether it is fresh enough to serve by.
     drain
-        Knows whether it is stopping.
+        Provides whether the router is draining.
     clock
         Monotonic clock.
     """
@@ -48,16 +48,16 @@
         self._clock = clock
 
     async def live(self, _request: web.Request) -> web.Response:
-        """Answer as long as the process runs its event loop."""
+        """Respond with 200, which shows that the event loop of the process is running."""
         return _page(Liveness(live=True), 200)
 
     async def ready(self, _request: web.Request) -> web.Response:
-        """Answer 200 while new requests are served, otherwise 503 and the reason."""
+        """Respond with 200 while the router serves new requests, else with 503 and the reason."""
         readiness = self.readiness()
         return _page(readiness, 200 if readiness.ready else 503)
 
     def readiness(self) -> Readiness:
-        """Return whether the router serves new requests now, and why not."""
+        """Return whether the router serves new requests now, and the reason if it does not."""
         view = self._fleet.view()
         now = self._clock()
         ready = self._fleet.is_fresh(now)
--- a/src/orchidpath/router/proxy/__init__.py
+++ b/src/orchidpath/router/proxy/__init__.py
@@ -1,6 +1,7 @@
-"""The proxy path of opaque requests: server, request runner, connections to workers.
+"""The proxy path, for requests whose bodies the router forwards without parsing them.
 
-Begin with :mod:`.proxy_edge`, then :mod:`.proxy_runner`, which carries out what the machine in
-:mod:`orchidpath.forwarding.proxy` decides. Imported by
-:mod:`orchidpath.router.process` and the platform adapter.
+Contains the HTTP server, the request runner and the connections to workers. Begin with
+:mod:`.proxy_edge`, then :mod:`.proxy_runner`, which executes the decisions of the machine in
+:mod:`orchidpath.forwarding.proxy`. Imported by :mod:`orchidpath.router.process` and the platform
+adapter.
 """
--- a/src/orchidpath/router/proxy/protocol_mapping.py
+++ b/src/orchidpath/router/proxy/protocol_mapping.py
@@ -1,7 +1,7 @@
 """Maps the metadata of requests and responses on forward routes to and from HTTP headers.
 
-The router reads and writes requests through this class only. Header names are data, so that an
-adapter to another platform gives other names, and overrides a method where a format differs.
+The router accesses these headers only through :class:`ProtocolMapping`. The adapter of another
+platform supplies other header names, and overrides a method where a format differs.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 from orchidpath.wire.messages import PromptShape
 
 Header = tuple[bytes, bytes]
-"""A header's name, in lower case, and its value."""
+"""Name of a header, in lower case, and its value."""
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -27,11 +27,11 @@
         b"expect",
     }
 )
-"""Headers that concern one connection only; they are never passed along."""
+"""Headers that apply to a single connection (hop-by-hop); the router never forwards them."""
 
 
 class HeaderNames(msgspec.Struct, frozen=True, kw_only=True):
-    """Names of the headers, in lower case."""
+    """Names of the headers that the router reads or sets, in lower case."""
 
     request_id: bytes = b"x-request-id"
     deadline_milliseconds: bytes = b"x-orchidpath-deadline-ms"
@@ -51,10 +51,10 @@
 
 
 class RequestMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What a router must know of a request besides its bytes.
+    """Metadata of a request, read from its headers.
 
-    ``prefix_key`` is the same for requests that share all segments of their prompt but the last
-    one; ``shared_tokens`` is the size of those segments, in tokens.
+    ``prefix_key`` is equal for requests whose prompts have the same segments except the last one;
+    ``shared_tokens`` is the total size of these shared segments, in tokens.
     """
 
     request_id: str
@@ -66,7 +66,7 @@
 
     @property
     def prompt(self) -> PromptShape:
-        """The prompt as decisions know it."""
+        """Prefix key and sizes of the prompt, as routing decisions use them."""
         own_tokens = max(self.prompt_tokens - self.shared_tokens, 0)
         return PromptShape(
             prefix_key=self.prefix_key, shared_tokens=self.shared_tokens, own_tokens=own_tokens
@@ -74,11 +74,11 @@
 
 
 class DispatchMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What the router adds to a request that it dispatches to a worker.
+    """Metadata that the router adds to a request that it dispatches to a worker.
 
-    ``is_prefill`` asks for the prefill alone. ``cache_source`` names the KV cache of an earlier
-    prefill, as :meth:`ProtocolMapping.cache_source` made it. ``last_event_id`` is the event after
-    which a stream is to be resumed; empty to leave the caller's own header.
+    ``is_prefill`` requests only the prefill. ``cache_source`` identifies the KV cache of an earlier
+    prefill, in the format of :meth:`ProtocolMapping.cache_source`. ``last_event_id`` is the event
+    after which the worker resumes a stream; if it is empty, the caller's own header is forwarded.
     """
 
     worker_id: str
@@ -91,7 +91,7 @@
 
 
 class WorkerLoad(msgspec.Struct, frozen=True):
-    """Requests that a worker runs, requests that wait there, and its slots."""
+    """Running and waiting requests of a worker, and how many it can run at once (its slots)."""
 
     running: int
     waiting: int
@@ -104,7 +104,7 @@
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What the head of a worker's response says besides its status."""
+    """Metadata of a worker's response, read from its status and headers."""
 
     request_id: str
     is_signed: bool
@@ -115,27 +115,27 @@
 
 
 class PrefillResult(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's response to a prefill: the handle of the KV cache and the weights' version."""
+    """Body of a response to a prefill: handle of the KV cache and version of the weights."""
 
     handle: str
     version: int | None = None
 
 
 class MalformedRequestError(OrchidpathError):
-    """A header of the request is missing or malformed."""
+    """A required header of a request is missing, or a header is malformed."""
 
 
 class ProtocolMapping:
-    """Reads requests and responses, and writes dispatches, in one platform's names.
+    """Reads the headers of requests and responses, and writes those of dispatches.
 
     Parameters
     ----------
     names
-        The platform's header names.
+        Header names of the platform; the defaults of :class:`HeaderNames` if None.
     """
 
     ready_path = "/health/ready"
-    """Path at which probes ask whether the router takes connections."""
+    """Path of the readiness probe: whether the router accepts connections."""
 
     def __init__(self, names: HeaderNames | None = None) -> None:
         self.names = names or HeaderNames()
@@ -145,12 +145,12 @@
         )
 
     def read_request(self, headers: Sequence[Header]) -> RequestMetadata:
-        """Return what the headers of a caller's request say.
+        """Return the metadata in the headers of a caller's request.
 
         Raises
         ------
         MalformedRequestError
-            There is no request id, or a number is none.
+            The request id is missing, or a number is malformed or out of range.
         """
         names = self.names
         values = dict(headers)
@@ -173,14 +173,14 @@
     def dispatch_headers(
         self, headers: Sequence[Header], metadata: DispatchMetadata
     ) -> list[Header]:
-        """Return the headers of a dispatch: the caller's, and what the router sets.
+        """Return the headers of a dispatch: those of the caller and those that the router sets.
 
         Parameters
         ----------
         headers
             Headers of the caller's request.
         metadata
-            What the router adds.
+            Metadata that the router adds.
         """
         names = self.names
         dropped = self._set_by_router | CONNECTION_HEADERS | {names.deadline_milliseconds}
@@ -203,7 +203,7 @@
         return kept
 
     def read_response(self, status: int, headers: Sequence[Header]) -> ResponseMetadata:
-        """Return what the head of a worker's response says."""
+        """Return the metadata in the head of a worker's response."""
         names = self.names
         values = dict(headers)
         return ResponseMetadata(
@@ -216,25 +216,25 @@
         )
 
     def response_headers(self, headers: Sequence[Header], keep_signature: bool) -> list[Header]:
-        """Return the headers of a worker's response that are relayed to the caller."""
+        """Return those headers of a worker's response that are relayed to the caller."""
         dropped = CONNECTION_HEADERS
         if not keep_signature:
             dropped = dropped | {self.names.signature}
         return [header for header in headers if header[0] not in dropped]
 
     def read_prefill_result(self, body: bytes) -> PrefillResult | None:
-        """Return the result in the response to a prefill; None if its body is malformed."""
+        """Decode the body of a response to a prefill; return None if it is malformed."""
         try:
             return msgspec.json.decode(body, type=PrefillResult)
         except (msgspec.MsgspecError, RecursionError, ValueError):
             return None
 
     def cache_source(self, address: str, handle: str) -> str:
-        """Name the KV cache that a worker at an address keeps under a handle."""
+        """Return the identifier of the KV cache that the worker at an address holds as a handle."""
         return f"{address}/{handle}"
 
     def release_target(self, handle: str) -> bytes:
-        """Return the target of the ``DELETE`` that frees a handle at its worker."""
+        """Return the target of the ``DELETE`` request that frees a KV cache at its worker."""
         return b"/kv-handles/" + handle.encode("latin-1")
 
 
@@ -254,7 +254,7 @@
 
 
 def _shared_segments(value: bytes) -> list[_PromptSegment]:
-    """Return the shared segments of a prompt, ``NAME:TOKENS`` with commas; the last is its own."""
+    """Return all segments of a prompt (``NAME:TOKENS,...``) except the last, which isn't shared."""
     segments = []
     for segment in value.split(b",")[:-1]:
         name, _, tokens = segment.strip().partition(b":")
--- a/src/orchidpath/router/proxy/proxy_attempts.py
+++ b/src/orchidpath/router/proxy/proxy_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one forwarded request: workers chosen for them, reports of how they ended."""
+"""Attempts of one forwarded request: requests worker choices and reports how attempts ended."""
 
 import asyncio
 from random import Random
@@ -27,7 +27,7 @@
 
 
 class ProxyEnvironment(msgspec.Struct, frozen=True, kw_only=True):
-    """What the runners of one router share."""
+    """Dependencies that all request runners of one router share."""
 
     state: RoutingState
     decisions: DecisionMaker
@@ -40,16 +40,16 @@
 
 
 class ProxyAttempts:
-    """Has workers chosen for a request's attempts and reports once how each of them ended.
+    """Requests worker choices for the attempts of one request, and reports each end exactly once.
 
     Parameters
     ----------
     environment
-        What all runners share.
+        Dependencies that all runners share.
     request_metadata
-        What the request's headers say.
+        Metadata from the headers of the request.
     subject
-        What its decisions are about.
+        Subject of the routing decisions for the request.
     """
 
     def __init__(
@@ -64,19 +64,19 @@
         self._running: dict[str, ChosenWorker] = {}
 
     async def decide(self, choose: effects.ChooseWorkers) -> ProxyEvent:
-        """Have a worker chosen for each stage.
+        """Request the choice of a worker for each stage of an attempt.
 
-        The leader may choose none for a prefill that it leaves to the decode worker.
+        The leader may choose no prefill worker; the decode worker then prefills the prompt itself.
 
         Parameters
         ----------
         choose
-            The attempt, its stages and what was tried before.
+            The attempt, its stages and the workers that earlier attempts tried.
 
         Returns
         -------
         ProxyEvent
-            What came of it.
+            The chosen workers, or why there are none.
         """
         made = await self._request_decision(choose)
         if isinstance(made, NoCandidates):
@@ -86,40 +86,45 @@
             return events.DecisionPostponed(reply.retry_after_seconds)
         if reply.rejection is not Rejection.NONE:
             return events.DecisionRejected(reply.rejection.value, reply.retry_after_seconds)
-        return self._take_choices(choose.attempt_id, made)
+        return self._register_choices(choose.attempt_id, made)
 
     async def _request_decision(self, choose: effects.ChooseWorkers) -> DecisionMade | NoCandidates:
         subject = msgspec.structs.replace(
             self._subject, prefill_worker_id=choose.prefill_worker_id, may_wait=choose.may_wait
         )
         decision = RequestDecision(attempt_id=choose.attempt_id, per_stage=choose.per_stage)
-        deciding = self._environment.tasks.spawn(
+        decision_task = self._environment.tasks.spawn(
             self._environment.decisions.decide(subject, decision)
         )
         try:
-            return await asyncio.shield(deciding)
+            return await asyncio.shield(decision_task)
         except asyncio.CancelledError:
-            # The decision may have been registered: its marks are freed once it is known.
-            deciding.add_done_callback(lambda done: self._release_late(choose.attempt_id, done))
+            # The leader may have counted the decision already. Once the reply arrives, its choices
+            # are reported as unused, so that they don't count as running attempts.
+            decision_task.add_done_callback(
+                lambda done: self._report_late_choices(choose.attempt_id, done)
+            )
             raise
 
-    def prefill_done(self, chosen: ChosenWorker) -> None:
-        """Tell the leader that a worker holds the prompt's KV cache; its attempt goes on."""
+    def report_prefill_done(self, chosen: ChosenWorker) -> None:
+        """Report that a worker has computed the KV cache of the prompt; its attempt continues."""
         self._environment.decisions.record_prefill_done(
             self._request_metadata.request_id, chosen.attempt_id, chosen.worker.worker_id
         )
 
-    def ended(self, chosen: ChosenWorker, observed: Observed, status: int | None = None) -> None:
-        """Report how an attempt ended for one worker, once.
+    def report_end(
+        self, chosen: ChosenWorker, observed: Observed, status: int | None = None
+    ) -> None:
+        """Report how an attempt ended for one worker; later calls for the worker do nothing.
 
         Parameters
         ----------
         chosen
-            The worker.
+            The worker, as it was chosen for the attempt.
         observed
-            What was seen.
+            Result of the attempt, as the router observed it.
         status
-            Status of the answer, where ``observed`` is one.
+            HTTP status of the response, if ``observed`` is ``HTTP_STATUS``.
         """
         if self._running.pop(chosen.worker.worker_id, None) is None:
             return
@@ -138,12 +143,12 @@
         )
         self._report(entry, chosen.probe_generation)
 
-    def end_all(self, observed: Observed) -> None:
-        """Report the end of every attempt that still runs."""
+    def report_all_ended(self, observed: Observed) -> None:
+        """Report the end of every attempt that is still running."""
         for chosen in tuple(self._running.values()):
-            self.ended(chosen, observed)
+            self.report_end(chosen, observed)
 
-    def _take_choices(self, attempt_id: str, made: DecisionMade) -> ProxyEvent:
+    def _register_choices(self, attempt_id: str, made: DecisionMade) -> ProxyEvent:
         now = self._environment.clock()
         chosen: dict[Stage, ChosenWorker] = {}
         is_complete = True
@@ -153,7 +158,7 @@
                 self._report(_unused(attempt_id, choice.worker_id), None)
                 is_complete = False
                 continue
-            one = ChosenWorker(
+            chosen_worker = ChosenWorker(
                 attempt_id,
                 choice.stage,
                 worker,
@@ -161,15 +166,15 @@
                 now,
                 made.reply.expected_read_seconds,
             )
-            chosen[choice.stage] = one
-            self._running[choice.worker_id] = one
+            chosen[choice.stage] = chosen_worker
+            self._running[choice.worker_id] = chosen_worker
         if is_complete:
             return events.WorkersChosen(chosen)
-        for one in chosen.values():
-            self.ended(one, Observed.GATEWAY_FAULT)
+        for chosen_worker in chosen.values():
+            self.report_end(chosen_worker, Observed.GATEWAY_FAULT)
         return events.ChosenWorkerRemoved()
 
-    def _release_late(
+    def _report_late_choices(
         self, attempt_id: str, done: "asyncio.Task[DecisionMade | NoCandidates]"
     ) -> None:
         if done.cancelled() or done.exception() is not None:
@@ -191,14 +196,14 @@
 
 
 SHED_STATUS = 503
-"""A worker that sheds a request answers with this."""
+"""HTTP status of a worker that sheds a request."""
 
 THROTTLE_STATUS = 429
-"""What shedding counts as."""
+"""HTTP status that :data:`SHED_STATUS` is replaced by before an attempt is classified."""
 
 
 def _unused(attempt_id: str, worker_id: str) -> TraceEntry:
-    """Return the entry of a choice that was never used."""
+    """Return the trace entry of a chosen worker that no request was sent to."""
     return TraceEntry(
         attempt_id=attempt_id,
         stage=Stage.PLAIN,
--- a/src/orchidpath/router/proxy/proxy_edge.py
+++ b/src/orchidpath/router/proxy/proxy_edge.py
@@ -1,7 +1,8 @@
-"""The router's edge for forward routes: callers, readiness and metrics.
+"""The router's HTTP edge for forward routes: serves callers, readiness probes and metrics.
 
-A request is rejected at once, as not executed, while the router holds no lease; whatever a route
-matches is served by a :class:`~orchidpath.router.proxy.proxy_runner.ProxyRunner`.
+While the router holds no lease, it rejects each request at once, before any part is executed. A
+request that matches a route is served by a
+:class:`~orchidpath.router.proxy.proxy_runner.ProxyRunner`.
 """
 
 import asyncio
@@ -29,27 +30,28 @@
 from orchidpath.wire.records import FleetView
 
 LINGER_SECONDS = 2.6
-"""A stopping router accepts connections for this long: until probes have removed it."""
+"""A stopping router accepts connections for this long, until readiness probes have removed it."""
 
 POOL_SWEEP_SECONDS = 1.0
-"""Time between two sweeps of the pool for connections that were idle for too long."""
+"""Interval at which connections to workers that were idle for too long are closed."""
 
 TASKS_GRACE_SECONDS = 0.3
-"""After the last request, background tasks get this long."""
+"""Time that background tasks get to finish after the last request."""
 
 
 NOT_FRESH_RETRY_AFTER = RetryAfterRange(shortest_seconds=1.0, longest_seconds=1.6)
-"""Retry-After of a router that has lost its lease."""
+"""Range of the Retry-After of a router that has lost its lease."""
 
 FIRST_LEASE_SECONDS = 2.0
-"""A router that has just started has a lease by then, even when the whole fleet has.
+"""Time from a router's start to its first lease, also if the entire fleet starts with it.
 
-Control processes take longer to start than routers. Seen on the bench, on slow cores: 2.0 s from a
-router's start to its first view. A caller that is told less is refused twice, and gives up.
+Control processes take longer to start than routers: on slow cores, the bench showed 2.0 s from a
+router's start to its first view. With a shorter Retry-After a caller returns too early, is rejected
+a second time and abandons its request.
 """
 
 STARTUP_RETRY_AFTER = RetryAfterRange(shortest_seconds=0.2, longest_seconds=0.6)
-"""Retry-After of a router that has just started, at least."""
+"""Range of the shortest Retry-After of a router that has not had a lease since its start."""
 
 
 def startup_retry_after_seconds(share: float, since_start_seconds: float) -> float:
@@ -58,7 +60,7 @@
     Parameters
     ----------
     share
-        Drawn uniformly between 0 and 1.
+        Random number, uniform between 0 and 1, that spreads the callers.
     since_start_seconds
         Time since the router started, in seconds.
     """
@@ -71,11 +73,11 @@
     Parameters
     ----------
     settings
-        Addresses and timeouts.
+        Addresses, zone and timeouts of the router.
     fleet
-        The rest of the fleet.
+        Access to the views and the leader of the fleet.
     protocol_mapping
-        Reads requests and responses, writes dispatches.
+        Maps metadata to and from the headers of requests, responses and dispatches.
     random
         Source of randomness.
     clock
@@ -119,7 +121,7 @@
         self._probes = ProxyServer(
             settings.http_address, self._probe, EdgeLimits, self._is_draining, clock
         )
-        self._sweeping: asyncio.Task[None] | None = None
+        self._sweep_task: asyncio.Task[None] | None = None
         self._started_at = clock()
         self._has_served = False
 
@@ -134,45 +136,51 @@
         return self._probes.address
 
     async def start(self) -> None:
-        """Listen; OSError when an address can't be had."""
+        """Start to listen.
+
+        Raises
+        ------
+        OSError
+            If an address can't be bound.
+        """
         await self._probes.start()
         await self._callers.start()
-        self._sweeping = asyncio.create_task(self._sweep_forever())
+        self._sweep_task = asyncio.create_task(self._sweep_forever())
 
     async def stop(self, drain_seconds: float) -> None:
-        """Say that no connection is wanted any more, let what runs finish, then close.
+        """Report as not ready, let running requests finish, then close every connection.
 
         Parameters
         ----------
         drain_seconds
-            How long all of it may take.
+            Upper bound on the time until requests that still run are cut off.
         """
         self._drain.begin()
         started_at = self._clock()
         await asyncio.sleep(min(LINGER_SECONDS, drain_seconds))
         self._callers.stop_listening()
-        left = drain_seconds - (self._clock() - started_at)
-        if not await self._drain.wait_until_idle(max(left, 0.0)):
+        remaining_seconds = drain_seconds - (self._clock() - started_at)
+        if not await self._drain.wait_until_idle(max(remaining_seconds, 0.0)):
             self._logger.warning("requests_cut_off", count=self._drain.in_flight)
-        if self._sweeping is not None:
-            self._sweeping.cancel()
+        if self._sweep_task is not None:
+            self._sweep_task.cancel()
         self._callers.close()
         self._probes.close()
         await self._tasks.close(TASKS_GRACE_SECONDS)
         self._pool.close()
 
     def view_adopted(self, view: FleetView) -> None:
-        """Obey a newly adopted view."""
+        """Apply a newly adopted fleet view."""
         self._state.adopt(view)
 
     def circuits_received(self, circuits: CircuitsView) -> None:
-        """Take the agreed circuits as the last known ones."""
+        """Store the agreed circuit states as the most recent known ones."""
         self._state.take_circuits(circuits, self._clock())
 
     def counter_report(
         self, term: int, unacknowledged: tuple[AttemptReport, ...] = ()
     ) -> CounterReport:
-        """Return this router's own counters for a new leader."""
+        """Return the attempt counters of this router, which a new leader requests."""
         return self._state.fallback.counter_report(term, self._clock(), unacknowledged)
 
     def _limits(self) -> EdgeLimits:
@@ -206,7 +214,7 @@
         await runner.run()
 
     def _serves(self) -> bool:
-        """Whether this router may serve by a configuration now."""
+        """Return whether this router holds a lease and has a configuration to serve by."""
         if not self._fleet.is_fresh(self._clock()) or not self._state.refresh():
             return False
         self._has_served = self._has_served or self._state.configuration_version > 0
--- a/src/orchidpath/router/proxy/proxy_messages.py
+++ b/src/orchidpath/router/proxy/proxy_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses on forward routes, as the router keeps them."""
+"""Requests and heads of responses on forward routes, as the router holds them in memory."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 class ForwardedRequest(msgspec.Struct, frozen=True, kw_only=True):
     """A caller's request, with its complete body.
 
-    ``received_at`` is when its head was complete, in monotonic seconds.
+    ``received_at`` is the monotonic time, in seconds, at which the head was complete.
     """
 
     method: bytes
@@ -19,12 +19,12 @@
 
     @property
     def path(self) -> str:
-        """Path of the target, without its query."""
+        """Path of the request target, without the query."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
     @property
     def host(self) -> str:
-        """Value of the ``Host`` header; empty without one."""
+        """Value of the ``Host`` header; empty if the header is missing."""
         for name, value in self.headers:
             if name == b"host":
                 return value.decode("latin-1")
--- a/src/orchidpath/router/proxy/proxy_metrics.py
+++ b/src/orchidpath/router/proxy/proxy_metrics.py
@@ -1,10 +1,10 @@
-"""Metrics of forwarded requests."""
+"""Prometheus metrics of forwarded requests."""
 
 from orchidpath.common.metrics import Metrics
 
 
 class ProxyMetrics:
-    """Counters of one router's forwarded requests."""
+    """Counters of the requests that one router forwards and of their attempts."""
 
     def __init__(self) -> None:
         self._metrics = Metrics()
@@ -15,8 +15,8 @@
             "forward_attempts", "Orders to workers by stage and effect.", ("stage", "effect")
         )
 
-    def answered(self, route: str, outcome: str) -> None:
-        """Count a request by its outcome: a status, or why it was given up."""
+    def count_outcome(self, route: str, outcome: str) -> None:
+        """Count a request by its outcome: an HTTP status, or why it was abandoned."""
         self.requests.labels(route, outcome).inc()
 
     def page(self) -> bytes:
--- a/src/orchidpath/router/proxy/proxy_runner.py
+++ b/src/orchidpath/router/proxy/proxy_runner.py
@@ -1,7 +1,8 @@
-"""Drives one forwarded request's machine: carries out its effects and brings it the events.
+"""Runs the state machine of one forwarded request: executes its effects, feeds it the events.
 
-The machine (:mod:`orchidpath.forwarding.proxy.proxy_machine`) decides everything; this shell has
-workers chosen, exchanges requests and answers with them, and answers the caller.
+The machine (:mod:`orchidpath.forwarding.proxy.proxy_machine`) makes every decision. This module
+does the I/O: it requests worker choices, exchanges requests and responses with the workers, and
+responds to the caller.
 """
 
 import asyncio
@@ -25,22 +26,22 @@
 
 
 class ProxyRunner:
-    """Serves one request.
+    """Serves one forwarded request.
 
     Parameters
     ----------
     environment
-        What all runners share.
+        Dependencies that all runners share.
     request
-        The request.
+        The request, with its complete body.
     request_metadata
-        What its headers say.
+        Metadata from the headers of the request.
     route
-        Its route.
+        Route that the request matched.
     service
-        Name of the service that answers it.
+        Name of the service that processes the request.
     caller
-        Where its answer goes.
+        Connection that the response is written to.
     """
 
     def __init__(
@@ -55,9 +56,9 @@
         self._environment = environment
         self._route = route
         self._caller = caller
-        subject = _subject(environment, request_metadata, route, service)
-        self._plan = _plan(environment, request, request_metadata, route, subject)
-        self._machine = ProxyMachine(self._plan, _shared(environment, subject))
+        subject = _decision_subject(environment, request_metadata, route, service)
+        self._plan = _request_plan(environment, request, request_metadata, route, subject)
+        self._machine = ProxyMachine(self._plan, _shared_resources(environment, subject))
         self._attempts = ProxyAttempts(environment, request_metadata, subject)
         self._exchange = WorkerExchange(environment, request, request_metadata, service)
         self._response = ResponseRelay(
@@ -66,14 +67,14 @@
         )
 
     async def run(self) -> None:
-        """Serve the request to its end.
+        """Serve the request until its response is complete or has failed.
 
         Raises
         ------
         asyncio.CancelledError
-            If the caller left.
+            If the caller disconnected.
         CallerDisconnectedError
-            If the caller can't be answered, or its answer had to be broken off.
+            If the response can't be written to the caller, or had to be aborted.
         """
         try:
             async with asyncio.timeout_at(self._plan.deadline):
@@ -86,19 +87,19 @@
     async def _serve(self) -> None:
         operation = self._handle(events.RequestStarted())
         while operation is not None:
-            event = await self._operate(operation)
+            event = await self._execute_operation(operation)
             operation = self._handle(event)
 
     def _handle(self, event: ProxyEvent) -> ProxyOperation | None:
-        """Carry out the actions that follow an event; returns the operation that comes next."""
+        """Pass an event to the machine and execute its actions; return its next operation."""
         for effect in self._machine.handle(event, self._environment.clock()):
             if isinstance(effect, effects.OPERATIONS):
                 return effect
-            self._act(effect)
+            self._execute_action(effect)
         return None
 
-    async def _operate(self, operation: ProxyOperation) -> ProxyEvent:
-        """Carry out what takes time; returns the event that it ends in."""
+    async def _execute_operation(self, operation: ProxyOperation) -> ProxyEvent:
+        """Execute an operation and return the event that it ends in."""
         match operation:
             case effects.ChooseWorkers():
                 return await self._attempts.decide(operation)
@@ -116,50 +117,50 @@
             case effects.RelayResponse():
                 return await self._exchange.relay(self._response)
 
-    def _act(self, action: effects.ProxyAction) -> None:
-        """Carry out what is done at once."""
+    def _execute_action(self, action: effects.ProxyAction) -> None:
+        """Execute an action, which never waits."""
         match action:
             case effects.SendErrorResponse():
                 self._send_error_response(action)
             case effects.AbortResponse():
                 self._response.close()
             case effects.DropCaller():
-                raise CallerDisconnectedError("the answer was broken off")
+                raise CallerDisconnectedError("the response was aborted before its end")
             case effects.AbortConnection():
                 self._exchange.abort()
             case _:
                 self._record(action)
 
     def _record(self, action: effects.ProxyAction) -> None:
-        """Tell the leader, the metrics or a prefill worker what became of the request."""
+        """Send an outcome to the leader, to the metrics or to a prefill worker."""
         environment = self._environment
         match action:
             case effects.Report():
-                self._attempts.ended(action.chosen, action.observed, action.status)
+                self._attempts.report_end(action.chosen, action.observed, action.status)
             case effects.ReportRest():
-                self._attempts.end_all(action.observed)
+                self._attempts.report_all_ended(action.observed)
             case effects.RecordPrefillDone():
-                self._attempts.prefill_done(action.chosen)
+                self._attempts.report_prefill_done(action.chosen)
             case effects.RecordDelay():
                 environment.decisions.observe_delay(
                     action.worker_id, self._plan.request_id, action.seconds
                 )
             case effects.CountOutcome():
-                environment.metrics.answered(self._route.name, action.outcome)
+                environment.metrics.count_outcome(self._route.name, action.outcome)
             case effects.ReleaseHandle():
                 environment.tasks.spawn(release_handle(environment, action.source))
 
-    def _send_error_response(self, answer: effects.SendErrorResponse) -> None:
+    def _send_error_response(self, response: effects.SendErrorResponse) -> None:
         headers = [(b"content-type", b"text/plain")]
-        if answer.retry_after_seconds is not None:
-            headers.append((b"retry-after", b"%.2f" % answer.retry_after_seconds))
-        self._caller.send_answer(answer.status, headers, answer.reason.encode())
+        if response.retry_after_seconds is not None:
+            headers.append((b"retry-after", b"%.2f" % response.retry_after_seconds))
+        self._caller.send_answer(response.status, headers, response.reason.encode())
 
 
-def _subject(
+def _decision_subject(
     environment: ProxyEnvironment, metadata: RequestMetadata, route: ForwardRoute, service: str
 ) -> DecisionSubject:
-    """Return what the request's decisions are about."""
+    """Return the subject of every routing decision for the request."""
     is_model = environment.state.service_kind(service) is ServiceKind.MODEL
     key = metadata.prefix_key if route.prefix_affinity else request_key(metadata.request_id)
     return DecisionSubject(
@@ -172,18 +173,18 @@
     )
 
 
-def _plan(
+def _request_plan(
     environment: ProxyEnvironment,
     request: ForwardedRequest,
     request_metadata: RequestMetadata,
     route: ForwardRoute,
     subject: DecisionSubject,
 ) -> ProxyPlan:
-    """Return what the machine must know of the request."""
+    """Return the properties of the request that its machine works with."""
     seconds = route.timeout_seconds
     if request_metadata.deadline_seconds is not None:
         seconds = min(seconds, request_metadata.deadline_seconds)
-    # A short prompt is prefilled by the decode worker itself, between the tokens of others.
+    # A decode worker prefills a short prompt itself, between decode steps of its other requests.
     shortest = environment.state.configuration.admission.direct_prompt_tokens
     return ProxyPlan(
         request_id=request_metadata.request_id,
@@ -196,8 +197,8 @@
     )
 
 
-def _shared(environment: ProxyEnvironment, subject: DecisionSubject) -> ProxyShared:
-    """Return what the machine shares with those of other requests."""
+def _shared_resources(environment: ProxyEnvironment, subject: DecisionSubject) -> ProxyShared:
+    """Return what the machines of all requests share."""
     state = environment.state
 
     def has_prefill_workers() -> bool:
--- a/src/orchidpath/router/proxy/proxy_server.py
+++ b/src/orchidpath/router/proxy/proxy_server.py
@@ -1,7 +1,7 @@
-"""Connections of callers of forward routes: reads complete requests, writes responses as they come.
+"""HTTP server for callers of forward routes: reads complete requests, streams the responses.
 
-HTTP is h11's, which refuses what is not HTTP; this module adds the limits on size and time, and
-cancels the work on a request at once when its caller leaves.
+The h11 library parses and writes HTTP, and rejects malformed requests. This module adds limits on
+size and time, and cancels the processing of a request as soon as its caller disconnects.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from orchidpath.wire.configuration import EdgeLimits
 
 LISTEN_BACKLOG = 512
-"""New connections that may wait to be accepted."""
+"""Number of new connections that the kernel queues until they are accepted."""
 
 TOO_LARGE_STATUS = 413
 HEAD_TOO_LARGE_STATUS = 431
@@ -26,11 +26,11 @@
 
 
 class CallerDisconnectedError(OrchidpathError):
-    """The caller's connection is closed, so nothing can be answered."""
+    """The caller's connection is closed, so no response can be written."""
 
 
 class _RefusedRequestError(OrchidpathError):
-    """The request is rejected before it was read completely, and its connection closed."""
+    """A request is rejected before it was read completely; its connection is then closed."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -38,12 +38,12 @@
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection of a caller.
+    """One connection of a caller, which carries one request at a time.
 
     Parameters
     ----------
     server
-        What all connections share.
+        Server that accepted the connection, with the limits and the request handler.
     """
 
     def __init__(self, server: "ProxyServer") -> None:
@@ -59,45 +59,45 @@
 
     @property
     def is_resting(self) -> bool:
-        """Whether nothing of a request has come that is not answered yet."""
+        """Whether no request is being served and no byte of a next one has arrived."""
         return self.is_idle and not self._has_input
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve (called by asyncio)."""
+        """Start the task that serves the connection (called by asyncio)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._server.connections.add(self)
         self._task = asyncio.get_running_loop().create_task(self._serve())
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of a request (called by asyncio)."""
+        """Pass received bytes to the HTTP parser (called by asyncio)."""
         self._has_input = True
         try:
             self._http.receive_data(data)
-        except RuntimeError:  # bytes after the end of what was agreed on
+        except RuntimeError:  # h11 received bytes after the end of the stream
             self.close()
         self._wake()
 
     def eof_received(self) -> bool:
-        """Close: a caller that sends nothing more has left (called by asyncio)."""
+        """Close the connection: a caller that ends its stream has left (called by asyncio)."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop the work for a caller that has left (called by asyncio)."""
+        """Cancel the request of a caller that has disconnected (called by asyncio)."""
         self._transport = None
         self._server.connections.discard(self)
         if self._task is not None:
             self._task.cancel()
 
     def send_head(self, head: ResponseHead, *, closes: bool = False) -> None:
-        """Write the head of an answer.
+        """Write the status and the headers of a response.
 
         Parameters
         ----------
         head
-            Its status and headers; without a length the body is sent in chunks.
+            Status and headers; without a ``Content-Length`` the body is sent in chunks.
         closes
-            Whether the connection closes after this answer.
+            Whether the connection closes after this response.
         """
         headers = list(head.headers)
         if closes or self._server.is_draining():
@@ -105,17 +105,17 @@
         self._write(self._http.send(h11.Response(status_code=head.status, headers=headers)))
 
     def send_body(self, data: bytes) -> None:
-        """Write a part of the body."""
+        """Write a part of the response body."""
         self._write(self._http.send(h11.Data(data=data)))
 
     def send_end(self) -> None:
-        """End the answer."""
+        """Write the end of the response."""
         self._write(self._http.send(h11.EndOfMessage()))
 
     def send_answer(
         self, status: int, headers: Sequence[Header], body: bytes, *, closes: bool = False
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete response with a ``Content-Length``."""
         length = (b"content-length", b"%d" % len(body))
         self.send_head(ResponseHead(status=status, headers=(*headers, length)), closes=closes)
         if body:
@@ -123,32 +123,33 @@
         self.send_end()
 
     def close(self) -> None:
-        """Close after what was written; an answer that has not ended is then visibly cut off."""
+        """Close after the written bytes were sent; an unfinished response is visibly truncated."""
         if self._transport is not None:
             self._transport.close()
 
-    def break_off(self) -> None:
-        """Close at once, so that no answer looks complete."""
+    def abort(self) -> None:
+        """Abort the connection, so that the caller can't take the response for complete."""
         if self._transport is not None:
             self._transport.abort()
 
     async def _serve(self) -> None:
         try:
-            while await self._serve_one() and not self._server.is_stopped:
+            while await self._serve_next_request() and not self._server.is_stopped:
                 self._http.start_next_cycle()
         except CallerDisconnectedError:
             pass
         except _RefusedRequestError as refused:
             self._refuse(refused)
         except h11.LocalProtocolError as error:
-            # A body shorter or longer than its head said: the caller must not take it for whole.
+            # The body does not have the length that its head states. The caller must not take the
+            # response for complete.
             get_logger("forward_server").warning("answer_broken_off", reason=str(error))
-            self.break_off()
+            self.abort()
         finally:
             self.close()
 
-    async def _serve_one(self) -> bool:
-        """Serve the next request; False when the connection ends with it."""
+    async def _serve_next_request(self) -> bool:
+        """Serve the next request; return whether the connection can carry another one."""
         request = await self._read_request()
         if request is None:
             return False
@@ -165,7 +166,7 @@
         self.send_answer(refused.status, (), str(refused).encode(), closes=True)
 
     async def _read_request(self) -> ForwardedRequest | None:
-        """Read the next complete request; None when the caller closes or is idle for too long."""
+        """Return the next complete request; None if the caller closes or is idle for too long."""
         head = await self._read_head()
         if head is None:
             return None
@@ -200,13 +201,13 @@
         if isinstance(event, h11.ConnectionClosed):
             return None
         assert isinstance(event, h11.Request)
-        # The library bounds a head only while it is not complete.
+        # h11 limits the size of a head only while the head is incomplete.
         if sum(len(name) + len(value) for name, value in event.headers) > limits.max_header_bytes:
             raise _RefusedRequestError(HEAD_TOO_LARGE_STATUS, "the head is too large")
         return event
 
     async def _event_within(self, seconds: float) -> h11.Event:
-        """Return the next event, of which every wait is bounded together."""
+        """Return the next HTTP event; the time-out, in seconds, covers all waits for its bytes."""
         event = self._next_event()
         if event is not None:
             return event
@@ -249,22 +250,22 @@
 
 
 RequestHandler = Callable[[ForwardedRequest, CallerConnection], Awaitable[None]]
-"""Answers one request on its connection."""
+"""Responds to one request on its connection."""
 
 
 class ProxyServer:
-    """Accepts callers at one address.
+    """Accepts connections of callers at one address.
 
     Parameters
     ----------
     address
-        ``IP:port``.
+        ``IP:port`` to listen on; port 0 selects a free port.
     handle
-        Answers a request.
+        Responds to a request.
     limits
-        Gives the limits in force.
+        Returns the current limits on requests.
     is_draining
-        Whether connections are to be closed after their answers.
+        Returns whether connections close after their current response.
     clock
         Monotonic clock.
     """
@@ -287,7 +288,13 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; OSError when the address can't be had."""
+        """Start to listen.
+
+        Raises
+        ------
+        OSError
+            If the address can't be bound.
+        """
         host, port = parse_address(self.address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -297,10 +304,10 @@
         self.address = f"{host}:{bound_port}"
 
     def stop_listening(self) -> None:
-        """Accept no further connection, and no further request on those that are open.
+        """Accept no further connections, and no further requests on open connections.
 
-        A caller with an idle connection can't be notified before it sends its next request; if that
-        were accepted, too little time might be left for it.
+        Idle connections are closed now: their callers can't be notified otherwise before they send
+        a request, and a request accepted this late may not have enough time to finish.
         """
         self.is_stopped = True
         if self._server is not None:
--- a/src/orchidpath/router/proxy/response_relay.py
+++ b/src/orchidpath/router/proxy/response_relay.py
@@ -1,7 +1,7 @@
-"""Relays the response of a worker to the caller, and resumes it with that of another worker.
+"""Relays the response of a worker to the caller, and resumes an interrupted one from another.
 
-Once the head of a response has been written no other can be sent: its body follows, or the
-connection is aborted in the middle of it, so that it never looks complete.
+Once the head of a response has been written, no other response can be sent. Either its complete
+body follows, or the connection is aborted in the middle, so that the response never looks complete.
 """
 
 from orchidpath.forwarding.resumable_stream import ResumableStream, StitchedStreamError
@@ -12,14 +12,14 @@
 
 
 class ResponseRelay:
-    """The response to one request on its way to the caller.
+    """Writes the response to one request to the caller.
 
     Parameters
     ----------
     caller
-        Where it goes.
+        Connection that the response is written to.
     may_be_resumed
-        Whether another worker can resume it where its worker breaks off.
+        Whether another worker can resume the stream if its worker fails in the middle.
     """
 
     def __init__(self, caller: CallerConnection, *, may_be_resumed: bool) -> None:
@@ -29,18 +29,18 @@
 
     @property
     def last_event_id(self) -> str:
-        """Event after which another worker is to resume; empty before the first."""
+        """Id of the event after which another worker resumes the stream; empty before the first."""
         return self._stream.last_event_id if self._stream is not None and self.has_started else ""
 
     def begin(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Write the head, once: a stream that is resumed keeps that of its first worker.
+        """Write the head unless one was written: a resumed stream keeps that of its first worker.
 
         Parameters
         ----------
         status
             Status of the worker's response.
         headers
-            Its headers, as the caller receives them.
+            Headers of the response, as the caller receives them.
         """
         if self.has_started:
             return
@@ -49,13 +49,13 @@
         self.has_started = True
         self._caller.send_head(ResponseHead(status=status, headers=headers))
 
-    def pass_on(self, part: bytes) -> None:
-        """Write a chunk of the body; of a resumable stream only complete events.
+    def write_part(self, part: bytes) -> None:
+        """Write a part of the body; for a resumable stream, only its complete events.
 
         Raises
         ------
         BrokenResponseError
-            The worker that was to resume a stream restarted it.
+            The worker that had to resume a stream restarted it from the beginning.
         """
         if self._stream is not None:
             try:
@@ -66,14 +66,14 @@
             self._caller.send_body(part)
 
     def end(self) -> None:
-        """End the response."""
+        """Write the end of the response, after what is buffered of the stream."""
         remainder = self._stream.end() if self._stream is not None else b""
         if remainder:
             self._caller.send_body(remainder)
         self._caller.send_end()
 
-    def broke_off(self) -> bool:
-        """Record that the worker broke off; returns whether another one can resume."""
+    def record_interruption(self) -> bool:
+        """Record that the worker failed; return whether another worker can resume the stream."""
         if self._stream is None:
             return False
         self._stream.broke_off()
@@ -81,4 +81,4 @@
 
     def close(self) -> None:
         """Abort the caller's connection in the middle of the response."""
-        self._caller.break_off()
+        self._caller.abort()
--- a/src/orchidpath/router/proxy/upstream.py
+++ b/src/orchidpath/router/proxy/upstream.py
@@ -1,7 +1,8 @@
-"""Connections from a router to workers: one request at a time on each, reused while clean.
+"""Pooled HTTP connections from a router to workers, each with one request at a time.
 
-HTTP is h11's; this module moves its bytes and decides when a connection may be reused. One that
-has failed, was left in the middle of a response or has sent unsolicited bytes is closed.
+The h11 library parses and writes HTTP. This module does the socket I/O and decides when a
+connection may be reused. A connection is closed if it failed, if it was abandoned in the middle of
+a response, or if its worker sent unsolicited bytes.
 """
 
 import asyncio
@@ -19,32 +20,32 @@
 from orchidpath.router.proxy.proxy_messages import ResponseHead
 
 CONNECT_TIMEOUT_SECONDS = 0.5
-"""A worker that takes longer, in seconds, to accept a connection is taken as unreachable."""
+"""A worker that takes longer to accept a connection is treated as unreachable."""
 
 MAX_IDLE_SECONDS = 4.0
-"""An idle connection is closed after this long where its worker sends no ``Keep-Alive``."""
+"""An idle connection is closed after this time if its worker sent no ``Keep-Alive`` header."""
 
 MAX_KEEP_ALIVE_SECONDS = 30.0
-"""Upper bound on the idle time that a worker's ``Keep-Alive`` allows."""
+"""Upper bound on the idle time, also if the ``Keep-Alive`` header of a worker allows more."""
 
 IDLE_MARGIN_SECONDS = 1.0
-"""An idle connection is closed this long before its worker would close it."""
+"""An idle connection is closed this much earlier than its worker would close it."""
 
 UNACKNOWLEDGED_TIMEOUT_MILLISECONDS = 900
-"""``TCP_USER_TIMEOUT``: a connection is lost when nothing was acknowledged for this long."""
+"""``TCP_USER_TIMEOUT``: a connection is lost if sent data is not acknowledged for this long."""
 
 KEEPALIVE_IDLE_SECONDS = 1
-"""``TCP_KEEPIDLE`` and ``TCP_KEEPINTVL``: time without a byte before the kernel sends a probe."""
+"""``TCP_KEEPIDLE``, ``TCP_KEEPINTVL``: time without a byte after which the kernel probes."""
 
 KEEPALIVE_PROBES = 2
-"""``TCP_KEEPCNT``: unacknowledged probes after which the connection is lost."""
+"""``TCP_KEEPCNT``: number of unacknowledged probes after which the connection is lost."""
 
 MAX_RESPONSE_HEAD_BYTES = 65_536
-"""A response with a larger head is malformed."""
+"""Upper bound on the head of a response; a larger head is malformed."""
 
 
 class UpstreamError(OrchidpathError):
-    """A request to a worker failed; ``was_sent`` says whether any byte of it left this router."""
+    """A request to a worker failed; ``was_sent`` is whether any of its bytes may have been sent."""
 
     def __init__(self, message: str, *, was_sent: bool) -> None:
         super().__init__(message)
@@ -59,14 +60,14 @@
 
 
 class BrokenResponseError(UpstreamError):
-    """The response broke off, or violates HTTP."""
+    """The response was truncated, or violates HTTP."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message, was_sent=True)
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to a worker."""
+    """One connection to a worker, which carries one request at a time."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -78,41 +79,44 @@
         self._parse_problem = ""
         self._lost_problem = ""
         self._max_idle_seconds = MAX_IDLE_SECONDS
-        self.is_busy = False
+        self.is_in_use = False
         self.idle_since = clock()
         self.on_lost: Callable[[UpstreamConnection], None] | None = None
 
     @property
     def is_usable(self) -> bool:
-        """Whether it may carry another request."""
+        """Whether the connection is open, not in use, and not idle for too long."""
         idle_seconds = self._clock() - self.idle_since
         is_open = self._transport is not None and not self._transport.is_closing()
-        return is_open and not self.is_busy and idle_seconds < self._max_idle_seconds
+        return is_open and not self.is_in_use and idle_seconds < self._max_idle_seconds
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (called by asyncio)."""
+        """Store the transport and set its socket options (called by asyncio)."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         _detect_unreachable_host(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Receive bytes of the response (called by asyncio)."""
-        if not self.is_busy:
-            # Unsolicited: these bytes belong to no request.
+        """Pass received bytes to the HTTP parser (called by asyncio)."""
+        if not self.is_in_use:
+            # Unsolicited bytes: they must not be read as the response to the next request.
             self.close()
             return
         self._receive(data)
         self._wake()
 
     def eof_received(self) -> bool:
-        """Receive the end of the stream (called by asyncio)."""
-        if self.is_busy:
+        """Pass the end of the stream to the HTTP parser (called by asyncio)."""
+        if self.is_in_use:
             self._receive(b"")
         self._wake()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Record the loss; a reset never completes a response (called by asyncio)."""
+        """Record that the connection was lost (called by asyncio).
+
+        Unlike the end of the stream, a reset never completes a response.
+        """
         self._lost_problem = f"the connection was lost: {exc or 'closed'}"
         self._transport = None
         self._wake()
@@ -120,10 +124,18 @@
             self.on_lost(self)
 
     def send(self, method: bytes, target: bytes, headers: Sequence[Header], body: bytes) -> None:
-        """Write one request; raises NoConnectionError."""
+        """Write one request.
+
+        Raises
+        ------
+        NoConnectionError
+            The connection is closed, or the request is not valid HTTP; nothing was sent.
+        """
         if self._transport is None or self._transport.is_closing():
-            raise NoConnectionError("the connection closed before its first byte")
-        self.is_busy = True
+            raise NoConnectionError(
+                "the connection closed before the first byte of the request was sent"
+            )
+        self.is_in_use = True
         self._request = h11.Request(method=method, target=target, headers=list(headers))
         try:
             content = self._http.send(self._request) or b""
@@ -131,17 +143,25 @@
                 content += self._http.send(h11.Data(data=body)) or b""
             content += self._http.send(h11.EndOfMessage()) or b""
         except h11.LocalProtocolError as error:
-            raise NoConnectionError(f"the order can't be written: {error}") from error
+            raise NoConnectionError(f"the request is not valid HTTP: {error}") from error
         self._transport.write(content)
 
     async def read_head(self) -> ResponseHead:
-        """Return the head of the response; raises BrokenResponseError."""
+        """Return the head of the response.
+
+        Raises
+        ------
+        BrokenResponseError
+            The connection was lost, or the received bytes are no response.
+        """
         while True:
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise BrokenResponseError(f"{type(event).__name__} instead of an answer")
+                raise BrokenResponseError(
+                    f"{type(event).__name__} received instead of the head of a response"
+                )
             self._record_keep_alive(event)
             return ResponseHead(
                 status=event.status_code,
@@ -149,36 +169,45 @@
             )
 
     async def read_body(self) -> bytes | None:
-        """Return the next bytes of the body, None at its end; raises BrokenResponseError."""
+        """Return the next bytes of the body, or None at its end.
+
+        Raises
+        ------
+        BrokenResponseError
+            The response was truncated, or violates HTTP.
+        """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise BrokenResponseError(f"{type(event).__name__} inside an answer")
+        raise BrokenResponseError(f"{type(event).__name__} received in the body of a response")
 
     def skip_foreign_response(self) -> None:
-        """Discard a response that was read and belongs to another request; the next is ours.
+        """Prepare to read another response, after one to a different request was read.
 
         Raises
         ------
         BrokenResponseError
-            Nothing can follow on this connection.
+            The connection ends with the response that was read.
         """
         rest, is_ended = self._http.trailing_data
         if self._http.their_state is not h11.DONE:
-            raise BrokenResponseError("the answer of another request ended the connection")
+            raise BrokenResponseError("the connection ended with the response to another request")
         self._http = self._new_http()
-        self._finish_own_side()
+        self._replay_sent_request()
         if rest:
             self._receive(rest)
         if is_ended:
             self._receive(b"")
 
     def release(self) -> None:
-        """End the exchange after its response was read; the connection stays open if clean."""
+        """End an exchange; close the connection unless both messages are complete.
+
+        It is also closed if surplus bytes arrived or the request is still being written.
+        """
         transport = self._transport
-        self.is_busy = False
+        self.is_in_use = False
         self.idle_since = self._clock()
         is_done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         surplus = self._http.trailing_data[0]
@@ -188,16 +217,16 @@
         self._http.start_next_cycle()
 
     def close(self) -> None:
-        """Close at once; a worker cancels what it still does for this connection."""
-        self.is_busy = False
+        """Abort the connection; the worker then cancels the request that it runs for it."""
+        self.is_in_use = False
         if self._transport is not None:
             self._transport.abort()
 
     def _new_http(self) -> h11.Connection:
         return h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEAD_BYTES)
 
-    def _finish_own_side(self) -> None:
-        """Bring a new parser to where the request has been sent, without sending it again."""
+    def _replay_sent_request(self) -> None:
+        """Advance a new parser past the sent request, without writing the request again."""
         self._http.send(self._request)
         length = next((int(v) for n, v in self._request.headers if n == b"content-length"), 0)
         if length:
@@ -214,7 +243,7 @@
 
     async def _next_event(self) -> h11.Event:
         while True:
-            event = self._event_at_hand()
+            event = self._parse_next_event()
             if event is not None:
                 return event
             if self._lost_problem:
@@ -222,8 +251,8 @@
             self._waiter = self._loop.create_future()
             await self._waiter
 
-    def _event_at_hand(self) -> h11.Event | None:
-        """Return the next event of what has arrived; None if more must arrive first."""
+    def _parse_next_event(self) -> h11.Event | None:
+        """Return the next event from the received bytes; None if more bytes are needed."""
         if self._parse_problem:
             raise BrokenResponseError(self._parse_problem)
         try:
@@ -232,21 +261,23 @@
             self._parse_problem = str(error)
             raise BrokenResponseError(self._parse_problem) from error
         if event is h11.PAUSED:
-            raise BrokenResponseError("the answer ended before it began")
+            raise BrokenResponseError(
+                "no response can follow: the last one is complete or switched the protocol"
+            )
         return None if isinstance(event, type) else event
 
     def _wake(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _record_keep_alive(self, answer: h11.Response) -> None:
-        for name, value in answer.headers:
+    def _record_keep_alive(self, response: h11.Response) -> None:
+        for name, value in response.headers:
             if name == b"keep-alive":
                 self._max_idle_seconds = _keep_alive_seconds(value)
 
 
 class UpstreamPool:
-    """Connections to all workers, by address.
+    """Pool of connections to all workers, by the address of the worker.
 
     Parameters
     ----------
@@ -268,12 +299,12 @@
         address
             ``IP:port`` of the worker.
         limit
-            Connections that this router may open to it; 0 for no bound.
+            Connections that this router may have open to the worker; 0 for no limit.
 
         Raises
         ------
         NoConnectionError
-            The worker does not accept one in time, or the limit is reached.
+            The worker does not accept a connection in time, or the limit is reached.
         """
         idle = self._idle.get(address)
         while idle:
@@ -286,19 +317,19 @@
         return await self._connect(address)
 
     def release(self, address: str, connection: UpstreamConnection) -> None:
-        """Return a connection to the pool after its response was read."""
+        """Return a connection to the pool after its response was read, if it can be reused."""
         connection.release()
         if connection.is_usable:
             self._idle.setdefault(address, deque()).append(connection)
 
     def release_unused(self, address: str, connection: UpstreamConnection) -> None:
-        """Return a connection to the pool on which nothing was sent."""
+        """Return a connection to the pool that carried no request."""
         self._idle.setdefault(address, deque()).append(connection)
 
     def close_idle(self) -> None:
         """Close connections that have been idle for too long."""
         for address, idle in list(self._idle.items()):
-            usable = deque(one for one in idle if one.is_usable)
+            usable = deque(connection for connection in idle if connection.is_usable)
             for connection in idle:
                 if not connection.is_usable:
                     connection.close()
@@ -340,10 +371,10 @@
 
 
 def _detect_unreachable_host(transport: asyncio.Transport) -> None:
-    """Have the kernel close the connection once the worker's host acknowledges nothing.
+    """Set socket options with which the kernel closes connections to an unreachable host.
 
-    A slow worker is waited for; an unreachable host is distinguished from it within about two
-    seconds.
+    The host of a slow worker still acknowledges packets, so that worker is waited for. An
+    unreachable host is detected within about two seconds.
     """
     tcp_socket = transport.get_extra_info("socket")
     if tcp_socket is None:
@@ -359,7 +390,7 @@
 
 
 def _keep_alive_seconds(value: bytes) -> float:
-    """Return how long a connection may be idle by its ``Keep-Alive`` header, in seconds."""
+    """Return the idle time, in seconds, that a ``Keep-Alive`` header allows a connection."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.strip().isdigit():
--- a/src/orchidpath/router/proxy/worker_exchange.py
+++ b/src/orchidpath/router/proxy/worker_exchange.py
@@ -1,7 +1,7 @@
-"""Exchanges of one forwarded request with workers: one at a time, each operation ends in an event.
+"""HTTP exchanges of one forwarded request with workers, one at a time.
 
-A connection whose response was read completely goes back to the pool; one that was left in the
-middle of a response, for whatever reason, is closed.
+Each operation returns the event that it ends in. A connection whose response was read completely
+returns to the pool. A connection that is abandoned in the middle of a response is always closed.
 """
 
 import asyncio
@@ -28,32 +28,34 @@
 )
 
 MAX_PREFILL_REPLY_BYTES = 65_536
-"""A larger answer to a prefill is malformed."""
+"""Upper bound on the body of a response to a prefill; a larger body is malformed."""
 
 RELEASE_TIMEOUT_SECONDS = 1.0
-"""Bound on freeing a KV cache that no worker fetches; it expires by itself otherwise."""
+"""Time-out for freeing a KV cache that no worker fetches; otherwise the worker expires it."""
 
 
-class _OwnHead(msgspec.Struct, frozen=True):
-    """The head of the answer to this request, and what it says."""
+class _MatchedHead(msgspec.Struct, frozen=True):
+    """The head of a response that belongs to this request, with its metadata."""
 
     head: ResponseHead
     metadata: ResponseMetadata
 
 
 class WorkerExchange:
-    """The exchange with the worker that was dispatched to last.
+    """Exchanges a request and its response with one worker after another.
+
+    Only the last dispatch has a current connection, which the other operations use.
 
     Parameters
     ----------
     environment
-        What all runners share.
+        Dependencies that all runners share.
     request
-        The request.
+        The request, with its complete body.
     request_metadata
-        What its headers say.
+        Metadata from the headers of the request.
     service
-        Name of the service that answers it.
+        Name of the service that processes the request.
     """
 
     def __init__(
@@ -69,11 +71,11 @@
         self._service = service
         self._address = ""
         self._connection: UpstreamConnection | None = None
-        self._own: _OwnHead | None = None
-        self._first: bytes | None = None
+        self._matched: _MatchedHead | None = None
+        self._first_part: bytes | None = None
 
     async def dispatch(self, dispatch: effects.Dispatch) -> ProxyEvent:
-        """Connect to a worker, check whether it may be sent to, and send the request."""
+        """Connect to a worker, check that it may still receive the request, and send it."""
         environment = self._environment
         chosen = dispatch.target
         worker = chosen.worker
@@ -99,12 +101,12 @@
         return events.Dispatched()
 
     async def await_prefill(self, timeout_at: float) -> ProxyEvent:
-        """Read the answer to a prefill, until a monotonic time at the latest."""
+        """Read the response to a prefill, with a time-out at a monotonic time in seconds."""
         connection = self._current()
         try:
             async with asyncio.timeout_at(timeout_at):
-                own = await self._own_head(connection)
-                body = await _full_body(connection)
+                matched = await self._read_matched_head(connection)
+                body = await _read_full_body(connection)
         except BrokenResponseError:
             connection.close()
             return events.ExchangeBroken()
@@ -116,19 +118,21 @@
             raise
         self._environment.pool.release(self._address, connection)
         result = None
-        if own.head.status == 200:
+        if matched.head.status == 200:
             result = self._environment.protocol_mapping.read_prefill_result(body)
         if result is None:
-            return events.PrefillRejected(own.head.status, own.metadata.guarantees_not_executed)
+            return events.PrefillRejected(
+                matched.head.status, matched.metadata.guarantees_not_executed
+            )
         return events.PrefillSucceeded(result.handle, result.version)
 
     async def await_head(self, timeout_seconds: float) -> ProxyEvent:
-        """Read the head of the answer and the first bytes of its body."""
+        """Read the head of the response and the first bytes of its body."""
         connection = self._current()
         try:
             async with asyncio.timeout(timeout_seconds):
-                self._own = await self._own_head(connection)
-                self._first = await connection.read_body()
+                self._matched = await self._read_matched_head(connection)
+                self._first_part = await connection.read_body()
         except BrokenResponseError:
             connection.close()
             return events.ExchangeBroken()
@@ -138,9 +142,9 @@
         except BaseException:
             connection.close()
             raise
-        metadata = self._own.metadata
+        metadata = self._matched.metadata
         return events.HeadReceived(
-            status=self._own.head.status,
+            status=self._matched.head.status,
             guarantees_not_executed=metadata.guarantees_not_executed,
             is_signed=metadata.is_signed,
             is_encoded=metadata.is_encoded,
@@ -149,10 +153,10 @@
         )
 
     async def drain_refusal(self) -> ProxyEvent:
-        """Read a refusal's body to its end, so that its connection can be used again."""
+        """Read the body of a rejection to its end, so that the connection can be reused."""
         connection = self._current()
         try:
-            part = self._first
+            part = self._first_part
             while part is not None:
                 part = await connection.read_body()
         except UpstreamError:
@@ -164,24 +168,24 @@
         self._environment.pool.release(self._address, connection)
         return events.RefusalDrained()
 
-    async def relay(self, answer: ResponseRelay) -> ProxyEvent:
-        """Pass the answer on as it comes; from here on nothing else can be answered."""
+    async def relay(self, response: ResponseRelay) -> ProxyEvent:
+        """Relay the response as it arrives; no other response can be sent after its head."""
         connection = self._current()
-        assert self._own is not None
-        head = self._own.head
+        assert self._matched is not None
+        head = self._matched.head
         mapping = self._environment.protocol_mapping
         headers = mapping.response_headers(head.headers, keep_signature=True)
         try:
-            answer.begin(head.status, tuple(headers))
-            part = self._first
+            response.begin(head.status, tuple(headers))
+            part = self._first_part
             while part is not None:
-                answer.pass_on(part)
+                response.write_part(part)
                 part = await connection.read_body()
-            answer.end()
+            response.end()
         except BrokenResponseError:
             connection.close()
-            is_resumable = answer.broke_off()
-            return events.StreamBroken(is_resumable, answer.last_event_id)
+            is_resumable = response.record_interruption()
+            return events.StreamBroken(is_resumable, response.last_event_id)
         except BaseException:
             connection.close()
             raise
@@ -189,7 +193,7 @@
         return events.ResponseCompleted()
 
     def abort(self) -> None:
-        """Close the connection of the last dispatch, if it had one."""
+        """Close the connection of the last dispatch, if it was established."""
         if self._connection is not None:
             self._connection.close()
 
@@ -211,34 +215,34 @@
             last_event_id=dispatch.last_event_id,
         )
         headers = mapping.dispatch_headers(request.headers, metadata)
-        headers = [one for one in headers if one[0] != b"content-length"]
+        headers = [header for header in headers if header[0] != b"content-length"]
         if request.body:
             headers.append((b"content-length", b"%d" % len(request.body)))
         connection.send(request.method, request.target, headers, request.body)
 
-    async def _own_head(self, connection: UpstreamConnection) -> _OwnHead:
-        """Return the head of the answer that belongs to this request, skipping foreign ones."""
+    async def _read_matched_head(self, connection: UpstreamConnection) -> _MatchedHead:
+        """Return the head of the response to this request; discard responses to other requests."""
         while True:
             head = await connection.read_head()
             response_metadata = self._environment.protocol_mapping.read_response(
                 head.status, head.headers
             )
             if response_metadata.request_id in {"", self._request_metadata.request_id}:
-                return _OwnHead(head, response_metadata)
+                return _MatchedHead(head, response_metadata)
             while await connection.read_body() is not None:
                 pass
             connection.skip_foreign_response()
 
 
 async def release_handle(environment: ProxyEnvironment, source: KvSource) -> None:
-    """Free a KV cache at the worker that holds it; a failure is left to its expiry.
+    """Free a KV cache at the worker that holds it; if that fails, the KV cache expires there.
 
     Parameters
     ----------
     environment
-        What all runners share.
+        Dependencies that all runners share.
     source
-        The KV cache.
+        Address of the worker and handle of the KV cache.
     """
     target = environment.protocol_mapping.release_target(source.handle)
     try:
@@ -246,16 +250,16 @@
             connection = await environment.pool.connection(source.address, 0)
             connection.send(b"DELETE", target, [(b"host", source.address.encode())], b"")
             await connection.read_head()
-            await _full_body(connection)
+            await _read_full_body(connection)
     except (UpstreamError, TimeoutError):
         return
     environment.pool.release(source.address, connection)
 
 
-async def _full_body(connection: UpstreamConnection) -> bytes:
+async def _read_full_body(connection: UpstreamConnection) -> bytes:
     body = bytearray()
     while (part := await connection.read_body()) is not None:
         body += part
         if len(body) > MAX_PREFILL_REPLY_BYTES:
-            raise BrokenResponseError("the answer is too large")
+            raise BrokenResponseError("the response body exceeds MAX_PREFILL_REPLY_BYTES")
     return bytes(body)
--- a/tests/router/proxy_recording.py
+++ b/tests/router/proxy_recording.py
@@ -1,11 +1,11 @@
-"""Seeded runs of one forwarded request against scripted fakes, and the router's actions in each.
+"""Seeded runs of one forwarded request against scripted fakes, with the router's actions in each.
 
-A seed draws the scripts of the decisions, the workers and the caller; time is virtual. A run is
-recorded as the list of its outward actions: decision requests, dispatches to workers, reports,
-the response to the caller, and the release of KV handles and connections.
+The seed determines how the decisions, the workers and the caller behave; time is virtual. A run is
+recorded as the list of its externally visible actions: decision requests, dispatches to workers,
+reports, the response to the caller, and the release of KV handles and connections.
 
-``python tests/router/proxy_recording.py`` rewrites :data:`RECORDING`. That is done only together
-with an intended change of behaviour; ``test_proxy_recording`` compares every run with the file.
+``python tests/router/proxy_recording.py`` rewrites :data:`RECORDING`. Run it only together with an
+intended change of behaviour; ``test_proxy_recording`` compares every run with the file.
 """
 
 import asyncio
@@ -47,7 +47,7 @@
 from orchidpath.wire.records import Stage, WorkerRecord
 
 RECORDING = Path(__file__).with_name("proxy_recording.json")
-"""Outward actions of every seed's run, as of the last intended change of behaviour."""
+"""Externally visible actions of each seed's run, as of the last intended behaviour change."""
 
 SEEDS = range(1000)
 REQUEST_ID = "r"
@@ -67,19 +67,19 @@
     frozenset({"refused_full"}),
     frozenset({"refused_with_room"}),
 )
-"""Faults that are far more frequent than others in some of the runs."""
+"""Sets of faults, one per run, whose probability is multiplied by :data:`FOCUS_FACTOR`."""
 
 FOCUS_FACTOR = 12.0
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Never waits: the clock advances to the next timer of the loop."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Selector that never waits; it advances the clock to the next timer of the loop instead."""
 
     now = 1000.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise AssertionError("the run waits for what never happens")
+            raise AssertionError("the run waits without a timer, so nothing can wake it")
         self.now += max(timeout, 0.0)
         return super().select(0)
 
@@ -88,15 +88,15 @@
     """An event loop whose time advances only when every task waits."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._jumping.now
+        return self._virtual_selector.now
 
 
 class Script:
-    """Faults and delays drawn from a seed; each kind draws from a generator of its own."""
+    """Faults and delays selected at random from a seed, with a separate generator for each kind."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -110,8 +110,8 @@
         self.budget = RetryPolicy(
             budget_ratio=0.2, budget_minimum_per_second=setup.choice((0.0, 0.2, 10.0, 10.0))
         )
-        self.leaves_after = setup.uniform(0.0, 2.5) if setup.random() < 0.1 else None
-        self.leaves_at_write = setup.randrange(6) if setup.random() < 0.08 else None
+        self.disconnect_after_seconds = setup.uniform(0.0, 2.5) if setup.random() < 0.1 else None
+        self.disconnect_at_write = setup.randrange(6) if setup.random() < 0.08 else None
         self.has_body = setup.random() < 0.5
         self.focus = setup.choice(FOCUSES)
         self.caller_resumes = setup.random() < 0.1
@@ -138,18 +138,20 @@
     def source(self, kind: str) -> Random:
         return Random(f"{self.seed}-{kind}")
 
-    def draw(self, source: Random, faults: dict[str, float], well: str = "well") -> str:
-        """Return one of the faults by its probability, or no fault."""
+    def select_fault(
+        self, source: Random, faults: dict[str, float], no_fault: str = "no_fault"
+    ) -> str:
+        """Return a fault, selected by the probabilities of the faults, or ``no_fault``."""
         point = source.random()
         for fault, probability in faults.items():
             point -= probability * (FOCUS_FACTOR if fault in self.focus else self.fault_factor)
             if point < 0:
                 return fault
-        return well
+        return no_fault
 
 
-class Log:
-    """The outward actions of a run, each with its virtual time in milliseconds."""
+class ActionLog:
+    """Externally visible actions of a run, each with its virtual time in milliseconds."""
 
     def __init__(self) -> None:
         self.actions: list[str] = []
@@ -175,7 +177,7 @@
 class LoggedBudget(RetryBudget):
     """A retry budget that records its calls."""
 
-    def __init__(self, policy: RetryPolicy, log: Log) -> None:
+    def __init__(self, policy: RetryPolicy, log: ActionLog) -> None:
         super().__init__(policy)
         self._log = log
 
@@ -196,12 +198,12 @@
 class LoggedMetrics(ProxyMetrics):
     """Metrics that record each counted outcome."""
 
-    def __init__(self, log: Log) -> None:
+    def __init__(self, log: ActionLog) -> None:
         super().__init__()
         self._log = log
 
-    def answered(self, route: str, outcome: str) -> None:
-        super().answered(route, outcome)
+    def count_outcome(self, route: str, outcome: str) -> None:
+        super().count_outcome(route, outcome)
         self._log.add("counted", route, outcome)
 
 
@@ -214,47 +216,63 @@
 
 
 class FakeDecisions:
-    """Chooses workers, or rejects, by the script."""
+    """Chooses workers or rejects requests, as the script determines."""
 
-    def __init__(self, script: Script, log: Log) -> None:
+    def __init__(self, script: Script, log: ActionLog) -> None:
         self._script = script
         self._log = log
         self._source = script.source("decisions")
-        self.asked = 0
+        self.decision_count = 0
 
     async def decide(
-        self, subject: DecisionSubject, ask: RequestDecision
+        self, subject: DecisionSubject, decision: RequestDecision
     ) -> DecisionMade | NoCandidates:
-        self.asked += 1
-        stages = [f"{one.stage.value}({','.join(one.tried)})" for one in ask.per_stage]
-        about = (subject.prefill_worker_id, subject.may_wait, subject.prefix_key % 1000)
-        self._log.add("decide", ask.attempt_id, *stages, *about, subject.prompt is not None)
-        faults = {"none": 0.03, "postponed": 0.1, "rejected": 0.05, "left": 0.08, "gone": 0.05}
-        happens = self._script.draw(self._source, faults)
+        self.decision_count += 1
+        stages = [
+            f"{stage_tried.stage.value}({','.join(stage_tried.tried)})"
+            for stage_tried in decision.per_stage
+        ]
+        subject_parts = (subject.prefill_worker_id, subject.may_wait, subject.prefix_key % 1000)
+        self._log.add(
+            "decide", decision.attempt_id, *stages, *subject_parts, subject.prompt is not None
+        )
+        faults = {
+            "no_candidates": 0.03,
+            "postponed": 0.1,
+            "rejected": 0.05,
+            "prefill_omitted": 0.08,
+            "gone": 0.05,
+        }
+        fault = self._script.select_fault(self._source, faults)
         await asyncio.sleep(self._source.choice((0.0, 0.0, 0.002, 0.3)))
-        if happens == "none":
-            return NoCandidates(attempt_id=ask.attempt_id, reason="no usable worker")
+        if fault == "no_candidates":
+            return NoCandidates(attempt_id=decision.attempt_id, reason="no usable worker")
         reply = DecisionReply(correlation=0, term=0)
-        if happens in {"postponed", "rejected"}:
+        if fault in {"postponed", "rejected"}:
             rejections = (Rejection.CIRCUITS_OPEN, Rejection.EXHAUSTED, Rejection.SHARED_CAPACITY)
             rejection = self._source.choice(rejections)
-            if happens == "postponed":
+            if fault == "postponed":
                 rejection = Rejection.POSTPONED
             seconds = self._source.choice((0.0, 0.3, 1.5))
             reply = msgspec.structs.replace(reply, rejection=rejection, retry_after_seconds=seconds)
-            return DecisionMade(attempt_id=ask.attempt_id, reply=reply)
-        choices = tuple(self._choice(one.stage, one.tried, happens) for one in ask.per_stage)
-        if happens == "left" and len(choices) > 1:
+            return DecisionMade(attempt_id=decision.attempt_id, reply=reply)
+        choices = tuple(
+            self._choice(stage_tried.stage, stage_tried.tried, fault)
+            for stage_tried in decision.per_stage
+        )
+        if fault == "prefill_omitted" and len(choices) > 1:
             choices = choices[1:]
         reply = msgspec.structs.replace(
             reply, choices=choices, expected_read_seconds=self._source.choice((0.0, 0.1, 0.5))
         )
-        return DecisionMade(attempt_id=ask.attempt_id, reply=reply)
+        return DecisionMade(attempt_id=decision.attempt_id, reply=reply)
 
-    def _choice(self, stage: Stage, tried: Sequence[str], happens: str) -> Choice:
-        untried = [one for one in WORKERS[stage] if one not in tried] or list(WORKERS[stage])
+    def _choice(self, stage: Stage, tried: Sequence[str], fault: str) -> Choice:
+        untried = [candidate for candidate in WORKERS[stage] if candidate not in tried] or list(
+            WORKERS[stage]
+        )
         worker_id = self._source.choice(untried)
-        if happens == "gone" and self._source.random() < 0.6:
+        if fault == "gone" and self._source.random() < 0.6:
             worker_id = "gone"
         generation = self._source.choice((None, None, 3))
         return Choice(stage=stage, worker_id=worker_id, probe_generation=generation)
@@ -280,9 +298,9 @@
 
 
 class FakeState:
-    """Workers, the retry budget and the checks before the first byte of a dispatch."""
+    """Routing state with fixed workers, a logged retry budget and scripted send checks."""
 
-    def __init__(self, script: Script, log: Log, decisions: FakeDecisions) -> None:
+    def __init__(self, script: Script, log: ActionLog, decisions: FakeDecisions) -> None:
         self._script = script
         self._decisions = decisions
         self._checks = script.source("checks")
@@ -294,7 +312,7 @@
         return self._budget
 
     def service_kind(self, _service: str) -> ServiceKind:
-        kinds = [one for one in ServiceKind if one is not ServiceKind.MODEL]
+        kinds = [kind for kind in ServiceKind if kind is not ServiceKind.MODEL]
         return ServiceKind.MODEL if self._script.is_model else kinds[0]
 
     def model_of(self, _service: str, model: str) -> str:
@@ -302,10 +320,12 @@
 
     def eligible(self, _service: str, _stage: Stage, _model: str) -> tuple[str, ...]:
         if self._script.prefill_eligible == "varies":
-            is_there = self._script.source(f"eligible{self._decisions.asked}").random() < 0.6
+            are_eligible = (
+                self._script.source(f"eligible{self._decisions.decision_count}").random() < 0.6
+            )
         else:
-            is_there = self._script.prefill_eligible == "always"
-        return WORKERS[Stage.PREFILL] if is_there else ()
+            are_eligible = self._script.prefill_eligible == "always"
+        return WORKERS[Stage.PREFILL] if are_eligible else ()
 
     def worker(self, worker_id: str) -> WorkerRecord | None:
         for stage, workers in WORKERS.items():
@@ -329,12 +349,12 @@
             SendRefusal.WORKER_UNAVAILABLE.value: 0.04,
             SendRefusal.NOT_FRESH.value: 0.01,
         }
-        happens = self._script.draw(self._checks, faults, "")
-        return SendRefusal(happens) if happens else None
+        fault = self._script.select_fault(self._checks, faults, "")
+        return SendRefusal(fault) if fault else None
 
 
 class FakeConnection:
-    """A connection to a worker that answers by the script."""
+    """A connection to a worker whose responses follow the script."""
 
     def __init__(self, pool: "FakePool", label: str, source: Random, *, is_release: bool) -> None:
         self._pool = pool
@@ -345,15 +365,19 @@
         self._steps: list[Any] = []
 
     @property
-    def _note(self) -> Any:
+    def _record(self) -> Any:
         return self._pool.log.add_release if self._is_release else self._pool.log.add
 
     def send(self, method: bytes, target: bytes, headers: Sequence[Header], body: bytes) -> None:
         script = self._pool.script
-        shown = [f"{name.decode()}={value.decode()}" for name, value in headers]
-        self._note("send", self._label, method.decode(), target.decode(), *shown, len(body))
-        if script.draw(self._source, {"closed": 0.02}) == "closed":
-            raise NoConnectionError("the connection closed before its first byte")
+        header_texts = [f"{name.decode()}={value.decode()}" for name, value in headers]
+        self._record(
+            "send", self._label, method.decode(), target.decode(), *header_texts, len(body)
+        )
+        if script.select_fault(self._source, {"closed": 0.02}) == "closed":
+            raise NoConnectionError(
+                "the connection closed before the first byte of the request was sent"
+            )
         values = dict(headers)
         if method == b"DELETE":
             self._steps = self._release_steps()
@@ -373,14 +397,14 @@
         return step
 
     def skip_foreign_response(self) -> None:
-        self._note("skip", self._label)
+        self._record("skip", self._label)
         if self._steps and self._steps[0] == "unskippable":
-            raise BrokenResponseError("the answer of another request ended the connection")
+            raise BrokenResponseError("the connection ended with the response to another request")
 
     def close(self) -> None:
-        # Closing a closed connection changes nothing.
+        # Closing a connection a second time has no effect and is not recorded.
         if not self._is_closed:
-            self._note("close", self._label)
+            self._record("close", self._label)
         self._is_closed = True
 
     async def _next_step(self) -> Any:
@@ -401,7 +425,7 @@
         return [self._source.choice((0.0, 0.001, 0.05, 0.4))] if self._source.random() < 0.7 else []
 
     def _release_steps(self) -> list[Any]:
-        match self._pool.script.draw(self._source, {"hang": 0.1, "broken": 0.1}):
+        match self._pool.script.select_fault(self._source, {"hang": 0.1, "broken": 0.1}):
             case "hang":
                 return [HANG_SECONDS]
             case "broken":
@@ -412,7 +436,7 @@
         faults = {
             "refused": 0.05,
             "refused_421": 0.03,
-            "not_promised": 0.03,
+            "not_guaranteed": 0.03,
             "failed": 0.04,
             "malformed": 0.04,
             "broken": 0.05,
@@ -424,23 +448,23 @@
         }
         not_run = (b"x-orchidpath-not-run", b"1")
         body = PREFILL_BODY % (self._source.randrange(100), self._source.randrange(1, 4))
-        well = [self._head(200), body[:7], body[7:], None]
+        success = [self._head(200), body[:7], body[7:], None]
         pause = self._pause()
         kinds: dict[str, list[Any]] = {
-            "well": [*pause, *well],
+            "no_fault": [*pause, *success],
             "refused": [*pause, self._head(503, not_run), None],
             "refused_421": [*pause, self._head(421), b"no", None],
-            "not_promised": [*pause, self._head(503), None],
+            "not_guaranteed": [*pause, self._head(503), None],
             "failed": [*pause, self._head(500), b"failed", None],
             "malformed": [*pause, self._head(200), b"nothing", None],
             "broken": [*pause, BrokenResponseError("broken")],
             "broken_body": [*pause, self._head(200), b"{", BrokenResponseError("broken")],
             "oversized": [*pause, self._head(200), bytes(70_000), None],
             "hang": [HANG_SECONDS],
-            "slow": [1.3, *well],
-            "foreign": [*pause, self._head(200, request_id="other"), b"stolen", None, *well],
+            "slow": [1.3, *success],
+            "foreign": [*pause, self._head(200, request_id="other"), b"stolen", None, *success],
         }
-        return kinds[self._pool.script.draw(self._source, faults)]
+        return kinds[self._pool.script.select_fault(self._source, faults)]
 
     def _answer_steps(self, last_event_id: bytes) -> list[Any]:
         faults = {
@@ -450,7 +474,7 @@
             "refused_body_broken": 0.02,
             "refused_body_hang": 0.01,
             "refused_421": 0.03,
-            "not_promised": 0.03,
+            "not_guaranteed": 0.03,
             "failed": 0.03,
             "rejected": 0.02,
             "encoded": 0.02,
@@ -461,24 +485,24 @@
             "broken_after_head": 0.03,
             "broken_midway": 0.12,
             "stream_hangs": 0.04,
-            "begins_anew": 0.04,
+            "stream_restarted": 0.04,
             "hang": 0.04,
             "slow": 0.04,
         }
         return [
             *self._pause(),
-            *self._answer_of(self._pool.script.draw(self._source, faults), last_event_id),
+            *self._answer_of(self._pool.script.select_fault(self._source, faults), last_event_id),
         ]
 
-    def _answer_of(self, happens: str, last_event_id: bytes) -> list[Any]:
+    def _answer_of(self, fault: str, last_event_id: bytes) -> list[Any]:
         not_run = (b"x-orchidpath-not-run", b"1")
         signed = (b"x-orchidpath-signature", b"sig")
-        well = self._stream(signed, last_event_id)
+        success = self._stream(signed, last_event_id)
         foreign = self._head(200, signed, request_id="other")
         status = self._source.choice((503, 429, 408))
-        cut = self._source.randrange(2, len(well)) if len(well) > 2 else 1
+        cut = self._source.randrange(2, len(success)) if len(success) > 2 else 1
         kinds: dict[str, list[Any]] = {
-            "well": well,
+            "no_fault": success,
             "refused_full": [
                 self._head(503, not_run, (b"x-orchidpath-load", b"6,3,6")),
                 b"full",
@@ -496,22 +520,22 @@
             ],
             "refused_body_hang": [self._head(503, not_run), b"no", HANG_SECONDS],
             "refused_421": [self._head(421), None],
-            "not_promised": [self._head(status, signed), None],
+            "not_guaranteed": [self._head(status, signed), None],
             "failed": [self._head(500, signed), b"failed", None],
             "rejected": [self._head(404), b"nothing there", None],
             "encoded": [self._head(200, signed, (b"content-encoding", b"gzip")), b"x", None],
             "unsigned": [self._head(200), b"spoilt", None],
-            "foreign": [foreign, b"stolen", None, 0.01, *well],
+            "foreign": [foreign, b"stolen", None, 0.01, *success],
             "unskippable": [foreign, None, "unskippable"],
             "broken": [BrokenResponseError("broken")],
-            "broken_after_head": [well[0], BrokenResponseError("broken")],
-            "broken_midway": [*well[:cut], b"id: 7", BrokenResponseError("broken")],
-            "stream_hangs": [*well[:2], HANG_SECONDS],
-            "begins_anew": self._stream(signed, b""),
+            "broken_after_head": [success[0], BrokenResponseError("broken")],
+            "broken_midway": [*success[:cut], b"id: 7", BrokenResponseError("broken")],
+            "stream_hangs": [*success[:2], HANG_SECONDS],
+            "stream_restarted": self._stream(signed, b""),
             "hang": [HANG_SECONDS],
-            "slow": [1.7, *well],
+            "slow": [1.7, *success],
         }
-        return kinds[happens]
+        return kinds[fault]
 
     def _stream(self, signed: Header, last_event_id: bytes) -> list[Any]:
         source = self._source
@@ -531,9 +555,9 @@
 
 
 class FakePool:
-    """Connections to workers, each new; some attempts to connect fail."""
+    """Opens a new connection for each request; some attempts to connect fail."""
 
-    def __init__(self, script: Script, log: Log) -> None:
+    def __init__(self, script: Script, log: ActionLog) -> None:
         self.script = script
         self.log = log
         self._source = script.source("pool")
@@ -545,7 +569,7 @@
         source = self._releases if is_release else self._source
         note = self.log.add_release if is_release else self.log.add
         note("connect", address, limit)
-        match self.script.draw(source, {"refused": 0.05, "silent": 0.03, "slow": 0.05}):
+        match self.script.select_fault(source, {"refused": 0.05, "silent": 0.03, "slow": 0.05}):
             case "refused":
                 raise NoConnectionError(f"no connection to {address}: refused")
             case "silent":
@@ -560,22 +584,22 @@
         return FakeConnection(self, f"{address}#{self._count}", own, is_release=False)
 
     def release(self, address: str, connection: FakeConnection) -> None:
-        connection._note("kept", address)
+        connection._record("kept", address)
 
     def release_unused(self, address: str, connection: FakeConnection) -> None:
-        connection._note("kept_unused", address)
+        connection._record("kept_unused", address)
 
 
 class FakeCaller:
-    """The caller's connection, which may close at one of the writes."""
+    """The caller's connection, which closes at one of the writes if the script says so."""
 
-    def __init__(self, script: Script, log: Log) -> None:
+    def __init__(self, script: Script, log: ActionLog) -> None:
         self._log = log
-        self._writes_left = script.leaves_at_write
+        self._writes_left = script.disconnect_at_write
 
     def send_head(self, head: ResponseHead) -> None:
-        shown = [f"{name.decode()}={value.decode()}" for name, value in head.headers]
-        self._write("head", head.status, *shown)
+        header_texts = [f"{name.decode()}={value.decode()}" for name, value in head.headers]
+        self._write("head", head.status, *header_texts)
 
     def send_body(self, body: bytes) -> None:
         self._write("body", body)
@@ -586,7 +610,7 @@
     def send_answer(self, status: int, headers: Sequence[Header], body: bytes) -> None:
         self._write("answer", status, list(headers), body)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         self._log.add("caller", "broken_off")
 
     def _write(self, *parts: object) -> None:
@@ -600,7 +624,7 @@
 
 async def _run(script: Script) -> list[list[str]]:
     loop = asyncio.get_running_loop()
-    log = Log()
+    log = ActionLog()
     decisions = FakeDecisions(script, log)
     tasks = BackgroundTasks()
     environment = ProxyEnvironment(
@@ -638,8 +662,8 @@
         cast("Any", FakeCaller(script, log)),
     )
     task = loop.create_task(runner.run())
-    if script.leaves_after is not None:
-        loop.call_later(script.leaves_after, task.cancel)
+    if script.disconnect_after_seconds is not None:
+        loop.call_later(script.disconnect_after_seconds, task.cancel)
     try:
         await task
         log.add("returned")
@@ -653,9 +677,9 @@
 
 
 def record(seed: int) -> list[list[str]]:
-    """Return a seed's run as three lists: actions, freeing of KV handles, the retry budget.
+    """Return the run of a seed as three lists: actions, releases of KV handles, retry budget calls.
 
-    The lists are apart because only the order within each of them is seen from outside.
+    The lists are separate because only the order within each of them is externally visible.
     """
     loop = VirtualTimeLoop()
     try:
@@ -665,7 +689,7 @@
 
 
 def write_recording() -> None:
-    """Record every seed's run with the present code."""
+    """Rewrite the recording with the runs of the current code."""
     runs = [record(seed) for seed in SEEDS]
     lines = ",\n".join(json.dumps(run, separators=(",", ":")) for run in runs)
     RECORDING.write_text(f"[\n{lines}\n]\n")
