--- a/src/orchidpath/router/proxy/proxy_edge.py
+++ b/src/orchidpath/router/proxy/proxy_edge.py
@@ -127,12 +127,12 @@
 
     @property
     def address(self) -> str:
-        """``IP:port`` for callers, known after :meth:`start`."""
+        """``IP:port`` for callers, available after :meth:`start`."""
         return self._callers.address
 
     @property
     def probe_address(self) -> str:
-        """``IP:port`` for health and metrics, known after :meth:`start`."""
+        """``IP:port`` for health and metrics, available after :meth:`start`."""
         return self._probes.address
 
     async def start(self) -> None:
@@ -202,12 +202,12 @@
             return
         route = self._state.forward_routes.match(request.host, request.path)
         if route is None:
-            caller.send_answer(404, (), b"no such route")
+            caller.send_response(404, (), b"no such route")
             return
         try:
             request_metadata = self._protocol_mapping.read_request(request.headers)
         except MalformedRequestError as error:
-            caller.send_answer(400, (), str(error).encode())
+            caller.send_response(400, (), str(error).encode())
             return
         service = self._split.next_service(route)
         runner = ProxyRunner(self._environment, request, request_metadata, route, service, caller)
@@ -227,19 +227,19 @@
         else:
             seconds = startup_retry_after_seconds(share, self._clock() - self._started_at)
         headers = [(b"retry-after", b"%.2f" % seconds)]
-        caller.send_answer(503, headers, b"this router holds no lease to serve")
+        caller.send_response(503, headers, b"this router holds no lease to serve")
 
     async def _probe(self, request: ForwardedRequest, caller: CallerConnection) -> None:
         match request.path:
             case self._protocol_mapping.ready_path:
                 ready = self._serves() and not self._drain.is_draining
-                caller.send_answer(200 if ready else 503, (), b"")
+                caller.send_response(200 if ready else 503, (), b"")
             case "/health/live":
-                caller.send_answer(200, (), b"")
+                caller.send_response(200, (), b"")
             case "/metrics":
-                caller.send_answer(200, (), self._metrics.page())
+                caller.send_response(200, (), self._metrics.page())
             case _:
-                caller.send_answer(404, (), b"")
+                caller.send_response(404, (), b"")
 
     async def _sweep_forever(self) -> None:
         while True:
--- a/src/orchidpath/router/proxy/proxy_runner.py
+++ b/src/orchidpath/router/proxy/proxy_runner.py
@@ -154,7 +154,7 @@
         headers = [(b"content-type", b"text/plain")]
         if response.retry_after_seconds is not None:
             headers.append((b"retry-after", b"%.2f" % response.retry_after_seconds))
-        self._caller.send_answer(response.status, headers, response.reason.encode())
+        self._caller.send_response(response.status, headers, response.reason.encode())
 
 
 def _decision_subject(
--- a/src/orchidpath/router/proxy/proxy_server.py
+++ b/src/orchidpath/router/proxy/proxy_server.py
@@ -29,7 +29,7 @@
     """The caller's connection is closed, so no response can be written."""
 
 
-class _RefusedRequestError(OrchidpathError):
+class _RejectedRequestError(OrchidpathError):
     """A request is rejected before it was read completely; its connection is then closed."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -112,7 +112,7 @@
         """Write the end of the response."""
         self._write(self._http.send(h11.EndOfMessage()))
 
-    def send_answer(
+    def send_response(
         self, status: int, headers: Sequence[Header], body: bytes, *, closes: bool = False
     ) -> None:
         """Write a complete response with a ``Content-Length``."""
@@ -128,7 +128,7 @@
             self._transport.close()
 
     def abort(self) -> None:
-        """Abort the connection, so that the caller can't take the response for complete."""
+        """Abort the connection, so that the caller sees that the response is incomplete."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -138,11 +138,11 @@
                 self._http.start_next_cycle()
         except CallerDisconnectedError:
             pass
-        except _RefusedRequestError as refused:
-            self._refuse(refused)
+        except _RejectedRequestError as rejected:
+            self._reject(rejected)
         except h11.LocalProtocolError as error:
-            # The body does not have the length that its head states. The caller must not take the
-            # response for complete.
+            # The body is shorter or longer than its head states. The caller must not mistake the
+            # response for a complete one.
             get_logger("forward_server").warning("answer_broken_off", reason=str(error))
             self.abort()
         finally:
@@ -160,10 +160,10 @@
             self.is_idle = True
         return self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
 
-    def _refuse(self, refused: _RefusedRequestError) -> None:
+    def _reject(self, rejected: _RejectedRequestError) -> None:
         if self._transport is None or self._http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
-        self.send_answer(refused.status, (), str(refused).encode(), closes=True)
+        self.send_response(rejected.status, (), str(rejected).encode(), closes=True)
 
     async def _read_request(self) -> ForwardedRequest | None:
         """Return the next complete request; None if the caller closes or is idle for too long."""
@@ -180,7 +180,7 @@
             if isinstance(event, h11.Data):
                 body += event.data
             if len(body) > limits.max_body_bytes:
-                raise _RefusedRequestError(TOO_LARGE_STATUS, "the body is too large")
+                raise _RejectedRequestError(TOO_LARGE_STATUS, "the body is too large")
         return ForwardedRequest(
             method=bytes(head.method),
             target=bytes(head.target),
@@ -203,11 +203,14 @@
         assert isinstance(event, h11.Request)
         # h11 limits the size of a head only while the head is incomplete.
         if sum(len(name) + len(value) for name, value in event.headers) > limits.max_header_bytes:
-            raise _RefusedRequestError(HEAD_TOO_LARGE_STATUS, "the head is too large")
+            raise _RejectedRequestError(HEAD_TOO_LARGE_STATUS, "the head is too large")
         return event
 
     async def _event_within(self, seconds: float) -> h11.Event:
-        """Return the next HTTP event; the time-out, in seconds, covers all waits for its bytes."""
+        """Return the next HTTP event.
+
+        The time-out, in seconds, covers all waits for the bytes of this event together.
+        """
         event = self._next_event()
         if event is not None:
             return event
@@ -218,14 +221,14 @@
                     await self._wait_for_input(None)
                     event = self._next_event()
         except TimeoutError as error:
-            raise _RefusedRequestError(TIMEOUT_STATUS, "the request came too slowly") from error
+            raise _RejectedRequestError(TIMEOUT_STATUS, "the request came too slowly") from error
         return event
 
     def _next_event(self) -> h11.Event | None:
         try:
             event = self._http.next_event()
         except h11.RemoteProtocolError as error:
-            raise _RefusedRequestError(error.error_status_hint, str(error)) from error
+            raise _RejectedRequestError(error.error_status_hint, str(error)) from error
         if self._http.they_are_waiting_for_100_continue:
             self._write(self._http.send(h11.InformationalResponse(status_code=100, headers=[])))
         if isinstance(event, type):
--- a/tests/router/edge_fakes.py
+++ b/tests/router/edge_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes around one real HTTP edge on loopback: scripted back ends and a fleet."""
+"""Fake back ends and a fake fleet around one real HTTP edge, over loopback."""
 
 import asyncio
 from collections import deque
@@ -66,7 +66,7 @@
 
 
 class FakeBackend:
-    """One back end: answers normally without a script, and records the requests it received."""
+    """Back end that records its requests; it responds by a script, or successfully without one."""
 
     def __init__(self, worker_id: str, stage: Stage) -> None:
         self.worker_id = worker_id
@@ -127,7 +127,7 @@
     async def answer_normally(
         self, request: web.Request, dispatch: BackendRequest
     ) -> web.StreamResponse:
-        """Answer as without a script."""
+        """Answer successfully, as without a script."""
         if isinstance(dispatch, PrefillRequest):
             return await self._prefill(request, dispatch)
         if isinstance(dispatch, DecodeRequest):
@@ -182,7 +182,7 @@
 
 
 def reject(code: ErrorCode, ran: Ran) -> Script:
-    """Answer with an error."""
+    """Return a script that answers with status 503 and an error body."""
 
     async def script(_request: web.Request, dispatch: BackendRequest) -> web.StreamResponse:
         error = ErrorBody(code=code, message="scripted", ran=ran, attempt_id=dispatch.attempt_id)
@@ -192,7 +192,7 @@
 
 
 def response_to_another_attempt() -> Script:
-    """Answer a call as if it were another attempt's."""
+    """Return a script that answers a call with the response to another attempt."""
 
     async def script(_request: web.Request, dispatch: BackendRequest) -> web.StreamResponse:
         reply = CallReply(request_id="other", attempt_id="other", body=msgspec.Raw(b'"stolen"'))
@@ -211,12 +211,12 @@
 async def endless_stream_with_a_gap(
     request: web.Request, dispatch: BackendRequest
 ) -> web.StreamResponse:
-    """Stream content without end, with one frame lost."""
+    """Stream content frames without end, omitting the second frame."""
     return await stream_endlessly(request, dispatch, lost=1)
 
 
 async def endless_stream(request: web.Request, dispatch: BackendRequest) -> web.StreamResponse:
-    """Stream content without end."""
+    """Stream content frames without end."""
     return await stream_endlessly(request, dispatch, lost=None)
 
 
@@ -253,7 +253,10 @@
     then_hang: bool = False,
     text: str = "word ",
 ) -> Script:
-    """Stream frames; ``lost`` omits one, ``attempt_id`` replaces the id in each of them."""
+    """Return a script that streams frames.
+
+    ``lost`` is the sequence number of a frame to omit; ``attempt_id`` replaces the id in each.
+    """
 
     async def script(request: web.Request, dispatch: BackendRequest) -> web.StreamResponse:
         response = web.StreamResponse(headers={ATTEMPT_HEADER: dispatch.attempt_id})
@@ -279,13 +282,13 @@
 
 
 class FakeFleet(FleetAccess):
-    """A fleet that is fresh by default and chooses the first untried candidate."""
+    """Fleet with a fresh lease by default, whose leader chooses the first untried candidate."""
 
     def __init__(self, view: FleetView) -> None:
         self.current: FleetView | None = view
         self.fresh = True
         self.leader_answers = True
-        self.alone: dict[str, frozenset[str]] = {}
+        self.decided_without_leader: dict[str, frozenset[str]] = {}
         self.draining: set[str] = set()
         self.requests: list[DecisionRequest] = []
         self.reports: list[AttemptReport] = []
@@ -318,7 +321,7 @@
         return DecisionReply(correlation=request.correlation, term=1, choices=choices)
 
     def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
-        self.alone[attempt_id] = frozenset(worker_ids)
+        self.decided_without_leader[attempt_id] = frozenset(worker_ids)
 
     def report(self, reports: Sequence[AttemptReport]) -> None:
         self.reports.extend(reports)
@@ -338,7 +341,7 @@
 
 
 def first_choice(stage_candidates: StageCandidates) -> str:
-    """Return the first untried candidate."""
+    """Return the first untried candidate, or the first candidate if all were tried."""
     untried = [
         worker_id
         for worker_id in stage_candidates.candidates
@@ -348,7 +351,7 @@
 
 
 class Site:
-    """An edge, its back ends and a client session."""
+    """A running HTTP edge with its back ends, its fake fleet and a client session."""
 
     def __init__(
         self,
@@ -373,16 +376,16 @@
         return f"http://{self.edge.address}"
 
     def workers(self, letter: str) -> tuple[FakeBackend, FakeBackend]:
-        """Return both workers of a stage, which is named by its letter: p, d or s."""
+        """Return both workers of a stage: ``p`` (prefill), ``d`` (decode) or ``s`` (plain)."""
         return self.backends[f"{letter}1"], self.backends[f"{letter}2"]
 
     def add_script(self, letter: str, script: Script) -> None:
-        """Let each worker of a stage answer its next request by a script."""
+        """Make each worker of a stage answer one more request by a script."""
         for worker in self.workers(letter):
             worker.scripts.append(script)
 
     def dispatches(self, letter: str) -> list[BackendRequest]:
-        """Return what the workers of a stage received."""
+        """Return the requests that the workers of a stage received."""
         first, second = self.workers(letter)
         return first.dispatches + second.dispatches
 
@@ -442,7 +445,7 @@
     admission: AdmissionPolicy | None = None,
     recorder: DecisionRecorder | None = None,
 ) -> AsyncIterator[Site]:
-    """Run an edge with two workers for each stage."""
+    """Run an HTTP edge with two workers for each stage."""
     stages = {"p": Stage.PREFILL, "d": Stage.DECODE, "s": Stage.PLAIN}
     backends = {
         f"{letter}{number}": FakeBackend(f"{letter}{number}", stage)
--- a/tests/router/proxy_recording.py
+++ b/tests/router/proxy_recording.py
@@ -607,7 +607,7 @@
     def send_end(self) -> None:
         self._write("end")
 
-    def send_answer(self, status: int, headers: Sequence[Header], body: bytes) -> None:
+    def send_response(self, status: int, headers: Sequence[Header], body: bytes) -> None:
         self._write("answer", status, list(headers), body)
 
     def abort(self) -> None:
--- a/tests/router/test_decision_log_writer.py
+++ b/tests/router/test_decision_log_writer.py
@@ -1,4 +1,7 @@
-"""The writer's thread on real files; a FIFO without a reader emulates a stuck disk."""
+"""Writer thread of the decision log, on real files.
+
+A FIFO without a reader emulates a disk that hangs.
+"""
 
 import os
 import time
@@ -9,7 +12,7 @@
 from orchidpath.wire.configuration import CircuitPolicy
 
 STOP_SECONDS = 60.0
-"""Upper bound of a stop, in seconds; far above any write in these tests."""
+"""Upper bound on the duration of a stop; far longer than any write in these tests takes."""
 
 POLICY = PolicyLine(
     time="",
@@ -22,11 +25,11 @@
 )
 
 
-def lines_of(path: Path) -> list[LogLine]:
+def read_lines(path: Path) -> list[LogLine]:
     return [decode_line(line) for line in path.read_bytes().splitlines() if line.strip()]
 
 
-def written(path: Path, lines: list[LogLine], **options: int) -> DecisionLogWriter:
+def write_lines(path: Path, lines: list[LogLine], **options: int) -> DecisionLogWriter:
     writer = DecisionLogWriter(path, **options)
     writer.start()
     for line in lines:
@@ -37,15 +40,15 @@
 
 def test_lines_are_appended_in_order(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    writer = written(path, [POLICY, DroppedLine(count=1), DroppedLine(count=2)])
-    assert [type(line) for line in lines_of(path)] == [PolicyLine, DroppedLine, DroppedLine]
+    writer = write_lines(path, [POLICY, DroppedLine(count=1), DroppedLine(count=2)])
+    assert [type(line) for line in read_lines(path)] == [PolicyLine, DroppedLine, DroppedLine]
     assert writer.dropped == 0
 
 
 def test_an_incomplete_last_line_does_not_corrupt_the_next_one(tmp_path: Path) -> None:
     path = tmp_path / "log"
     path.write_bytes(b'{"type":"drop')
-    written(path, [DroppedLine(count=3)])
+    write_lines(path, [DroppedLine(count=3)])
     assert path.read_bytes().splitlines()[0] == b'{"type":"drop'
     assert decode_line(path.read_bytes().splitlines()[1]) == DroppedLine(count=3)
 
@@ -53,19 +56,21 @@
 def test_rotation_retains_few_files_and_each_begins_with_the_policy(tmp_path: Path) -> None:
     path = tmp_path / "log"
     lines: list[LogLine] = [POLICY, *(DroppedLine(count=number) for number in range(1, 400))]
-    writer = written(path, lines, max_file_bytes=1000, retained_files=2)
+    writer = write_lines(path, lines, max_file_bytes=1000, retained_files=2)
     assert writer.dropped == 0
-    assert sorted(each.name for each in tmp_path.iterdir()) == ["log", "log.1", "log.2"]
+    assert sorted(file.name for file in tmp_path.iterdir()) == ["log", "log.1", "log.2"]
     for name in ("log", "log.1", "log.2"):
-        assert lines_of(tmp_path / name)[0] == POLICY
+        assert read_lines(tmp_path / name)[0] == POLICY
         assert (tmp_path / name).stat().st_size < 1500
-    newest = [line.count for line in lines_of(path) if isinstance(line, DroppedLine)]
-    before = [line.count for line in lines_of(tmp_path / "log.1") if isinstance(line, DroppedLine)]
+    newest = [line.count for line in read_lines(path) if isinstance(line, DroppedLine)]
+    before = [
+        line.count for line in read_lines(tmp_path / "log.1") if isinstance(line, DroppedLine)
+    ]
     assert [*before, *newest] == list(range(before[0], 400))
 
 
 def test_lines_for_a_missing_folder_are_dropped_and_counted(tmp_path: Path) -> None:
-    writer = written(tmp_path / "missing" / "log", [POLICY, POLICY, POLICY])
+    writer = write_lines(tmp_path / "missing" / "log", [POLICY, POLICY, POLICY])
     assert writer.dropped == 3
 
 
@@ -74,14 +79,14 @@
     os.mkfifo(path)
     writer = DecisionLogWriter(path, max_waiting_lines=10)
     writer.start()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     for number in range(1000):
         writer.write(DroppedLine(count=number))
-    # Far above the time of 1000 drops, and far below a wait for any of them.
-    assert time.monotonic() - begun < 30.0
-    # The thread blocks in opening the file with at most one line taken from the queue.
+    # Far longer than 1000 drops take, and far shorter than a wait for the disk.
+    assert time.monotonic() - started_at < 30.0
+    # The thread blocks while it opens the file, and has taken at most one line from the queue.
     assert writer.dropped >= 1000 - 10 - 1
-    # Unblocks the thread, so that it ends with the test.
+    # A reader unblocks the thread, so that it exits with the test.
     reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
     writer.stop(STOP_SECONDS)
     os.close(reader)
@@ -95,4 +100,4 @@
     assert writer.dropped == 3
     writer.start()
     writer.stop(STOP_SECONDS)
-    assert DroppedLine(count=3) in lines_of(path)
+    assert DroppedLine(count=3) in read_lines(path)
--- a/tests/router/test_decision_recorder.py
+++ b/tests/router/test_decision_recorder.py
@@ -1,4 +1,4 @@
-"""Lines of the decision log for requests that a router serves."""
+"""Decision log lines that a router records for the requests it serves."""
 
 from edge_fakes import reject, running_site
 
--- a/tests/router/test_proxy_edge.py
+++ b/tests/router/test_proxy_edge.py
@@ -1,4 +1,4 @@
-"""Retry-After of a router that has no lease yet."""
+"""Retry-After values of a router that has not had a lease since its start."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def test_retry_after_is_spread_once_the_first_lease_is_overdue() -> None:
-    times = {startup_retry_after_seconds(share / 10, 60.0) for share in range(11)}
-    assert len(times) == 11
-    assert min(times) >= STARTUP_RETRY_AFTER.shortest_seconds
-    assert max(times) <= STARTUP_RETRY_AFTER.longest_seconds
+    retry_after_seconds = {startup_retry_after_seconds(share / 10, 60.0) for share in range(11)}
+    assert len(retry_after_seconds) == 11
+    assert min(retry_after_seconds) >= STARTUP_RETRY_AFTER.shortest_seconds
+    assert max(retry_after_seconds) <= STARTUP_RETRY_AFTER.longest_seconds
--- a/tests/router/test_proxy_recording.py
+++ b/tests/router/test_proxy_recording.py
@@ -1,4 +1,4 @@
-"""Each seeded run of the proxy path has the outward actions of the recording."""
+"""Each seeded run of the proxy path has the externally visible actions in the recording."""
 
 import json
 
--- a/tests/router/test_proxy_server.py
+++ b/tests/router/test_proxy_server.py
@@ -1,4 +1,4 @@
-"""Connections of callers while the proxy server stops."""
+"""Handling of callers' connections while the proxy server stops."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,7 +15,7 @@
 
 
 class Handler:
-    """Answers each request, at once by default, else when ``may_answer`` is set."""
+    """Request handler that responds once ``may_answer`` is set, which it is by default."""
 
     def __init__(self) -> None:
         self.received = 0
@@ -27,7 +27,7 @@
         self.received += 1
         self.has_received.set()
         await self.may_answer.wait()
-        caller.send_answer(200, (), b"answer")
+        caller.send_response(200, (), b"answer")
 
 
 @asynccontextmanager
@@ -49,7 +49,8 @@
 
 
 async def test_a_stopping_server_closes_idle_connections() -> None:
-    # A bench run sent a request on an idle connection 5.7 s after SIGTERM, and it was aborted.
+    # Guards against requests on idle connections after the server has begun to stop: in a bench
+    # run, a request sent 5.7 s after SIGTERM was still accepted, and then aborted.
     handler = Handler()
     async with serving(handler) as server:
         reader, writer = await connect(server)
--- a/tests/router/test_upstream.py
+++ b/tests/router/test_upstream.py
@@ -1,4 +1,8 @@
-"""Connections to workers on real sockets: foreign, surplus, truncated and unframed responses."""
+"""Connections to workers over real sockets: reuse, malformed responses, limits and idle times.
+
+The responses include those to other requests, surplus bytes, truncated bodies and bodies without a
+length.
+"""
 
 import asyncio
 import socket
@@ -211,8 +215,8 @@
 async def test_a_connection_stays_idle_no_longer_than_its_worker_allows() -> None:
     now = [0.0]
     pool = UpstreamPool(lambda: now[0])
-    kept = OWN.replace(b"\r\n\r\n", b"\r\nKeep-Alive: timeout=3\r\n\r\n", 1)
-    async with worker(respond_with(kept)) as address:
+    response = OWN.replace(b"\r\n\r\n", b"\r\nKeep-Alive: timeout=3\r\n\r\n", 1)
+    async with worker(respond_with(response)) as address:
         connection = await send_request(pool, address)
         await connection.read_head()
         await read_body(connection)
@@ -238,8 +242,8 @@
 ) -> None:
     now = [0.0]
     pool = UpstreamPool(lambda: now[0])
-    kept = OWN.replace(b"\r\n\r\n", header + b"\r\n\r\n", 1)
-    async with worker(respond_with(kept)) as address:
+    response = OWN.replace(b"\r\n\r\n", header + b"\r\n\r\n", 1)
+    async with worker(respond_with(response)) as address:
         connection = await send_request(pool, address)
         await connection.read_head()
         await read_body(connection)
@@ -252,12 +256,12 @@
 
 
 LONG_BODY = bytes(range(256)) * 40_000
-"""Longer than the socket buffers of a connection whose other end does not read."""
+"""Request body that exceeds the socket buffers, so it stays unfinished while the peer is idle."""
 LONG_HEADERS = [(b"host", b"worker"), (b"content-length", b"%d" % len(LONG_BODY))]
 
 
 class LateReader:
-    """A worker that responds after the head of a request, and reads the body later."""
+    """Worker that responds after the head of a request, and reads the body only later."""
 
     def __init__(self) -> None:
         self.may_read = asyncio.Event()
@@ -279,7 +283,10 @@
 async def test_a_connection_with_an_unfinished_request_body_is_never_reused(
     caller_disconnects: bool,
 ) -> None:
-    """The worker responds before it has read the body, and keeps the connection open."""
+    """The worker responds before it has read the body, and keeps the connection open.
+
+    On a reused connection, the next request would wait behind the rest of the body.
+    """
     pool, late = UpstreamPool(monotonic_seconds), LateReader()
     async with worker(late.serve) as address, asyncio.timeout(WAIT_SECONDS):
         for _ in range(3):
