--- a/src/orchidpath/router/__init__.py
+++ b/src/orchidpath/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router process: HTTP edge, back-end client and control subscription."""
+"""The router process: HTTP edge, back-end client and link to the control tier."""
--- a/src/orchidpath/router/background_tasks.py
+++ b/src/orchidpath/router/background_tasks.py
@@ -1,4 +1,8 @@
-"""Keeps tasks that outlive the request that started them, so that none is lost or leaked."""
+"""Tasks that outlive the request that started them.
+
+The event loop holds only weak references to tasks; the references held here prevent a running task
+from being garbage-collected.
+"""
 
 import asyncio
 from collections.abc import Coroutine
@@ -10,21 +14,21 @@
 
 
 class BackgroundTasks:
-    """A set of running tasks; a failed one is logged."""
+    """A set of running tasks; the exception of a failed task is logged."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
         self._logger: Logger = get_logger("background_tasks")
 
     def spawn(self, work: Coroutine[Any, Any, ResultT]) -> asyncio.Task[ResultT]:
-        """Start a task and keep it until it ends."""
+        """Start a task and hold a reference to it until it ends."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._ended)
         return task
 
     async def close(self, timeout_seconds: float) -> None:
-        """Wait a bounded time for every task, then cancel the rest."""
+        """Wait up to the timeout for all tasks, then cancel those still running."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_seconds)
         for task in list(self._tasks):
--- a/src/orchidpath/router/decision_maker.py
+++ b/src/orchidpath/router/decision_maker.py
@@ -1,4 +1,9 @@
-"""Gets a decision for each attempt, from the leader or without it, and reports how it ended."""
+"""Routing decisions of one router.
+
+A decision chooses the workers of an attempt. The leader makes it; when the leader does not answer
+in time, the router decides by itself on the last known state. How each attempt ended is reported
+to the leader.
+"""
 
 from collections.abc import Sequence
 
@@ -33,9 +38,10 @@
 
 
 class DecisionSubject(msgspec.Struct, frozen=True, kw_only=True):
-    """What a request's decisions are about; ``prefix_key`` places its prompt on the ring.
+    """The properties of a request that its decisions depend on.
 
-    ``prefill_worker_id`` is the worker that has prefilled the prompt already, for a decode alone.
+    ``prefix_key`` is the position of the prompt on the hash ring. ``prefill_worker_id`` is set
+    when only a decode is to be placed: it is the worker that has already prefilled the prompt.
     """
 
     request_id: str
@@ -48,25 +54,25 @@
     may_wait: bool = False
 
 
-_NOBODY = DecisionReply(correlation=0, term=0, rejection=Rejection.EXHAUSTED)
-"""What is recorded when the adopted view has no worker to ask about."""
+_NO_CANDIDATES_REPLY = DecisionReply(correlation=0, term=0, rejection=Rejection.EXHAUSTED)
+"""Recorded as the reply when the adopted view has no candidate and the leader is not queried."""
 
 
 class DecisionMaker:
-    """Asks for decisions, falls back to the last known state, and reports.
+    """Requests decisions from the leader, falls back to the last known state, and reports attempts.
 
     Parameters
     ----------
     fleet
-        Reaches the leader.
+        Access to the leader.
     state
-        Candidates and last known circuits.
+        Candidates of the adopted view, and last known circuits.
     timeout_seconds
-        Bound on the wait for the leader.
+        Bound on the wait for the leader's decision.
     clock
         Monotonic clock.
     recorder
-        Keeps the decision log; None keeps none.
+        Writes the decision log; None when no decision log is written.
     """
 
     def __init__(
@@ -87,14 +93,14 @@
     async def decide(
         self, subject: DecisionSubject, query: RequestDecision
     ) -> DecisionMade | NoCandidates:
-        """List the candidates and have one chosen for every stage.
+        """Get a decision that chooses one worker for every stage of an attempt.
 
         Parameters
         ----------
         subject
             The request.
-        ask
-            The attempt, and what was tried before.
+        query
+            The attempt, and for each stage the workers that were tried or are excluded.
 
         Returns
         -------
@@ -119,7 +125,7 @@
             if not stage_candidates.candidates
         ]
         if missing:
-            self._record(request, _NOBODY, DecidedBy.ROUTER)
+            self._record(request, _NO_CANDIDATES_REPLY, DecidedBy.ROUTER)
             reason = f"no usable {' and no usable '.join(missing)} worker in {subject.service}"
             return NoCandidates(attempt_id=query.attempt_id, reason=reason)
         reply = await self._query_leader_or_fall_back(request)
@@ -127,7 +133,7 @@
         return DecisionMade(attempt_id=query.attempt_id, reply=reply)
 
     def report(self, report: AttemptReport, entry: TraceEntry) -> None:
-        """Report how an attempt ended for one worker, here and to the leader."""
+        """Record locally how an attempt ended for one worker, and report it to the leader."""
         now = self._clock()
         if self._recorder is not None:
             self._recorder.report(report, entry)
@@ -136,10 +142,10 @@
         self._fleet.report((report,))
         if report.effect is AttemptEffect.THROTTLE:
             throttle = self._state.throttle
-            self._obey(throttle.observe_refusal(report.worker_id, report.request_id, now))
+            self._apply_capacity(throttle.observe_refusal(report.worker_id, report.request_id, now))
 
     def record_prefill_done(self, request_id: str, attempt_id: str, worker_id: str) -> None:
-        """Tell the leader that a prompt was prefilled; how the attempt ended is reported later."""
+        """Report to the leader that a prompt was prefilled; the attempt's end is reported later."""
         report = AttemptReport(
             request_id=request_id,
             attempt_id=attempt_id + PREFILL_DONE_SUFFIX,
@@ -149,12 +155,12 @@
         self._fleet.report((report,))
 
     def observe_delay(self, worker_id: str, request_id: str, delay_seconds: float) -> None:
-        """Record how long a worker took to its answer, or to its first token."""
+        """Record the delay of a worker's reply or, for a decode, of its first frame."""
         now = self._clock()
         throttle = self._state.throttle
-        self._obey(throttle.observe_delay(worker_id, request_id, delay_seconds, now))
+        self._apply_capacity(throttle.observe_delay(worker_id, request_id, delay_seconds, now))
 
-    def _obey(self, observed: CapacityObserved | None) -> None:
+    def _apply_capacity(self, observed: CapacityObserved | None) -> None:
         if observed is None:
             return
         self._state.fallback.observe_capacity(observed, self._clock())
@@ -164,11 +170,11 @@
         reply = await self._fleet.decide(request, self._timeout_seconds)
         now = self._clock()
         if reply is None or reply.rejection is Rejection.NOT_LEADER:
-            alone = self._state.fallback.decide(request, now)
-            chosen = [choice.worker_id for choice in alone.choices]
+            fallback_reply = self._state.fallback.decide(request, now)
+            chosen = [choice.worker_id for choice in fallback_reply.choices]
             self._fleet.decided_alone(request.attempt_id, chosen)
-            self._record(request, alone, DecidedBy.ROUTER)
-            return alone
+            self._record(request, fallback_reply, DecidedBy.ROUTER)
+            return fallback_reply
         self._loads.update(reply.states, now)
         self._state.fallback.register_decided(
             request.request_id, request.attempt_id, reply.choices, now
@@ -204,8 +210,8 @@
             if Stage.PREFILL in by_stage:
                 per_stage = selector.model_candidates(query, loads, now)
             else:
-                near = subject.prefill_worker_id
-                per_stage = (selector.decode_candidates(query, near, loads, now),)
+                prefill_worker_id = subject.prefill_worker_id
+                per_stage = (selector.decode_candidates(query, prefill_worker_id, loads, now),)
         else:
             plain = PlainQuery(
                 service=subject.service,
@@ -221,7 +227,7 @@
     def _without_unusable(
         self, stage_candidates: StageCandidates, excluded: tuple[str, ...]
     ) -> StageCandidates:
-        """Leave out what this request must not use, and who told this router of its draining."""
+        """Remove workers excluded for this request or known to this router to be draining."""
         candidates = tuple(
             worker_id
             for worker_id in stage_candidates.candidates
--- a/src/orchidpath/router/drain.py
+++ b/src/orchidpath/router/drain.py
@@ -1,10 +1,13 @@
-"""Graceful stop of a router: unready at once, new requests refused, running ones finished."""
+"""Graceful stop of a router.
+
+A draining router is not ready, rejects new requests and finishes the running ones.
+"""
 
 import asyncio
 
 
 class DrainState:
-    """Counts the requests being served, and knows whether the router is stopping."""
+    """Number of requests being served, and whether the router is draining."""
 
     def __init__(self) -> None:
         self._in_flight = 0
@@ -14,26 +17,26 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests being served."""
+        """Number of requests being served."""
         return self._in_flight
 
     def begin(self) -> None:
-        """Refuse new requests from now on."""
+        """Mark the router as draining, so that new requests are rejected."""
         self.is_draining = True
 
     def enter(self) -> None:
-        """Count a request in."""
+        """Count the start of a request."""
         self._in_flight += 1
         self._idle.clear()
 
     def leave(self) -> None:
-        """Count a request out."""
+        """Count the end of a request."""
         self._in_flight -= 1
         if self._in_flight == 0:
             self._idle.set()
 
     async def wait_until_idle(self, timeout_seconds: float) -> bool:
-        """Wait until nothing is served any more.
+        """Wait until no request is being served.
 
         Parameters
         ----------
@@ -43,7 +46,7 @@
         Returns
         -------
         bool
-            False when requests were still running at the end of it.
+            False when requests were still running when the wait timed out.
         """
         try:
             async with asyncio.timeout(timeout_seconds):
--- a/src/orchidpath/router/load_view.py
+++ b/src/orchidpath/router/load_view.py
@@ -1,4 +1,4 @@
-"""Attempts in flight on each worker, as far as one router knows."""
+"""Estimate of one router of the attempts in flight on each worker."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -7,24 +7,24 @@
 
 from orchidpath.wire.messages import CandidateState
 
-KNOWN_FOR_SECONDS = 2.0
-"""What the leader said about a worker's load counts for this long."""
+REPORTED_LOAD_TTL_SECONDS = 2.0
+"""How long a worker's load as reported by the leader is used."""
 
 
-class _Known(msgspec.Struct, frozen=True):
+class _ReportedLoad(msgspec.Struct, frozen=True):
     in_flight: int
     at: float
 
 
 class LoadView:
-    """Counts the attempts of this router, and keeps what the leader last said of every router's."""
+    """Attempts of this router, and of all routers as last reported by the leader, per worker."""
 
     def __init__(self) -> None:
         self._own: Counter[str] = Counter()
-        self._known: dict[str, _Known] = {}
+        self._reported: dict[str, _ReportedLoad] = {}
 
     def begin(self, worker_ids: Sequence[str]) -> None:
-        """Count an attempt on each of these workers."""
+        """Count the start of an attempt on each of these workers."""
         self._own.update(worker_ids)
 
     def end(self, worker_id: str) -> None:
@@ -34,18 +34,21 @@
             del self._own[worker_id]
 
     def update(self, states: Sequence[CandidateState], now: float) -> None:
-        """Take what a decision said of its candidates."""
+        """Store the loads of the candidates that the leader reported with a decision."""
         for state in states:
-            self._known[state.worker_id] = _Known(state.in_flight, now)
+            self._reported[state.worker_id] = _ReportedLoad(state.in_flight, now)
 
     def in_flight(self, now: float) -> dict[str, int]:
-        """Return the larger of what is known and what is this router's own."""
-        self._known = {
-            worker_id: known
-            for worker_id, known in self._known.items()
-            if now - known.at < KNOWN_FOR_SECONDS
+        """Return the attempts in flight per worker: the larger of reported and own number.
+
+        Reported loads older than ``REPORTED_LOAD_TTL_SECONDS`` are removed.
+        """
+        self._reported = {
+            worker_id: reported
+            for worker_id, reported in self._reported.items()
+            if now - reported.at < REPORTED_LOAD_TTL_SECONDS
         }
-        loads = {worker_id: known.in_flight for worker_id, known in self._known.items()}
+        loads = {worker_id: reported.in_flight for worker_id, reported in self._reported.items()}
         for worker_id, count in self._own.items():
             loads[worker_id] = max(loads.get(worker_id, 0), count)
         return loads
--- a/src/orchidpath/router/process.py
+++ b/src/orchidpath/router/process.py
@@ -1,4 +1,4 @@
-"""The router process: the HTTP edge and the link to the fleet, wired together."""
+"""The router process: creates, starts and stops the HTTP edge and the control link."""
 
 import asyncio
 import random as random_module
@@ -23,7 +23,7 @@
     from orchidpath.router.chat.http_edge import EdgeServer
 
 INCARNATION_CHARACTERS = 12
-"""Characters of the random incarnation, new for each start."""
+"""Length of the incarnation, a random identifier generated at each start."""
 
 
 class RouterProcess(Daemon[RouterSettings]):
@@ -32,11 +32,11 @@
     Parameters
     ----------
     settings
-        Checked settings.
+        Validated settings.
     clock
         Monotonic clock.
-    dialect
-        How callers of forward routes and workers speak; by default the product's own names.
+    protocol_mapping
+        Protocol that callers of forward routes and workers use; by default the product's own.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
 
     @property
     def drain_seconds(self) -> float:
-        """Return how long running streams get to finish after SIGTERM."""
+        """Return how many seconds running requests have to finish after SIGTERM."""
         return self._settings.drain_seconds
 
     async def start(self) -> None:
-        """Listen for callers and other processes, and begin to ask for a lease."""
+        """Listen for callers and other processes, and start requesting a lease."""
         settings = self._settings
         hello = Hello(
             node_id=settings.node_id,
@@ -84,8 +84,8 @@
         await self._link.start()
 
     async def stop(self, drain_seconds: float) -> None:
-        """Finish running requests, report them, and close."""
-        # The edge first: what its last requests have to report still goes out over the link.
+        """Finish running requests within the drain time, send their reports, and close."""
+        # The edge stops before the link, so that the reports of its last requests are still sent.
         await self._edge.stop(drain_seconds)
         await self._link.stop()
         if self._fault_watch is not None:
@@ -94,7 +94,7 @@
             await asyncio.to_thread(self._decision_log.stop)
 
     async def reload(self, settings: RouterSettings) -> None:
-        """Take new settings; seeds, log level and drain time change in a running router."""
+        """Apply new settings; only seeds, log level and drain time change in a running router."""
         self._settings = settings
         self._link.set_seeds(settings.seeds)
         configure_logs(settings.log_level, node_id=settings.node_id, role="router")
@@ -105,14 +105,15 @@
             return ProxyEdge(
                 settings, self._link, self._protocol_mapping, self._random, self._clock
             )
-        # A third of a forwarding router's start would be the import of an HTTP server it lacks.
+        # Imported here only: a forwarding router does not use this HTTP server, and importing it
+        # would take a third of its start time.
         from orchidpath.router.chat.http_edge import EdgeServer
 
         recorder = self._make_recorder(incarnation)
         return EdgeServer(settings, self._link, self._random, self._clock, recorder)
 
     def _make_recorder(self, incarnation: str) -> DecisionRecorder | None:
-        """Start the decision log, if the settings ask for one."""
+        """Start the decision log if it is configured; otherwise return None."""
         settings = self._settings
         if not settings.decision_log:
             return None
--- a/src/orchidpath/router/routing_state.py
+++ b/src/orchidpath/router/routing_state.py
@@ -1,7 +1,8 @@
-"""What one router derives from its adopted view: routes, candidates, budgets, circuits, admission.
+"""State that one router derives from its adopted view of the fleet.
 
-Everything is rebuilt when the view's revision grows, before the next decision is made, so every
-decision applies the newest adopted view.
+It consists of routes, candidates, retry budgets, circuits and admission. It is brought up to date
+before the next decision whenever the revision of the view has changed, so every decision uses the
+newest adopted view.
 """
 
 from random import Random
@@ -21,23 +22,23 @@
 from orchidpath.wire.records import FleetView, Stage, WorkerRecord, WorkerStatus
 
 CONNECTION_SHARE = 0.8
-"""Share of a worker's connections that all routers together hold at most."""
+"""Share of a worker's connection limit that all routers together may use."""
 
 LEAST_CONNECTIONS = 2
-"""Connections that a router may hold to a worker, however many routers there are."""
+"""Connections that each router may open to a worker, even when its share would be smaller."""
 
 
 class RoutingState:
-    """The state that all requests of one router share.
+    """Routing state shared by all requests of one router.
 
     Parameters
     ----------
     fleet
-        Gives the adopted view and the lease.
+        Source of the adopted view and of the lease.
     random
         Source of randomness.
     zone
-        Zone of the router; empty when it is not known.
+        Zone of the router; empty when unknown.
     """
 
     def __init__(self, fleet: FleetAccess, random: Random, zone: str = "") -> None:
@@ -66,11 +67,11 @@
 
     @property
     def configuration_version(self) -> int:
-        """The version of that configuration; 0 before the first view."""
+        """The version of :attr:`configuration`; 0 before the first view."""
         return self._configuration_version
 
     def refresh(self) -> bool:
-        """Apply the newest adopted view; false while there is none."""
+        """Apply the newest adopted view; return False while there is none."""
         view = self._fleet.view()
         if view is None:
             return False
@@ -79,10 +80,10 @@
         return True
 
     def adopt(self, view: FleetView) -> None:
-        """Rebuild what depends on the view."""
+        """Replace the adopted view and update everything that is derived from it."""
         configuration = view.configuration
         if configuration != self._configuration:
-            self._take_configuration(configuration)
+            self._apply_configuration(configuration)
         self._revision = view.revision
         self._configuration_version = view.configuration_version
         self._workers = {worker.worker_id: worker for worker in view.workers}
@@ -94,18 +95,18 @@
         self.throttle.set_workers(view.workers)
 
     def take_circuits(self, circuits: CircuitsView, now: float) -> None:
-        """Take the agreed circuits as the last known ones."""
+        """Store the circuits agreed by the control tier as the last known ones."""
         if not self.fallback.accept_view(circuits, now):
             return
         for capacity in circuits.capacities:
             self.throttle.record_open(capacity.failure_domain, capacity.duration_seconds, now)
 
     def worker(self, worker_id: str) -> WorkerRecord | None:
-        """Return a worker of the adopted view."""
+        """Return a worker of the adopted view, or None if the view does not list it."""
         return self._workers.get(worker_id)
 
     def budget(self, service: str) -> RetryBudget:
-        """Return the retry budget of a service; services are bounded by the configuration."""
+        """Return the retry budget of a service; the configuration bounds the number of services."""
         budget = self._budgets.get(service)
         if budget is None:
             budget = RetryBudget(self._configuration.retry, self._router_count)
@@ -113,16 +114,16 @@
         return budget
 
     def service_kind(self, name: str) -> ServiceKind:
-        """Return the kind of a service of the configuration."""
+        """Return the kind of a configured service; KeyError for any other name."""
         return self._services[name].kind
 
     def model_of(self, service: str, model: str) -> str:
-        """Return the model of a request; a request that names none is for the service's first."""
+        """Return the model of a request; the default is the first model of the service."""
         models = self._services[service].models
         return model or (models[0] if models else "")
 
     def connection_limit(self, name: str) -> int:
-        """Return how many connections this router may hold to a worker of a service; 0 for any."""
+        """Return how many connections this router may open to a worker; 0 means no limit."""
         limit = self._services[name].max_connections
         if not limit:
             return 0
@@ -131,26 +132,26 @@
     def send_refusal(
         self, worker_id: str, incarnation: str, stage: Stage, now: float
     ) -> SendRefusal | None:
-        """Say why an order may not be sent at this very moment.
+        """Return why a request may not be sent to a worker now.
 
-        Asked right before the first byte, since the lease or the worker's status may have changed
-        while the connection was being made.
+        Called immediately before the first byte is written, since the lease or the worker's status
+        may have changed while the connection was being established.
 
         Parameters
         ----------
         worker_id
             The worker.
         incarnation
-            Its incarnation when the order was made.
+            Its incarnation when the request was prepared.
         stage
-            The part that the order needs it to play.
+            The stage that the worker must serve.
         now
             Monotonic seconds.
 
         Returns
         -------
         SendRefusal or None
-            None when the order may be sent.
+            None when the request may be sent.
         """
         if not self._fleet.is_fresh(now):
             return SendRefusal.NOT_FRESH
@@ -160,7 +161,7 @@
         return None
 
     def is_draining(self, worker_id: str) -> bool:
-        """Whether the worker itself told this router that it is draining."""
+        """Return whether the worker itself announced to this router that it is draining."""
         return self._fleet.locally_draining(worker_id)
 
     def _is_usable(self, worker_id: str, incarnation: str, stage: Stage) -> bool:
@@ -171,7 +172,7 @@
             return False
         return not self.is_draining(worker_id)
 
-    def _take_configuration(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         self._configuration = configuration
         self.routes = RouteTable(configuration)
         self.forward_routes = ForwardTable(configuration)
@@ -183,6 +184,6 @@
         )
         self.throttle.set_policy(configuration.circuit)
         names = {service.name for service in configuration.services}
-        self._budgets = {name: one for name, one in self._budgets.items() if name in names}
+        self._budgets = {name: budget for name, budget in self._budgets.items() if name in names}
         for budget in self._budgets.values():
             budget.set_policy(configuration.retry)
--- a/tests/router/test_load_view.py
+++ b/tests/router/test_load_view.py
@@ -1,6 +1,6 @@
-"""In-flight attempts of workers, as a router knows them."""
+"""Estimate of one router of the attempts in flight on each worker."""
 
-from orchidpath.router.load_view import KNOWN_FOR_SECONDS, LoadView
+from orchidpath.router.load_view import REPORTED_LOAD_TTL_SECONDS, LoadView
 from orchidpath.wire.messages import CandidateState
 
 
@@ -11,4 +11,4 @@
     loads.update([state], now=0.0)
     assert loads.in_flight(1.0) == {"w1": 2, "w2": 9}
     loads.end("w1")
-    assert loads.in_flight(KNOWN_FOR_SECONDS + 1.0) == {"w1": 1, "w2": 1}
+    assert loads.in_flight(REPORTED_LOAD_TTL_SECONDS + 1.0) == {"w1": 1, "w2": 1}
