--- a/src/orchidpath/router/fleet_link/announced_workers.py
+++ b/src/orchidpath/router/fleet_link/announced_workers.py
@@ -1,7 +1,7 @@
-"""What workers themselves told this router; pure.
+"""Announcements that this router received from workers; pure, no input or output.
 
-Sooner than the agreed view: a worker that says it is draining gets nothing more from the router
-that heard it, whether or not the control tier has heard it too.
+They take effect before the agreed view does: a router sends no further requests to a worker that
+announced to it that it is draining, whether or not the control tier has received that announcement.
 """
 
 import msgspec
@@ -17,19 +17,19 @@
 
 
 class AnnouncedWorkers:
-    """The newest announcement of each worker that this router has heard."""
+    """The newest announcement that this router received from each worker."""
 
     def __init__(self) -> None:
         self._announced: dict[str, _Announced] = {}
         self._listed: dict[str, str] = {}
 
     def record_announcement(self, announcement: Announcement) -> bool:
-        """Take an announcement.
+        """Store an announcement if it is newer than the stored one.
 
         Returns
         -------
         bool
-            False if it is not newer than what was heard of the same incarnation before.
+            False if it is not newer than the last announcement of the same incarnation.
         """
         record = announcement.record
         known = self._announced.get(record.worker_id)
@@ -43,16 +43,17 @@
         return True
 
     def is_draining(self, worker_id: str) -> bool:
-        """Return whether the worker itself said last that it is draining."""
+        """Return whether the worker's newest announcement says that it is draining."""
         announced = self._announced.get(worker_id)
         return announced is not None and announced.is_draining
 
     def view_adopted(self, view: FleetView) -> None:
-        """Forget what incarnations have said that were in the view and have been replaced.
+        """Remove the announcements of incarnations that were in the view and have been replaced.
 
-        An incarnation that no view has listed yet is newer than the view, which lags behind what
-        this router has heard: its word stays. So does that of a worker which is only absent: it
-        may have been called gone by mistake and come back as it was.
+        An incarnation that no view has listed yet is newer than the view, which lags behind the
+        announcements to this router: its announcement is retained. So is the announcement of a
+        worker that is only absent from the view: it may have been declared gone by mistake and may
+        return with the same incarnation.
         """
         for worker in view.workers:
             worker_id = worker.worker_id
--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -1,7 +1,8 @@
 """The router's link to the rest of the fleet: lease, fleet view, decisions, reports, announcements.
 
-A thin shell around :class:`~orchidpath.routing.freshness.FreshnessCore`, which decides; this module
-moves its messages. It also answers, as any process does, who the control members are.
+:class:`~orchidpath.routing.freshness.FreshnessCore` makes the decisions about lease and view; this
+module sends and receives its messages. Like every process, it also answers queries for the control
+members.
 """
 
 import asyncio
@@ -52,38 +53,41 @@
 from orchidpath.wire.peer_links import PeerLinks
 from orchidpath.wire.records import FleetView, RouterRecord
 
-TURN_SECONDS = 0.05
-"""Period of the link's own turn: heartbeats when due, batched reports and announcements."""
+LOOP_PERIOD_SECONDS = 0.05
+"""Period of the link's loop, which sends due heartbeats, batched reports and announcements."""
 
 RETRY_TIER_SECONDS = 0.25
-"""After a decision was not answered in time, the leader is tried again this often at most."""
+"""After a decision timed out, no other is requested for this time or until a reply arrives."""
 
 MAX_ANNOUNCE_ADDRESSES = 4
-"""How many addresses a worker is told to announce itself to."""
+"""Maximum number of addresses returned to a worker for its further announcements."""
 
 
 class FleetListener(Protocol):
-    """Is told what the link learns; everything is called in the event loop and must not block."""
+    """Receives updates from the link; all methods run in the event loop and must not block."""
 
     def view_adopted(self, view: FleetView) -> None:
-        """Apply this view in every decision from now on."""
+        """Use this view for every later decision."""
 
     def circuits_received(self, circuits: CircuitsView) -> None:
-        """Take the agreed circuits as the last known ones."""
+        """Store the circuits agreed by the control tier as the last known ones."""
 
     def counter_report(self, term: int, unacknowledged: tuple[AttemptReport, ...]) -> CounterReport:
-        """Return this router's own counters for a new leader, without what is still reported."""
+        """Return this router's own counters for a new leader, without the unacknowledged reports.
+
+        Those reports will still be sent, so including them would count them twice.
+        """
 
 
 class ControlLink(FleetAccess):
-    """Connects one router to control, to its witnesses and to the processes that ask it.
+    """Connects one router to control, to its witnesses and to the processes that query it.
 
     Parameters
     ----------
     record
-        This router as it registers itself.
+        The record under which this router registers.
     hello
-        What this process says of itself on every connection.
+        Identity of this process, sent on every connection.
     seeds
         Wire addresses of three processes of the fleet.
     clock
@@ -91,7 +95,7 @@
     random
         Source of jitter.
     faults
-        Injected faults, for tests.
+        Injected link faults, for tests.
     """
 
     def __init__(
@@ -123,26 +127,26 @@
             hello, self._on_message, random, on_connect=self._on_link_up, faults=faults
         )
         self._listener = Listener(record.address, hello, on_message=self._on_message, faults=faults)
-        self._turns: asyncio.Task[None] | None = None
+        self._loop_task: asyncio.Task[None] | None = None
         self._acknowledging: asyncio.TimerHandle | None = None
 
     def set_listener(self, listener: FleetListener) -> None:
-        """Name the one that is told what this link learns; before :meth:`start`."""
+        """Set the listener that receives updates; call before :meth:`start`."""
         self._listener_object = listener
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """Take other seeds in a running router."""
+        """Replace the seeds of a running router."""
         self._finder.set_seeds(seeds)
 
     async def start(self) -> None:
-        """Listen, connect and begin to ask for a lease."""
+        """Listen, connect and start requesting a lease."""
         await self._listener.start()
-        self._turns = asyncio.create_task(self._turn_forever())
+        self._loop_task = asyncio.create_task(self._run_loop())
 
     async def stop(self) -> None:
-        """Send what is queued and close."""
-        if self._turns is not None:
-            self._turns.cancel()
+        """Send queued reports and announcements, then close all connections."""
+        if self._loop_task is not None:
+            self._loop_task.cancel()
         if self._acknowledging is not None:
             self._acknowledging.cancel()
         self._send_queued(self._clock())
@@ -155,7 +159,7 @@
         return self._core.view
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether this router holds a lease to serve by its view."""
+        """Return whether this router holds a lease to serve requests with its view."""
         return self._core.is_fresh(now)
 
     def freshness_reason(self, now: float) -> str:
@@ -163,13 +167,13 @@
         return self._core.reason(now)
 
     def seconds_until_fresh_hint(self) -> float:
-        """Return when a refused caller should come back."""
+        """Return after how many seconds a rejected caller should retry."""
         return 1.0
 
     async def decide(
         self, request: DecisionRequest, timeout_seconds: float
     ) -> DecisionReply | None:
-        """Ask the leader to choose workers and register the attempt; None if it is slow or lost."""
+        """Request a decision from the leader, which registers the attempt; None without a reply."""
         now = self._clock()
         if now < self._tier_retry_at:
             return None
@@ -183,7 +187,7 @@
             async with asyncio.timeout(timeout_seconds):
                 reply = await answer
         except TimeoutError:
-            # Until the leader answers again only one request in a while pays for the wait.
+            # Until the leader replies, at most one request per retry period waits for the timeout.
             self._tier_retry_at = self._clock() + RETRY_TIER_SECONDS
             self._late_decisions.record_abandoned(request)
             return None
@@ -192,7 +196,7 @@
         return None if reply.rejection is Rejection.NOT_LEADER else reply
 
     def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
-        """Learn which workers the router chose by itself."""
+        """Record which workers the router chose without the leader."""
         self._late_decisions.decided_alone(attempt_id, worker_ids)
 
     def report(self, reports: Sequence[AttemptReport]) -> None:
@@ -200,11 +204,14 @@
         self._reports.add(reports)
 
     def observe_capacity(self, observed: CapacityObserved) -> None:
-        """Tell the leader of a derived throttle; if it is lost it will be observed again."""
+        """Report an observed throttle to the leader.
+
+        If the message is lost, the throttle is observed and reported again.
+        """
         self._send_to_leader(observed)
 
     async def announce(self, announcement: Announcement) -> AnnouncementReply:
-        """Take a worker's announcement and forward it to the leader."""
+        """Store a worker's announcement and forward it to the leader."""
         record = announcement.record
         was_draining = self._announced.is_draining(record.worker_id)
         if not self._announced.record_announcement(announcement):
@@ -215,29 +222,29 @@
         return self._announcement_reply()
 
     def locally_draining(self, worker_id: str) -> bool:
-        """Return whether the worker itself told this router that it is draining."""
+        """Return whether the worker itself announced to this router that it is draining."""
         return self._announced.is_draining(worker_id)
 
-    async def _turn_forever(self) -> None:
+    async def _run_loop(self) -> None:
         while True:
             now = self._clock()
             self._links.set_addresses(self._peer_addresses(now))
             self._execute(self._core.tick(now))
             if self._finder.should_query(now):
-                self._query_everyone(now)
+                self._query_all_peers(now)
             self._send_queued(now)
-            await asyncio.sleep(TURN_SECONDS)
+            await asyncio.sleep(LOOP_PERIOD_SECONDS)
 
     def _peer_addresses(self, now: float) -> set[str]:
         addresses = self._finder.addresses(now)
         view = self._core.view
         if view is not None and self._finder.is_leader_silent(now):
             known = {router.router_id: router.address for router in view.routers}
-            addresses.update(known[one] for one in view.witnesses if one in known)
+            addresses.update(known[witness] for witness in view.witnesses if witness in known)
         addresses.discard(self._record.address)
         return addresses
 
-    def _query_everyone(self, now: float) -> None:
+    def _query_all_peers(self, now: float) -> None:
         for connection in self._links.connections():
             connection.send(WhoIsControl())
             if self._core.view is None:
@@ -256,7 +263,9 @@
             self._announcements.clear()
 
     def _announcement_reply(self) -> AnnouncementReply:
-        addresses = [one.http_address for one in self._finder.members.members if one.http_address]
+        addresses = [
+            member.http_address for member in self._finder.members.members if member.http_address
+        ]
         return AnnouncementReply(
             accepted=True, announce_to=tuple(addresses[:MAX_ANNOUNCE_ADDRESSES])
         )
@@ -270,7 +279,7 @@
         if connection.dialled_address == self._finder.leader_address:
             self._execute(self._core.heartbeat(self._clock()))
 
-    def _learn_members(self, members: ControlMembers, now: float) -> None:
+    def _update_members(self, members: ControlMembers, now: float) -> None:
         known_leader = self._finder.leader_address
         self._finder.update_members(members)
         if self._finder.leader_address not in {"", known_leader}:
@@ -280,7 +289,7 @@
         now = self._clock()
         match message:
             case ControlMembers():
-                self._learn_members(message, now)
+                self._update_members(message, now)
             case WhoIsControl():
                 connection.send(self._finder.members)
             case FreshnessQuery():
--- a/src/orchidpath/router/fleet_link/fleet_access.py
+++ b/src/orchidpath/router/fleet_link/fleet_access.py
@@ -1,6 +1,6 @@
-"""What the router's edge needs from the rest of the fleet, as one abstract class.
+"""Abstract interface through which the router's edge uses the rest of the fleet.
 
-The control link implements it; tests use a fake. Nothing here does input or output itself.
+The control link implements it; tests use a fake. This module does no input or output itself.
 """
 
 from abc import ABC, abstractmethod
@@ -25,7 +25,7 @@
 
     @abstractmethod
     def is_fresh(self, now: float) -> bool:
-        """Return whether this router holds a lease to serve by its view."""
+        """Return whether this router holds a lease to serve requests with its view."""
 
     @abstractmethod
     def freshness_reason(self, now: float) -> str:
@@ -33,30 +33,30 @@
 
     @abstractmethod
     def seconds_until_fresh_hint(self) -> float:
-        """Return when a refused caller should come back."""
+        """Return after how many seconds a rejected caller should retry."""
 
     @abstractmethod
     async def decide(
         self, request: DecisionRequest, timeout_seconds: float
     ) -> DecisionReply | None:
-        """Ask the leader to choose workers and register the attempt.
+        """Request a decision from the leader, which chooses workers and registers the attempt.
 
         Parameters
         ----------
         request
             Candidates and tried workers of each stage.
         timeout_seconds
-            Bound on the whole wait.
+            Bound on the wait for the reply.
 
         Returns
         -------
         DecisionReply or None
-            None when the control tier is slow or lost.
+            None when the control tier is unreachable or did not reply in time.
         """
 
     @abstractmethod
     def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
-        """Learn which workers the router chose by itself, the leader's answer not being there."""
+        """Record which workers the router chose itself because the leader did not reply."""
 
     @abstractmethod
     def report(self, reports: Sequence[AttemptReport]) -> None:
@@ -68,8 +68,8 @@
 
     @abstractmethod
     async def announce(self, announcement: Announcement) -> AnnouncementReply:
-        """Take a worker's announcement and forward it to the leader."""
+        """Store a worker's announcement and forward it to the leader."""
 
     @abstractmethod
     def locally_draining(self, worker_id: str) -> bool:
-        """Return whether this router itself heard the worker say that it is draining."""
+        """Return whether the worker itself announced to this router that it is draining."""
--- a/src/orchidpath/router/fleet_link/late_decisions.py
+++ b/src/orchidpath/router/fleet_link/late_decisions.py
@@ -1,8 +1,8 @@
-"""Decisions whose answer comes after the router has gone on without it; pure.
+"""Decisions that the leader returns after the router stopped waiting; pure, no input or output.
 
-The leader has registered such an attempt in flight on the workers that it chose, and may have
-granted a probe. The router reports each of them that it did not use as neutral, which frees the
-mark and gives the probe back (see :mod:`orchidpath.circuit.fallback`).
+The leader has registered such an attempt as in flight on the workers that it chose, and may have
+granted a probe. For each of these workers that it did not use, the router sends a neutral report,
+which removes the in-flight mark and returns the probe (see :mod:`orchidpath.circuit.fallback`).
 """
 
 from collections import OrderedDict
@@ -10,31 +10,37 @@
 
 from orchidpath.wire.messages import AttemptEffect, AttemptReport, DecisionReply, DecisionRequest
 
-MAX_REMEMBERED = 1024
-"""Requests without an answer that are remembered; of older ones the in-flight TTL frees marks."""
+MAX_STORED_REQUESTS = 1024
+"""Maximum number of stored unanswered requests.
+
+The in-flight marks of older requests are removed by their TTL.
+"""
 
 
 class LateDecisions:
-    """Requests that were given up, and which workers were used instead."""
+    """Abandoned decision requests, and the workers that the router used instead."""
 
     def __init__(self) -> None:
         self._requests: OrderedDict[int, DecisionRequest] = OrderedDict()
         self._used: OrderedDict[str, frozenset[str]] = OrderedDict()
 
     def record_abandoned(self, request: DecisionRequest) -> None:
-        """Remember a request whose answer was not waited for."""
+        """Store a decision request whose reply did not arrive in time."""
         self._requests[request.correlation] = request
-        if len(self._requests) > MAX_REMEMBERED:
+        if len(self._requests) > MAX_STORED_REQUESTS:
             self._requests.popitem(last=False)
 
     def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
-        """Remember which workers the router chose by itself for an attempt."""
+        """Store which workers the router itself chose for an attempt."""
         self._used[attempt_id] = frozenset(worker_ids)
-        if len(self._used) > MAX_REMEMBERED:
+        if len(self._used) > MAX_STORED_REQUESTS:
             self._used.popitem(last=False)
 
     def answered(self, reply: DecisionReply) -> list[AttemptReport]:
-        """Return the neutral reports that a late answer asks for."""
+        """Return neutral reports for the unused workers of a late reply.
+
+        The list is empty for a reply to a request that is not stored.
+        """
         request = self._requests.pop(reply.correlation, None)
         if request is None:
             return []
--- a/src/orchidpath/router/fleet_link/leader_finder.py
+++ b/src/orchidpath/router/fleet_link/leader_finder.py
@@ -1,6 +1,7 @@
-"""Which control processes there are and which one leads, as one process has learned it; pure.
+"""Control members and current leader as known to one process; pure, no input or output.
 
-Built from the answers of any processes, seeds included, so that three seed addresses are enough.
+Any process of the fleet, seeds included, answers queries for them, so three seed addresses are
+enough to find the leader.
 """
 
 from collections.abc import Sequence
@@ -8,14 +9,14 @@
 from orchidpath.wire.messages import ControlMembers
 
 LEADER_SILENT_SECONDS = 0.7
-"""Without a word of the leader for this long, every known process is asked who leads."""
+"""After this long without a message from the leader, all known processes are queried for it."""
 
 QUERY_PERIOD_SECONDS = 0.25
-"""Time between two rounds of asking while no leader is heard."""
+"""Time between two rounds of queries while the leader is silent."""
 
 
 class LeaderFinder:
-    """The newest known control members.
+    """Tracks the newest known control members and the leader among them.
 
     Parameters
     ----------
@@ -32,12 +33,12 @@
         self._next_query_at = now
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """Take other seeds; what was learned through the earlier ones stays."""
+        """Replace the seeds; members found through the former seeds are retained."""
         self._seeds = tuple(seeds)
 
     @property
     def members(self) -> ControlMembers:
-        """What this process answers to ``WhoIsControl``."""
+        """The newest known control members, sent as the answer to ``WhoIsControl``."""
         return self._members
 
     @property
@@ -49,42 +50,45 @@
         return ""
 
     def update_members(self, members: ControlMembers) -> bool:
-        """Take an answer; one of a lower term, or that knows less, is ignored.
+        """Store the members of an answer.
+
+        An answer is ignored if it has a lower term or no members, or if it names no leader while
+        the leader of the same term is known.
 
         Returns
         -------
         bool
-            Whether anything changed.
+            Whether the stored members changed.
         """
         if not members.members or members.term < self._members.term:
             return False
-        knows_less = members.term == self._members.term and not members.leader_id
-        if knows_less and self._members.leader_id:
+        lacks_leader = members.term == self._members.term and not members.leader_id
+        if lacks_leader and self._members.leader_id:
             return False
         changed = members != self._members
         self._members = members
         return changed
 
     def record_leader_contact(self, now: float) -> None:
-        """Record a word of the leader."""
+        """Record that a message from the leader arrived."""
         self._leader_contact_at = now
 
     def is_leader_silent(self, now: float) -> bool:
-        """Whether the leader was not heard lately."""
+        """Return whether no message from the leader arrived for ``LEADER_SILENT_SECONDS``."""
         return now - self._leader_contact_at >= LEADER_SILENT_SECONDS
 
     def should_query(self, now: float) -> bool:
-        """Whether to ask everyone now who leads; at most once a period."""
+        """Return whether to query all peers for the leader now; True at most once a period."""
         if not self.is_leader_silent(now) or now < self._next_query_at:
             return False
         self._next_query_at = now + QUERY_PERIOD_SECONDS
         return True
 
     def addresses(self, now: float) -> set[str]:
-        """Return the wire addresses to keep links to.
+        """Return the wire addresses to which links are kept open.
 
-        All control members, so that a fail-over needs no new connection; the seeds as well while
-        no leader is heard.
+        These are all control members, so that a failover needs no new connection, and also the
+        seeds while the leader is silent or no member is known.
         """
         addresses = {member.address for member in self._members.members if member.address}
         if self.is_leader_silent(now) or not addresses:
--- a/src/orchidpath/router/fleet_link/report_queue.py
+++ b/src/orchidpath/router/fleet_link/report_queue.py
@@ -1,4 +1,7 @@
-"""Attempt reports on their way to the leader: batched, repeated, bounded; pure."""
+"""Queue of attempt reports to the leader; pure, no input or output.
+
+Reports are sent in batches, repeated until acknowledged, and bounded in number.
+"""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -8,13 +11,16 @@
 from orchidpath.wire.messages import AttemptReport, AttemptReports
 
 REPEAT_SECONDS = 1.0
-"""A batch that was not acknowledged is sent again after this long."""
+"""An unacknowledged batch is sent again after this long."""
 
 MAX_BATCH_REPORTS = 256
-"""Reports in one message at most."""
+"""Maximum number of reports in one message."""
 
 MAX_UNACKNOWLEDGED_BATCHES = 256
-"""Older batches are dropped: the in-flight TTL frees their marks."""
+"""Maximum number of unacknowledged batches.
+
+Older batches are dropped; the in-flight marks of their attempts are removed by the TTL.
+"""
 
 
 class _Sent(msgspec.Struct):
@@ -36,7 +42,7 @@
         self._new.extend(reports)
 
     def due(self, now: float) -> list[AttemptReports]:
-        """Return the batches to send now: new ones, and old ones without an answer."""
+        """Return the batches to send now: new ones, and unacknowledged ones due for repetition."""
         batches = []
         for sent in self._unacknowledged.values():
             if now - sent.sent_at >= REPEAT_SECONDS:
@@ -47,12 +53,14 @@
         return batches
 
     def acknowledged(self, sequence: int) -> None:
-        """Forget a batch that the leader has counted."""
+        """Remove a batch that the leader has acknowledged."""
         self._unacknowledged.pop(sequence, None)
 
     def unacknowledged(self) -> tuple[AttemptReport, ...]:
-        """Return every report that the leader has not counted, sent or not."""
-        sent = [report for one in self._unacknowledged.values() for report in one.message.reports]
+        """Return every report that the leader has not acknowledged, whether sent or not."""
+        sent = [
+            report for batch in self._unacknowledged.values() for report in batch.message.reports
+        ]
         return (*sent, *self._new)
 
     def _next_batch(self, now: float) -> AttemptReports:
