--- a/src/orchidpath/router/chat/__init__.py
+++ b/src/orchidpath/router/chat/__init__.py
@@ -1,4 +1,4 @@
-"""The path of chat completions and plain calls: HTTP edge, request runner, back-end client.
+"""Request path of chat completions and plain calls: HTTP edge, request runner, back-end client.
 
 Begin with :mod:`.http_edge`, then :mod:`.request_runner`. Imported by
 :mod:`orchidpath.router.process` and the simulation.
--- a/src/orchidpath/router/chat/attempt_trace.py
+++ b/src/orchidpath/router/chat/attempt_trace.py
@@ -1,4 +1,4 @@
-"""Times the orders of one request, for the decision trace and for the observed delays."""
+"""Records the attempts of one request for the decision trace, and the delays of its workers."""
 
 import msgspec
 
@@ -9,25 +9,25 @@
 
 
 class Delay(msgspec.Struct, frozen=True, kw_only=True):
-    """How long a worker took to its first answer."""
+    """Time from a dispatch to the worker's reply or first frame."""
 
     worker_id: str
     seconds: float
 
 
-class _Sent(msgspec.Struct, frozen=True):
+class _Dispatch(msgspec.Struct, frozen=True):
     worker_id: str
     stage: Stage
     at: float
 
 
 class AttemptTrace:
-    """What happened to each attempt of one request.
+    """Trace of the attempts of one request.
 
     Parameters
     ----------
     request_id
-        The request.
+        Identifier of the request.
     clock
         Monotonic clock.
     """
@@ -36,23 +36,26 @@
         self._request_id = request_id
         self._clock = clock
         self._entries: list[TraceEntry] = []
-        self._sent: dict[Stage, _Sent] = {}
-        self._unanswered: _Sent | None = None
+        self._sent: dict[Stage, _Dispatch] = {}
+        self._unanswered: _Dispatch | None = None
 
     def sent(self, worker_id: str, stage: Stage) -> None:
-        """Record that an order is on its way to a worker."""
-        self._unanswered = _Sent(worker_id, stage, self._clock())
+        """Record that a dispatch to a worker starts now."""
+        self._unanswered = _Dispatch(worker_id, stage, self._clock())
         self._sent[stage] = self._unanswered
 
     def first_answer(self, now: float) -> Delay | None:
-        """Return the delay of the order that was answered for the first time just now."""
+        """Return the delay of the last dispatch, or None if it was already returned.
+
+        None is also returned before the first dispatch.
+        """
         sent, self._unanswered = self._unanswered, None
         if sent is None:
             return None
         return Delay(worker_id=sent.worker_id, seconds=now - sent.at)
 
     def ended(self, report: Report) -> TraceEntry:
-        """Record how an attempt ended for one worker, and return what was noted."""
+        """Record how an attempt ended for one worker, and return its trace entry."""
         sent = self._sent.get(report.stage)
         was_sent = sent is not None and sent.worker_id == report.report.worker_id
         latency_seconds = self._clock() - sent.at if sent is not None and was_sent else 0.0
--- a/src/orchidpath/router/chat/backend_client.py
+++ b/src/orchidpath/router/chat/backend_client.py
@@ -1,7 +1,9 @@
-"""Orders to back ends over HTTP/1.1, and their answers as events; see :mod:`.backend_exchange`.
+"""HTTP/1.1 client for back ends; see :mod:`.backend_exchange` for a single exchange.
 
-An order is written once: redirects are not followed, and the library never repeats a POST. An
-exchange that is aborted closes its connection; only one that was read to its end gives it back.
+The client sends dispatches (prefill, decode or plain call of an attempt) and turns the responses
+into events. A dispatch is sent at most once: redirects are not followed, and the library never
+repeats a POST. An aborted exchange closes its connection; a connection returns to the pool only
+after its response was read to the end.
 """
 
 import asyncio
@@ -50,19 +52,22 @@
 )
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""A back end that takes longer to accept a connection is taken as unreachable."""
+"""A back end that takes longer to accept a connection is considered unreachable."""
 
 IDLE_CONNECTION_SECONDS = 15.0
 """An unused connection to a back end is closed after this long."""
 
 END_OF_BODY_SECONDS = 1.0
-"""After the terminal frame the body must end within this, or the connection is closed."""
+"""If the body does not end within this time after the terminal frame, the connection is closed."""
 
 ReplyT = TypeVar("ReplyT")
 
 
 class BackendClient:
-    """Sends orders to back ends and turns their answers into events; one pool for each back end."""
+    """Sends dispatches to back ends and emits their responses as events.
+
+    Each back end has its own pool of connections.
+    """
 
     def __init__(self) -> None:
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=IDLE_CONNECTION_SECONDS)
@@ -79,24 +84,24 @@
         await self._session.close()
 
     async def prefill(
-        self, target: OrderTarget, order: PrefillRequest, check: SendCheck, emit: Emit
+        self, target: OrderTarget, request: PrefillRequest, check: SendCheck, emit: Emit
     ) -> None:
-        """Order a prefill and emit how it ended.
+        """Dispatch a prefill and emit its result.
 
         Parameters
         ----------
         target
-            Where it goes.
-        order
-            The prompt.
+            Address, identifiers and timeouts.
+        request
+            Body of the dispatch.
         check
-            Asked right before the first byte.
+            Called immediately before the first byte is written.
         emit
-            Takes exactly one event.
+            Receives exactly one event.
         """
 
         async def exchange_once(exchange: Exchange) -> RequestEvent:
-            reply = await self._unary(exchange, "/v1/prefill", order, PrefillReply)
+            reply = await self._unary(exchange, "/v1/prefill", request, PrefillReply)
             require_echo(exchange, reply.request_id, reply.attempt_id)
             return PrefillSucceeded(
                 attempt_id=target.attempt_id, request_id=reply.request_id, handle=reply.handle
@@ -105,12 +110,12 @@
         await emit(await self._outcome(Exchange(target, check), exchange_once))
 
     async def call(
-        self, target: OrderTarget, order: CallRequest, check: SendCheck, emit: Emit
+        self, target: OrderTarget, request: CallRequest, check: SendCheck, emit: Emit
     ) -> None:
-        """Order a plain call and emit how it ended; parameters as for :meth:`prefill`."""
+        """Dispatch a plain call and emit its result; parameters as for :meth:`prefill`."""
 
         async def exchange_once(exchange: Exchange) -> RequestEvent:
-            reply = await self._unary(exchange, "/v1/call", order, CallReply)
+            reply = await self._unary(exchange, "/v1/call", request, CallReply)
             require_echo(exchange, reply.request_id, reply.attempt_id)
             return CallReplied(
                 attempt_id=target.attempt_id,
@@ -122,21 +127,21 @@
         await emit(await self._outcome(Exchange(target, check), exchange_once))
 
     async def decode(
-        self, target: OrderTarget, order: DecodeRequest, check: SendCheck, emit: Emit
+        self, target: OrderTarget, request: DecodeRequest, check: SendCheck, emit: Emit
     ) -> None:
-        """Order a decode; emit every frame as it comes and then how the stream ended.
+        """Dispatch a decode; emit every frame as it arrives and then the end of the stream.
 
-        Parameters are as for :meth:`prefill`; ``emit`` takes any number of events.
+        Parameters are as for :meth:`prefill`; ``emit`` receives any number of events.
         """
 
         async def exchange_once(exchange: Exchange) -> RequestEvent:
-            await self._stream(exchange, order, emit)
+            await self._stream(exchange, request, emit)
             return DecodeEnded(attempt_id=target.attempt_id)
 
         await emit(await self._outcome(Exchange(target, check), exchange_once))
 
     async def cancel(self, url: str, attempt_id: str, timeout_seconds: float) -> CancelReply | None:
-        """Tell a back end that an attempt is not wanted.
+        """Request the cancellation of an attempt from a back end.
 
         Parameters
         ----------
@@ -145,12 +150,12 @@
         attempt_id
             The attempt.
         timeout_seconds
-            Bound on the whole exchange.
+            Bound on the exchange.
 
         Returns
         -------
         CancelReply or None
-            None when there was no valid answer in time.
+            None when no valid reply arrived in time.
         """
         try:
             async with asyncio.timeout(timeout_seconds):
@@ -172,7 +177,7 @@
     async def _outcome(
         self, exchange: Exchange, work: Callable[[Exchange], Awaitable[RequestEvent]]
     ) -> RequestEvent:
-        """Run an exchange and turn every way in which it can fail into its event."""
+        """Run an exchange and return its event, also for every way in which it can fail."""
         token = current_exchange.set(exchange)
         try:
             return await work(exchange)
@@ -194,11 +199,11 @@
             current_exchange.reset(token)
 
     async def _post(
-        self, exchange: Exchange, path: str, order: msgspec.Struct
+        self, exchange: Exchange, path: str, request: msgspec.Struct
     ) -> aiohttp.ClientResponse:
         response = await self._session.post(
             exchange.target.url + path,
-            data=msgspec.json.encode(order),
+            data=msgspec.json.encode(request),
             headers={
                 ATTEMPT_HEADER: exchange.target.attempt_id,
                 "content-type": "application/json",
@@ -209,21 +214,21 @@
         return response
 
     async def _unary(
-        self, exchange: Exchange, path: str, order: msgspec.Struct, kind: type[ReplyT]
+        self, exchange: Exchange, path: str, request: msgspec.Struct, kind: type[ReplyT]
     ) -> ReplyT:
         async with asyncio.timeout(exchange.target.first_answer_seconds):
-            response = await self._post(exchange, path, order)
-            # Closes the connection unless the body was read to its end.
+            response = await self._post(exchange, path, request)
+            # Closes the connection unless the body was read to the end.
             with closing(response):
                 content = await read_bounded(response)
         require_success(exchange, response.status, content)
         return msgspec.json.decode(content, type=kind)
 
-    async def _stream(self, exchange: Exchange, order: DecodeRequest, emit: Emit) -> None:
+    async def _stream(self, exchange: Exchange, request: DecodeRequest, emit: Emit) -> None:
         loop = asyncio.get_running_loop()
         first_content_by = loop.time() + exchange.target.first_answer_seconds
         async with asyncio.timeout_at(first_content_by):
-            response = await self._post(exchange, "/v1/decode", order)
+            response = await self._post(exchange, "/v1/decode", request)
         with closing(response):
             if response.status != 200:
                 async with asyncio.timeout_at(first_content_by):
@@ -234,7 +239,7 @@
 
 
 class _FrameReader:
-    """Reads the frames of one decode stream."""
+    """Reads and emits the frames of one decode stream."""
 
     def __init__(self, exchange: Exchange, response: aiohttp.ClientResponse, emit: Emit) -> None:
         self._target = exchange.target
@@ -245,7 +250,22 @@
         self._is_complete = False
 
     async def read(self, first_content_by: float) -> None:
-        """Emit every frame until the body ends."""
+        """Emit every frame until the body ends.
+
+        Parameters
+        ----------
+        first_content_by
+            Time of the event loop's clock, in seconds, by which content must have arrived.
+
+        Raises
+        ------
+        AttemptError
+            If the first content, the next bytes or the end of the body do not arrive in time.
+        MalformedEventError
+            If an event is too large or incomplete at the end of the body.
+        msgspec.DecodeError
+            If an event is not a frame.
+        """
         loop = asyncio.get_running_loop()
         while True:
             deadline = loop.time() + self._target.stall_seconds
@@ -257,7 +277,7 @@
             if not chunk:
                 break
             for data in self._parser.feed(chunk):
-                await self._take(msgspec.json.decode(data, type=DecodeFrame))
+                await self._emit_frame(msgspec.json.decode(data, type=DecodeFrame))
         if self._parser.has_pending:
             raise MalformedEventError("the body ended inside an event")
 
@@ -269,8 +289,8 @@
             observed = Observed.STALLED if self._has_content else Observed.TIMED_OUT
             raise AttemptError(AttemptObservation(observed=observed), observed.value) from problem
 
-    async def _take(self, frame: DecodeFrame) -> None:
-        # Roles, usage and keepalives don't stop the clock of the first token.
+    async def _emit_frame(self, frame: DecodeFrame) -> None:
+        # Only content ends the wait for the first token: role, usage and keepalive frames do not.
         self._has_content = self._has_content or frame.kind is FrameKind.CONTENT
         self._is_complete = self._is_complete or frame.kind is FrameKind.DONE
         await self._emit(DecodeFrameReceived(attempt_id=self._target.attempt_id, frame=frame))
--- a/src/orchidpath/router/chat/backend_exchange.py
+++ b/src/orchidpath/router/chat/backend_exchange.py
@@ -1,7 +1,9 @@
-"""One exchange with a back end: the check before its first byte, its echo, and how it failed.
+"""One exchange with a back end: a dispatch and the response to it.
 
-Whatever fails before the first byte is known never to have left this router. An answer that names
-another attempt closes its connection, so that no later order reads what is left of it.
+This module checks right before the first byte whether the dispatch may still be sent, checks that
+the response echoes its identifiers, and turns failures into events. When an exchange fails before
+the first byte is written, nothing of the dispatch has left this router. A response that names
+another attempt closes its connection, so that no later dispatch reads the rest of it.
 """
 
 from collections.abc import Awaitable, Callable
@@ -19,17 +21,17 @@
 from orchidpath.wire.backend import ErrorBody, ErrorEnvelope
 
 MAXIMUM_REPLY_BYTES = 16 * 1024 * 1024
-"""A larger reply is taken as malformed, so that a back end can't fill the memory."""
+"""A larger reply is malformed; the limit keeps a back end from exhausting the router's memory."""
 
 Emit = Callable[[RequestEvent], Awaitable[None]]
-"""Takes an event; waits while the reader of events is behind."""
+"""Receives an event; waits while the queue of events is full."""
 
 SendCheck = Callable[[], SendRefusal | None]
-"""Says, right before the first byte, why an order may not be sent; None when it may."""
+"""Returns why a dispatch may not be sent, or None; called right before the first byte."""
 
 
 class OrderTarget(msgspec.Struct, frozen=True, kw_only=True):
-    """Where an order goes and how long its parts may take."""
+    """Address, identifiers and timeouts of a dispatch."""
 
     url: str
     request_id: str
@@ -40,7 +42,7 @@
 
 
 class SendRefusedError(OrchidpathError):
-    """The check before the first byte said no."""
+    """The check before the first byte refused the dispatch; ``refusal`` is the reason."""
 
     def __init__(self, refusal: SendRefusal) -> None:
         super().__init__(refusal.value)
@@ -48,7 +50,10 @@
 
 
 class AttemptError(OrchidpathError):
-    """The exchange failed in a way that the back end's answer shows."""
+    """The exchange failed; ``observation`` classifies the failure.
+
+    ``error`` is the error body of the back end, if it sent one.
+    """
 
     def __init__(
         self, observation: AttemptObservation, reason: str, error: ErrorBody | None = None
@@ -59,7 +64,7 @@
 
 
 class Exchange:
-    """What is known of one order while its exchange runs."""
+    """State of one exchange while it runs."""
 
     def __init__(self, target: OrderTarget, check: SendCheck) -> None:
         self.target = target
@@ -69,7 +74,7 @@
         self.protocol: ResponseHandler | None = None
 
     def close_connection(self) -> None:
-        """Close the connection, also if the library already took it back for reuse."""
+        """Close the connection, even if the library has already returned it to its pool."""
         if self.protocol is not None:
             self.protocol.close()
 
@@ -78,10 +83,10 @@
 
 
 class CheckedRequest(aiohttp.ClientRequest):
-    """Runs the exchange's check between connecting and the first byte."""
+    """HTTP request that runs the check of its exchange between connecting and the first byte."""
 
     async def send(self, conn: Connection) -> ClientResponse:
-        """Write the request on a standing connection, if the check lets it."""
+        """Write the request on an established connection, if the check allows it."""
         exchange = current_exchange.get()
         if exchange is not None:
             refusal = exchange.check()
@@ -93,7 +98,7 @@
 
 
 async def read_bounded(response: aiohttp.ClientResponse) -> bytes:
-    """Read a body to its end; raises :class:`AttemptError` if it is too large."""
+    """Read a body to its end; raise :class:`AttemptError` above ``MAXIMUM_REPLY_BYTES``."""
     content = bytearray()
     async for chunk in response.content.iter_any():
         content += chunk
@@ -104,7 +109,10 @@
 
 
 def require_success(exchange: Exchange, status: int, content: bytes) -> None:
-    """Raise the failure that an error status stands for."""
+    """Raise :class:`AttemptError` unless the status is 200.
+
+    An error body that belongs to another attempt also closes the connection.
+    """
     if status == 200:
         return
     try:
@@ -114,23 +122,23 @@
         raise AttemptError(observation, f"HTTP status {status}") from None
     if exchange.echoed_attempt_id not in {"", exchange.target.attempt_id}:
         exchange.close_connection()
-        raise _crossed()
+        raise _wrong_attempt_error()
     observation = AttemptObservation(observed=Observed.REFUSED, error_code=error.code)
     raise AttemptError(observation, f"{error.code}: {error.message}", error)
 
 
 def require_echo(exchange: Exchange, request_id: str, attempt_id: str) -> None:
-    """Raise, and close the connection, unless an answer names this very attempt."""
+    """Close the connection and raise AttemptError unless a response names this attempt."""
     target = exchange.target
     echoes = {attempt_id, exchange.echoed_attempt_id}
     if request_id == target.request_id and echoes == {target.attempt_id}:
         return
-    # Closed before anything else happens: the next order must not read another one's answer.
+    # Closed first: the next dispatch must not read the response to another.
     exchange.close_connection()
-    raise _crossed()
+    raise _wrong_attempt_error()
 
 
-def _crossed() -> AttemptError:
+def _wrong_attempt_error() -> AttemptError:
     observation = AttemptObservation(observed=Observed.WRONG_ATTEMPT_ECHO)
     return AttemptError(observation, "the answer belongs to another attempt")
 
@@ -138,7 +146,10 @@
 def failed_by_exception(
     exchange: Exchange, observed: Observed, problem: Exception
 ) -> AttemptFailed:
-    """Return the event of an exchange that an exception ended."""
+    """Return the event of an exchange that an exception ended.
+
+    If nothing was sent, the observation is ``CONNECT_FAILED`` instead of ``observed``.
+    """
     if not exchange.dispatch_left:
         observed = Observed.CONNECT_FAILED
     reason = f"{observed.value}: {type(problem).__name__}"
--- a/src/orchidpath/router/chat/chat_api.py
+++ b/src/orchidpath/router/chat/chat_api.py
@@ -1,4 +1,4 @@
-"""Shapes of the OpenAI-compatible chat completions towards callers."""
+"""Request and response bodies of the OpenAI-compatible chat completions API."""
 
 import msgspec
 
@@ -7,14 +7,14 @@
 from orchidpath.wire.records import Stage
 
 DEFAULT_MAX_TOKENS = 256
-"""Expected length of an answer when the caller names none."""
+"""Maximum length of a completion, in tokens, when the caller sets none."""
 
 CHARACTERS_PER_TOKEN = 4
-"""Estimate by which a prompt's cost is counted before any worker has read it."""
+"""Estimate for the cost of a prompt before a worker has tokenized it."""
 
 
 class ContentPart(msgspec.Struct, frozen=True, kw_only=True):
-    """One part of a message's content; only text counts."""
+    """One part of a message's content; only its text is used."""
 
     type: str
     text: str = ""
@@ -27,7 +27,7 @@
     content: str | tuple[ContentPart, ...] | None = None
 
     def text(self) -> str:
-        """Return the whole text of the message."""
+        """Return the complete text of the message."""
         if self.content is None:
             return ""
         if isinstance(self.content, str):
@@ -45,17 +45,17 @@
     max_completion_tokens: int | None = None
 
     def prompt(self) -> str:
-        """Return the whole text of the messages, which is what the prefix cache holds."""
+        """Return the text of all messages with their roles, as the prefix cache holds it."""
         return "\n".join(f"{message.role}: {message.text()}" for message in self.messages)
 
     def token_limit(self) -> int:
-        """Return the longest answer asked for."""
+        """Return the maximum number of completion tokens, at least 1."""
         limit = self.max_completion_tokens or self.max_tokens or DEFAULT_MAX_TOKENS
         return max(limit, 1)
 
 
 class Delta(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What one chunk adds."""
+    """Content that one chunk adds to the message."""
 
     role: str | None = None
     content: str | None = None
@@ -70,7 +70,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens of a completion."""
+    """Token counts of a completion."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -78,7 +78,7 @@
 
 
 class TraceEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One worker's part in one attempt, for the decision trace."""
+    """Entry of the decision trace: the part of one worker in one attempt."""
 
     attempt_id: str
     stage: Stage
@@ -89,14 +89,14 @@
 
 
 class DecisionTrace(msgspec.Struct, frozen=True, kw_only=True):
-    """What the router decided for a request (paper, "Observing a routing decision")."""
+    """Routing decisions for one request (paper, "Observing a routing decision")."""
 
     request_id: str
     attempts: tuple[TraceEntry, ...]
 
 
 class ChatChunk(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One ``chat.completion.chunk``."""
+    """A ``chat.completion.chunk``, one event of a streamed completion."""
 
     id: str
     object: str
@@ -108,7 +108,7 @@
 
 
 class AssistantMessage(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole answer."""
+    """The complete message of the assistant."""
 
     role: str
     content: str
@@ -123,7 +123,7 @@
 
 
 class ChatCompletion(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A whole ``chat.completion``."""
+    """A ``chat.completion``, the body of a completion that is not streamed."""
 
     id: str
     object: str
@@ -135,7 +135,7 @@
 
 
 class ErrorAnswer(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """An error towards a caller, with the decision trace if it was asked for."""
+    """Error body of a response, with the decision trace if the caller requested it."""
 
     error: ErrorBody
     orchidpath: DecisionTrace | None = None
--- a/src/orchidpath/router/chat/event_queue.py
+++ b/src/orchidpath/router/chat/event_queue.py
@@ -1,4 +1,7 @@
-"""Events of one request on their way to its machine, with bounded room for what back ends send."""
+"""Queue of the events of one request for its state machine.
+
+The number of queued events from back ends is bounded.
+"""
 
 import asyncio
 
@@ -7,18 +10,18 @@
 from orchidpath.routing.request.events import RequestEvent
 
 MAXIMUM_QUEUED_ANSWERS = 64
-"""Answers and frames of back ends that wait for the machine; above it the back end waits."""
+"""Maximum number of queued events from back ends; when it is reached, the back end is blocked."""
 
 
 class QueuedEvent(msgspec.Struct, frozen=True):
-    """An event, and whether it occupies one of the bounded places."""
+    """An event, and whether it counts towards ``MAXIMUM_QUEUED_ANSWERS``."""
 
     event: RequestEvent
     has_place: bool
 
 
 class EventQueue:
-    """Queues events; timers never wait, back ends do."""
+    """Queue of events that blocks back ends while it is full, but never timers."""
 
     def __init__(self) -> None:
         self._queue: asyncio.Queue[QueuedEvent] = asyncio.Queue()
@@ -26,11 +29,14 @@
         self._is_closed = False
 
     def post(self, event: RequestEvent) -> None:
-        """Queue an event of which there are only a few, such as a timer's."""
+        """Queue an event without waiting; only for sources of few events, such as timers."""
         self._queue.put_nowait(QueuedEvent(event, has_place=False))
 
     async def offer(self, event: RequestEvent) -> None:
-        """Queue what a back end sent, once there is a place for it."""
+        """Queue an event from a back end, waiting while the queue is full.
+
+        The event is dropped if the queue is closed.
+        """
         await self._places.acquire()
         if self._is_closed:
             self._places.release()
@@ -42,11 +48,11 @@
         return await self._queue.get()
 
     def done(self, queued: QueuedEvent) -> None:
-        """Give an event's place back once it has been dealt with."""
+        """Release the place of an event that has been processed."""
         if queued.has_place:
             self._places.release()
 
     def close(self) -> None:
-        """Drop what comes from now on, and let everybody go who waits for a place."""
+        """Drop all later events from back ends, and release those that wait for a place."""
         self._is_closed = True
         self._places.release()
--- a/src/orchidpath/router/chat/http_edge.py
+++ b/src/orchidpath/router/chat/http_edge.py
@@ -1,7 +1,7 @@
 """The router's HTTP edge: callers' requests, workers' announcements, health and metrics.
 
-A request is refused at once, with ``ran=no``, while the router is stopping or holds no lease to
-serve; whatever is admitted is served by a
+While the router is draining or holds no lease to serve, a request is rejected immediately with
+``ran=no``. Each admitted request is served by a
 :class:`~orchidpath.router.chat.request_runner.RequestRunner`.
 """
 
@@ -50,25 +50,25 @@
 from orchidpath.wire.records import FleetView
 
 MAXIMUM_BODY_BYTES = 32 * 1024 * 1024
-"""Longest request that is read into memory."""
+"""Maximum size of a request body that is read into memory."""
 
 BODY_TIMEOUT_SECONDS = 10.0
-"""A request whose body takes longer to arrive is refused; nothing of it was sent on."""
+"""A request whose body takes longer to arrive is rejected; nothing of it was dispatched."""
 
 DRAINING_RETRY_SECONDS = 1.0
-"""A caller of a stopping router comes back at once, to another one."""
+"""``Retry-After`` of a draining router; short, as the caller can retry on another router."""
 
 SHUTDOWN_GRACE_SECONDS = 0.5
-"""After the drain time, what still runs is aborted within this."""
+"""After the drain time, requests that still run are aborted within this time."""
 
 CLIENT_DISCONNECTED_STATUS = 499
-"""Nobody reads it; it only marks the request in the library's own records."""
+"""Status of a request whose caller disconnected; seen only by the HTTP library."""
 
 _Read = Callable[[web.Request, str, RoutingState, float], Awaitable[Intake]]
 
 
 class EdgeServer:
-    """Serves HTTP on one address.
+    """HTTP server for callers, workers and probes, on one address.
 
     Parameters
     ----------
@@ -81,7 +81,7 @@
     clock
         Monotonic clock.
     recorder
-        Keeps the decision log; None keeps none.
+        Writes the decision log; None when no decision log is written.
     """
 
     def __init__(
@@ -109,15 +109,15 @@
 
     @property
     def address(self) -> str:
-        """``IP:port`` on which the server listens, known after :meth:`start`."""
+        """``IP:port`` on which the server listens; available after :meth:`start`."""
         assert self._runner is not None
         host, port = self._runner.addresses[0][:2]
         return f"{host}:{port}"
 
     async def start(self) -> None:
-        """Listen; OSError when the address can't be had."""
+        """Listen for requests; raise OSError if the address cannot be bound."""
         self._client = BackendClient()
-        # A caller who leaves cancels its handler, which cancels the attempt on the worker.
+        # When a caller disconnects, its handler is cancelled, and that cancels the attempt.
         self._runner = web.AppRunner(
             self._application(),
             access_log=None,
@@ -129,12 +129,12 @@
         await web.TCPSite(self._runner, host, int(port)).start()
 
     async def stop(self, drain_seconds: float) -> None:
-        """Refuse new requests, let running ones finish for a bounded time, then close.
+        """Reject new requests, let running ones finish for a bounded time, then close.
 
         Parameters
         ----------
         drain_seconds
-            How long running requests get.
+            Time for running requests to finish.
         """
         self._drain.begin()
         if not await self._drain.wait_until_idle(drain_seconds):
@@ -150,18 +150,18 @@
         self._state.adopt(view)
 
     def circuits_received(self, circuits: CircuitsView) -> None:
-        """Take the agreed circuits as the last known ones."""
+        """Store the circuits agreed by the control tier as the last known ones."""
         self._state.take_circuits(circuits, self._clock())
 
     def counter_report(
         self, term: int, unacknowledged: tuple[AttemptReport, ...] = ()
     ) -> CounterReport:
-        """Return this router's own counters for a new leader."""
+        """Return this router's own counters for a new leader, without unacknowledged reports."""
         return self._state.fallback.counter_report(term, self._clock(), unacknowledged)
 
     def _application(self) -> web.Application:
         application = web.Application(
-            client_max_size=MAXIMUM_BODY_BYTES, middlewares=[self._answer_every_fault]
+            client_max_size=MAXIMUM_BODY_BYTES, middlewares=[self._answer_errors]
         )
         router = application.router
         router.add_get("/health/live", self._health.live)
@@ -215,7 +215,7 @@
             raise RefusedError(error) from problem
 
     def _refusal(self, request_id: str) -> ErrorBody | None:
-        """Say why this router takes in nothing now."""
+        """Return the error if this router accepts no requests now, otherwise None."""
         if self._drain.is_draining:
             return refusal(
                 ErrorCode.DRAINING,
@@ -257,13 +257,13 @@
         try:
             await runner.run()
         except ConnectionError:
-            # The caller disconnected, or reads nothing: there is nobody left to answer.
+            # The caller disconnected or stopped reading, so that no response can be sent.
             self._logger.debug("caller_gone", request_id=intake.routed.plan.request_id)
             return sink.response or web.Response(status=CLIENT_DISCONNECTED_STATUS)
         except Exception:
             if sink.response is None:
                 raise
-            # A second response must not be written into a stream that has begun.
+            # A second response must not be written into a stream that has already started.
             self._logger.exception("stream_failed", request_id=intake.routed.plan.request_id)
             close_uncleanly(request)
         assert sink.response is not None
@@ -295,12 +295,12 @@
         )
 
     @web.middleware
-    async def _answer_every_fault(
+    async def _answer_errors(
         self,
         request: web.Request,
         handler: Callable[[web.Request], Awaitable[web.StreamResponse]],
     ) -> web.StreamResponse:
-        """Answer in the one shape of every error, also what the HTTP library refuses."""
+        """Answer errors of handlers and of the HTTP library in the common error format."""
         try:
             return await handler(request)
         except web.HTTPException as refused:
@@ -321,7 +321,7 @@
     clock: Clock,
     recorder: DecisionRecorder | None = None,
 ) -> EdgeServer:
-    """Make the HTTP edge of a router.
+    """Return the HTTP edge of a router.
 
     Parameters
     ----------
@@ -334,11 +334,11 @@
     clock
         Monotonic clock.
     recorder
-        Keeps the decision log; None keeps none.
+        Writes the decision log; None when no decision log is written.
 
     Returns
     -------
     EdgeServer
-        Not listening yet.
+        The edge, which does not listen before :meth:`EdgeServer.start`.
     """
     return EdgeServer(settings, fleet_access, random, clock, recorder)
--- a/src/orchidpath/router/chat/http_errors.py
+++ b/src/orchidpath/router/chat/http_errors.py
@@ -1,4 +1,4 @@
-"""Errors towards callers: status by code, ``Retry-After`` and the JSON body."""
+"""Error responses to callers: HTTP status, ``Retry-After`` header and JSON body."""
 
 import math
 from types import MappingProxyType
@@ -12,7 +12,7 @@
 REQUEST_ID_HEADER = "x-request-id"
 
 MINIMUM_RETRY_AFTER_SECONDS = 1
-"""``Retry-After`` counts whole seconds, and 0 would invite an immediate return."""
+"""``Retry-After`` is in whole seconds; 0 would allow an immediate retry."""
 
 STATUS_BY_CODE = MappingProxyType(
     {
@@ -32,16 +32,16 @@
         ErrorCode.DEADLINE_EXCEEDED: 504,
     }
 )
-"""HTTP status of each code that a router answers with; any other is a fault of the router."""
+"""HTTP status of each error code; :func:`error_response` answers any other code with 500."""
 
 
 def retry_after_header(seconds: float) -> str:
-    """Return whole seconds, rounded up so that nobody comes back too early."""
+    """Return the header value in whole seconds, rounded up so that no caller retries too early."""
     return str(max(math.ceil(seconds), MINIMUM_RETRY_AFTER_SECONDS))
 
 
 def error_response(error: ErrorBody, trace: DecisionTrace | None = None) -> web.Response:
-    """Make the answer that carries an error."""
+    """Return the HTTP response for an error."""
     response = web.Response(
         body=msgspec.json.encode(ErrorAnswer(error=error, orchidpath=trace)),
         status=STATUS_BY_CODE.get(error.code, 500),
@@ -62,7 +62,7 @@
     ran: Ran = Ran.NO,
     retry_after_seconds: float | None = None,
 ) -> ErrorBody:
-    """Make the error of a request that this router does not take in."""
+    """Return the error body for a request that this router rejects."""
     return ErrorBody(
         code=code,
         message=message,
--- a/src/orchidpath/router/chat/http_intake.py
+++ b/src/orchidpath/router/chat/http_intake.py
@@ -1,4 +1,4 @@
-"""Turns a caller's HTTP request into a routed request, or into the refusal that it gets."""
+"""Parses a caller's HTTP request into a routed request, or rejects it with an error."""
 
 import math
 from random import Random
@@ -24,13 +24,16 @@
 TRACE_HEADER = "x-orchidpath-trace"
 
 MAXIMUM_HEADER_VALUE = 128
-"""Longest request id or tenant that is taken from a caller."""
+"""Maximum length of a request id or tenant, in characters.
+
+A longer request id is replaced by a new one; a longer tenant is truncated.
+"""
 
 REQUEST_ID_BITS = 128
 
 
 class RefusedError(OrchidpathError):
-    """The request is not taken in; ``error`` is what the caller gets."""
+    """The request is rejected; ``error`` is the body of the response."""
 
     def __init__(self, error: ErrorBody) -> None:
         super().__init__(error.message)
@@ -38,7 +41,7 @@
 
 
 class Intake(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that has a route, and what its admission depends on."""
+    """A parsed request with a route, and the values that its admission depends on."""
 
     routed: RoutedRequest
     tenant: str
@@ -47,7 +50,7 @@
 
 
 def request_id_of(request: web.Request, random: Random) -> str:
-    """Return the caller's request id, or a new one when it sent none that can be used."""
+    """Return the caller's request id, or a new one if it is missing, too long or not printable."""
     given = request.headers.get(REQUEST_ID_HEADER, "").strip()
     if given and len(given) <= MAXIMUM_HEADER_VALUE and given.isprintable():
         return given
@@ -57,7 +60,7 @@
 async def read_chat(
     request: web.Request, request_id: str, state: RoutingState, now: float
 ) -> Intake:
-    """Read a chat completion.
+    """Read and parse a chat completion request.
 
     Parameters
     ----------
@@ -68,17 +71,18 @@
     state
         Routes of the adopted view.
     now
-        Monotonic seconds; the deadline counts from here.
+        Monotonic seconds; the deadline counts from this time.
 
     Returns
     -------
     Intake
-        What to run.
+        The parsed request.
 
     Raises
     ------
     RefusedError
-        If the body is not a chat completion or no route takes its model.
+        If the body is not a chat completion request, no route matches its model, or its deadline
+        header is invalid.
     """
     body = _decode_chat(await request.read(), request_id)
     match = state.routes.match_chat(body.model)
@@ -108,7 +112,10 @@
 async def read_plain(
     request: web.Request, request_id: str, state: RoutingState, now: float
 ) -> Intake:
-    """Read a plain call; parameters, result and errors as for :func:`read_chat`."""
+    """Read and parse a plain call; parameters, result and errors as for :func:`read_chat`.
+
+    The route is matched by method and path, and the body must be JSON; an empty body means null.
+    """
     match = state.routes.match_plain(request.method, request.path)
     if match is None:
         message = f"no route for {request.method} {request.path}"
@@ -132,7 +139,7 @@
 
 
 def admission_error(rejected: Rejected, request_id: str) -> ErrorBody:
-    """Return what a caller gets whom admission turned away."""
+    """Return the error body for a request that admission rejected."""
     code = ErrorCode.OVERLOADED
     ran = Ran.NO
     match rejected.reason:
@@ -141,7 +148,7 @@
         case RejectionReason.TOO_LARGE:
             code = ErrorCode.BAD_REQUEST
         case RejectionReason.DUPLICATE_REQUEST:
-            # The request of this id is running: nobody may be told that it will not run.
+            # A request with this id is running: the answer must not claim that it did not run.
             code = ErrorCode.RATE_LIMITED
             ran = Ran.UNKNOWN
         case _:
--- a/src/orchidpath/router/chat/request_runner.py
+++ b/src/orchidpath/router/chat/request_runner.py
@@ -1,7 +1,9 @@
-"""Drives one request's machine: carries out its instructions and brings it the events.
+"""Runs one request: executes the instructions of its state machine and delivers events to it.
 
-The machine (:mod:`orchidpath.routing.request.request_machine`) decides everything; this shell sends
-requests to workers, reads their responses, keeps timers and writes the response.
+The state machine (:mod:`orchidpath.routing.request.request_machine`) makes all decisions. The
+runner does the input and output: it dispatches to workers, reads their responses, runs timers and
+writes the response to the caller. A dispatch is one request to a back end: a prefill, a decode or a
+plain call of an attempt.
 """
 
 import asyncio
@@ -31,7 +33,7 @@
 
 
 class RoutedRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One request as the edge hands it over: its plan, and the bodies of its orders."""
+    """One request as passed on by the HTTP edge: its plan, and the content of its dispatches."""
 
     plan: events.RequestPlan
     subject: DecisionSubject
@@ -44,7 +46,7 @@
 
 
 class RunnerEnvironment(msgspec.Struct, frozen=True, kw_only=True):
-    """What the runners of one router share."""
+    """Objects shared by all request runners of one router."""
 
     state: RoutingState
     decisions: DecisionMaker
@@ -61,11 +63,11 @@
     Parameters
     ----------
     environment
-        What all runners share.
+        Objects shared by all runners.
     request
         The request.
     sink
-        Where its response goes.
+        Receives its response.
     """
 
     def __init__(
@@ -85,19 +87,19 @@
         self._events = EventQueue()
         self._trace = AttemptTrace(request.plan.request_id, environment.clock)
         self._exchange: asyncio.Task[None] | None = None
-        self._ordered: dict[str, WorkerRecord] = {}
+        self._dispatched_workers: dict[str, WorkerRecord] = {}
         self._timers: list[asyncio.TimerHandle] = []
         self._started_at = environment.clock()
         self._attempts = 0
         self._outcome = OUTCOME_OK
 
     async def run(self) -> None:
-        """Serve the request to its end; the sink then holds the response.
+        """Serve the request until it ends; the sink then holds the response.
 
         Raises
         ------
         asyncio.CancelledError
-            If the caller left.
+            If the caller disconnected.
         ConnectionError
             If the response could not be written.
         """
@@ -109,23 +111,26 @@
                 await self._handle(queued.event)
                 self._events.done(queued)
         except (asyncio.CancelledError, ConnectionError):
-            self._leave(OUTCOME_CLIENT_DISCONNECTED)
+            self._end_without_response(OUTCOME_CLIENT_DISCONNECTED)
             raise
         except Exception:
-            self._leave(ErrorCode.INTERNAL.value)
+            self._end_without_response(ErrorCode.INTERNAL.value)
             raise
         finally:
-            self._close()
+            self._finalize()
 
-    def _leave(self, outcome: str) -> None:
-        """Let go of everything, without waiting, since nobody is there to be answered."""
+    def _end_without_response(self, outcome: str) -> None:
+        """End the request without waiting for the caller or writing to it.
+
+        The instructions of the state machine abort exchanges, cancel attempts and send reports.
+        """
         self._outcome = outcome
         for instruction in self._machine.handle(
             events.ClientDisconnected(), self._environment.clock()
         ):
             self._execute(instruction)
 
-    def _close(self) -> None:
+    def _finalize(self) -> None:
         self._events.close()
         for timer in self._timers:
             timer.cancel()
@@ -138,16 +143,17 @@
         now = self._environment.clock()
         self._record_event(event, now)
         instructions = self._machine.handle(event, now)
-        # The caller last: if it disconnected, the workers and the leader still hear what they must.
+        # The caller comes last: if it has disconnected, writing fails, but workers and the leader
+        # have already received their messages.
         for instruction in instructions:
             self._execute(instruction)
         for instruction in instructions:
             await self._respond(instruction)
 
-    # Responses
+    # Responses to the caller
 
     async def _respond(self, instruction: events.RequestInstruction) -> None:
-        """Write to the caller if that is what the instruction asks for."""
+        """Execute an instruction that writes to the caller; ignore any other."""
         match instruction:
             case events.Commit():
                 await self._commit()
@@ -174,7 +180,7 @@
     def _requested_trace(self) -> DecisionTrace | None:
         return self._trace.result() if self._request.wants_trace else None
 
-    # Everything else
+    # Instructions that do not write to the caller
 
     def _execute(self, instruction: events.RequestInstruction) -> None:
         match instruction:
@@ -193,7 +199,7 @@
                 entry = self._trace.ended(instruction)
                 self._environment.decisions.report(instruction.report, entry)
             case _:
-                # What goes to the caller is written by :meth:`_respond`.
+                # Instructions that write to the caller are executed by :meth:`_respond`.
                 pass
 
     def _start_timer(self, seconds: float, event: events.RequestEvent) -> None:
@@ -211,18 +217,19 @@
         if not self._machine.is_ended:
             self._events.post(decided)
             return
-        # The request ended meanwhile: the machine frees what the decision has registered.
+        # The request ended during the decision: the machine releases the attempt that the decision
+        # registered.
         for late in self._machine.handle(decided, self._environment.clock()):
             self._execute(late)
 
     def _abort(self) -> None:
         if self._exchange is not None:
-            # Closes the connection of an exchange that has not been read to its end.
+            # Cancelling closes the connection of an exchange that has not been read to its end.
             self._exchange.cancel()
             self._exchange = None
 
     async def _cancel(self, instruction: events.Cancel) -> None:
-        worker = self._ordered.get(instruction.worker_id)
+        worker = self._dispatched_workers.get(instruction.worker_id)
         if worker is None:
             return
         reply = await self._environment.client.cancel(
@@ -238,17 +245,17 @@
         )
         self._events.post(answered)
 
-    # Orders
+    # Dispatches to workers
 
     def _send(self, instruction: events.SendPrefill | events.SendDecode | events.SendCall) -> None:
-        stage = _STAGES[type(instruction)]
+        stage = _STAGE_BY_DISPATCH[type(instruction)]
         worker = self._environment.state.worker(instruction.worker_id)
         if worker is None or worker.status is WorkerStatus.GONE:
             self._events.post(self._unavailable(instruction.attempt_id))
             return
-        self._ordered[worker.worker_id] = worker
+        self._dispatched_workers[worker.worker_id] = worker
         self._trace.sent(worker.worker_id, stage)
-        work = self._exchange_of(instruction, worker, self._check_of(worker, stage))
+        work = self._run_exchange(instruction, worker, self._send_check(worker, stage))
         self._exchange = self._environment.tasks.spawn(work)
 
     def _unavailable(self, attempt_id: str) -> events.SendRefused:
@@ -258,7 +265,7 @@
             retry_after_seconds=self._environment.not_fresh_retry_seconds,
         )
 
-    def _check_of(self, worker: WorkerRecord, stage: Stage) -> SendCheck:
+    def _send_check(self, worker: WorkerRecord, stage: Stage) -> SendCheck:
         environment = self._environment
 
         def check() -> events.SendRefusal | None:
@@ -267,7 +274,7 @@
 
         return check
 
-    async def _exchange_of(
+    async def _run_exchange(
         self,
         instruction: events.SendPrefill | events.SendDecode | events.SendCall,
         worker: WorkerRecord,
@@ -277,14 +284,14 @@
         client = self._environment.client
         match instruction:
             case events.SendPrefill():
-                await client.prefill(target, self._prefill(instruction), check, self._offer)
+                await client.prefill(target, self._prefill_request(instruction), check, self._offer)
             case events.SendDecode():
-                await client.decode(target, self._decode(instruction), check, self._offer)
+                await client.decode(target, self._decode_request(instruction), check, self._offer)
             case events.SendCall():
-                await client.call(target, self._call(instruction), check, self._offer)
+                await client.call(target, self._call_request(instruction), check, self._offer)
 
     async def _offer(self, event: events.RequestEvent) -> None:
-        # What comes after the end has no reader, and must not wait for one.
+        # After the end of the request its queue has no reader: the exchange must not wait for it.
         if not self._machine.is_ended:
             await self._events.offer(event)
 
@@ -299,7 +306,7 @@
             refused_retry_after_seconds=self._environment.not_fresh_retry_seconds,
         )
 
-    def _prefill(self, instruction: events.SendPrefill) -> PrefillRequest:
+    def _prefill_request(self, instruction: events.SendPrefill) -> PrefillRequest:
         return PrefillRequest(
             request_id=self._plan.request_id,
             attempt_id=instruction.attempt_id,
@@ -307,7 +314,7 @@
             prompt=self._request.prompt,
         )
 
-    def _decode(self, instruction: events.SendDecode) -> DecodeRequest:
+    def _decode_request(self, instruction: events.SendDecode) -> DecodeRequest:
         self._sink.prompt_tokens = instruction.handle.prompt_tokens
         return DecodeRequest(
             request_id=self._plan.request_id,
@@ -317,7 +324,7 @@
             max_tokens=self._request.max_tokens,
         )
 
-    def _call(self, instruction: events.SendCall) -> CallRequest:
+    def _call_request(self, instruction: events.SendCall) -> CallRequest:
         return CallRequest(
             request_id=self._plan.request_id,
             attempt_id=instruction.attempt_id,
@@ -327,7 +334,7 @@
         )
 
     def _record_event(self, event: events.RequestEvent, now: float) -> None:
-        """Measure how long the ordered worker took to its answer or first frame."""
+        """Record the delay of the worker if the event is its reply or its first frame."""
         if not isinstance(event, _FIRST_ANSWERS):
             return
         delay = self._trace.first_answer(now)
@@ -337,7 +344,7 @@
             )
 
 
-_STAGES: dict[type, Stage] = {
+_STAGE_BY_DISPATCH: dict[type, Stage] = {
     events.SendPrefill: Stage.PREFILL,
     events.SendDecode: Stage.DECODE,
     events.SendCall: Stage.PLAIN,
--- a/src/orchidpath/router/chat/response_sinks.py
+++ b/src/orchidpath/router/chat/response_sinks.py
@@ -1,8 +1,8 @@
-"""Writes what the request machine decides to the caller: a stream, one completion or a JSON body.
+"""Response sinks, which write the response of a request to its caller.
 
-A stream that breaks after its commit must not look complete (brief, "What must never happen"): it
-ends with an error frame, without ``[DONE]``, and its connection is closed without the chunk that
-ends a chunked body.
+The response is a stream of events, one completion or a JSON body. A stream that fails after its
+commit must not look complete (brief, "What must never happen"): it ends with an error event,
+without ``[DONE]``, and its connection is closed without the chunk that ends a chunked body.
 """
 
 import asyncio
@@ -27,18 +27,18 @@
 from orchidpath.wire.backend import DecodeFrame, ErrorBody, FrameKind
 
 CLIENT_STALL_SECONDS = 30.0
-"""A caller who reads nothing for this long is taken as gone."""
+"""A caller that reads nothing for this long is treated as disconnected."""
 
 _KEEPALIVE = b": keepalive\n\n"
 _DONE = b"data: [DONE]\n\n"
 
 
 class ClientStalledError(ConnectionError):
-    """The caller does not read its response."""
+    """The caller did not read its response for ``CLIENT_STALL_SECONDS``."""
 
 
 class ResponseSink(ABC):
-    """Where the response of one request goes; nothing is written before :meth:`commit`."""
+    """Writes the response of one request; nothing of a success is sent before :meth:`commit`."""
 
     def __init__(self) -> None:
         self.response: web.StreamResponse | None = None
@@ -47,11 +47,11 @@
 
     @abstractmethod
     async def commit(self) -> None:
-        """Begin a successful response."""
+        """Start a successful response; only :meth:`break_stream` can report an error after it."""
 
     @abstractmethod
     async def relay(self, frames: Sequence[DecodeFrame]) -> None:
-        """Pass frames on; returns once the caller has room for more."""
+        """Relay frames to the caller; returns once the caller's buffer has space for more."""
 
     @abstractmethod
     async def finish(self, body: bytes | None, trace: DecisionTrace | None) -> None:
@@ -62,12 +62,12 @@
         """End a committed response so that it cannot look complete."""
 
     async def reject(self, error: ErrorBody, trace: DecisionTrace | None) -> None:
-        """Answer with an error; nothing was written before."""
+        """Respond with an error; call only while nothing has been sent."""
         self.response = error_response(error, trace)
 
 
 class ChatIdentity(msgspec.Struct, frozen=True, kw_only=True):
-    """What every part of a chat completion repeats; ``created`` is a Unix time in seconds."""
+    """Fields that every chunk of a completion repeats; ``created`` is a Unix time in seconds."""
 
     request_id: str
     model: str
@@ -80,7 +80,7 @@
 
 
 class StreamSink(ResponseSink):
-    """Server-sent events of ``chat.completion.chunk``, ended by ``[DONE]``."""
+    """Sink that sends ``chat.completion.chunk`` as server-sent events, ended by ``[DONE]``."""
 
     def __init__(self, request: web.Request, identity: ChatIdentity) -> None:
         super().__init__()
@@ -95,7 +95,7 @@
         )
 
     async def commit(self) -> None:
-        """Send the headers."""
+        """Send the status and the headers."""
         self.response = self._stream
         self._stream.enable_chunked_encoding()
         await self._stream.prepare(self._request)
@@ -107,13 +107,13 @@
             await self._write(self._encode(frame))
 
     async def finish(self, body: bytes | None, trace: DecisionTrace | None) -> None:
-        """Send the last chunk and the terminal."""
+        """Send the last chunk, ``[DONE]`` and the end of the body."""
         choice = ChunkChoice(finish_reason="stop")
         await self._write(_event(self._chunk((choice,), trace=trace)) + _DONE)
         await self._stream.write_eof()
 
     async def break_stream(self, error: ErrorBody, trace: DecisionTrace | None) -> None:
-        """Send the error frame and close the connection without a clean end."""
+        """Send the error event and close the connection without the end of the body."""
         await self._write(_event(ErrorAnswer(error=error, orchidpath=trace)))
         close_uncleanly(self._request)
 
@@ -151,18 +151,20 @@
         if not content:
             return
         try:
-            # Waits while the caller's buffer is full: a slow reader holds the back end up instead
-            # of filling the memory.
+            # Waits while the caller's buffer is full: a slow reader applies backpressure to the
+            # back end instead of filling the router's memory.
             async with asyncio.timeout(CLIENT_STALL_SECONDS):
                 await self._stream.write(content)
         except TimeoutError as problem:
             if self._request.transport is not None:
                 self._request.transport.abort()
-            raise ClientStalledError("the caller reads nothing") from problem
+            raise ClientStalledError(
+                f"the caller read nothing for {CLIENT_STALL_SECONDS:g} s"
+            ) from problem
 
 
 class CompletionSink(ResponseSink):
-    """One ``chat.completion`` body, written when the answer is whole."""
+    """Sink that sends one ``chat.completion`` once the completion is finished."""
 
     def __init__(self, identity: ChatIdentity) -> None:
         super().__init__()
@@ -170,17 +172,17 @@
         self._texts: list[str] = []
 
     async def commit(self) -> None:
-        """Begin; nothing is written before the end."""
+        """Do nothing; the response is sent only at the end."""
 
     async def relay(self, frames: Sequence[DecodeFrame]) -> None:
-        """Gather the text."""
+        """Collect the text and the number of completion tokens."""
         for frame in frames:
             self.completion_tokens = max(self.completion_tokens, frame.completion_tokens)
             if frame.kind is FrameKind.CONTENT:
                 self._texts.append(frame.text)
 
     async def finish(self, body: bytes | None, trace: DecisionTrace | None) -> None:
-        """Write the completion."""
+        """Set the response to the completion."""
         message = AssistantMessage(role="assistant", content="".join(self._texts))
         completion = ChatCompletion(
             id=self._identity.completion_id,
@@ -194,37 +196,37 @@
         self.response = json_response(msgspec.json.encode(completion), self._identity.request_id)
 
     async def break_stream(self, error: ErrorBody, trace: DecisionTrace | None) -> None:
-        """Answer with the error; nothing was written before."""
+        """Respond with the error, which is possible because nothing has been sent."""
         await self.reject(error, trace)
 
 
 class PlainSink(ResponseSink):
-    """The JSON body of a plain call."""
+    """Sink that sends the JSON body of a plain call."""
 
     def __init__(self, request_id: str) -> None:
         super().__init__()
         self._request_id = request_id
 
     async def commit(self) -> None:
-        """Begin; nothing is written before the end."""
+        """Do nothing; the response is sent only at the end."""
 
     async def relay(self, frames: Sequence[DecodeFrame]) -> None:
-        """Never called: a plain call has no frames."""
+        """Do nothing; a plain call has no frames."""
 
     async def finish(self, body: bytes | None, trace: DecisionTrace | None) -> None:
-        """Write the body as the worker sent it; the trace goes into a header."""
+        """Set the response to the worker's unchanged body; the trace is sent in a header."""
         self.response = json_response(body or b"null", self._request_id)
         if trace is not None:
             encoded = msgspec.json.encode(trace).decode("ascii", "replace")
             self.response.headers["x-orchidpath-trace"] = encoded
 
     async def break_stream(self, error: ErrorBody, trace: DecisionTrace | None) -> None:
-        """Answer with the error; nothing was written before."""
+        """Respond with the error, which is possible because nothing has been sent."""
         await self.reject(error, trace)
 
 
 def usage_of(sink: ResponseSink) -> Usage:
-    """Return the tokens that a sink has counted."""
+    """Return the token counts of a sink."""
     total = sink.prompt_tokens + sink.completion_tokens
     return Usage(
         prompt_tokens=sink.prompt_tokens,
@@ -234,13 +236,13 @@
 
 
 def json_response(body: bytes, request_id: str) -> web.Response:
-    """Make a successful JSON answer."""
+    """Return a successful JSON response."""
     headers = {REQUEST_ID_HEADER: request_id}
     return web.Response(body=body, headers=headers, content_type="application/json")
 
 
 def close_uncleanly(request: web.Request) -> None:
-    """Close the caller's connection after what was written, without the end of the body."""
+    """Close the caller's connection after the written data is sent, without the end of the body."""
     if request.transport is not None:
         request.transport.close()
 
