--- a/tests/router/test_control_link.py
+++ b/tests/router/test_control_link.py
@@ -22,15 +22,15 @@
     return Hello(node_id=node_id, incarnation="one", role=role, address="", fleet="test")
 
 
-async def test_a_router_that_learns_of_a_leader_sends_it_a_heartbeat_at_once() -> None:
-    """Its clock does not advance, so no heartbeat is due by itself."""
-    heard: asyncio.Queue[Message] = asyncio.Queue()
+async def test_a_newly_announced_leader_gets_a_heartbeat_at_once() -> None:
+    """The router's clock does not advance, so no periodic heartbeat is due."""
+    received: asyncio.Queue[Message] = asyncio.Queue()
     connected: asyncio.Queue[Connection] = asyncio.Queue()
     control = Listener(
         LOOPBACK,
         hello("c1", ProcessRole.CONTROL),
         on_connect=connected.put_nowait,
-        on_message=lambda _, message: heard.put_nowait(message),
+        on_message=lambda _, message: received.put_nowait(message),
     )
     await control.start()
     record = RouterRecord(router_id="r1", address=LOOPBACK, http_address="", zone="")
@@ -42,7 +42,7 @@
         connection = await connected.get()
         leader = ControlMember(node_id="c1", address=control.address)
         connection.send(ControlMembers(term=1, leader_id="c1", members=(leader,)))
-        while not isinstance(await heard.get(), RouterHeartbeat):
+        while not isinstance(await received.get(), RouterHeartbeat):
             pass
     finally:
         await link.stop()
--- a/tests/router/test_http_edge.py
+++ b/tests/router/test_http_edge.py
@@ -75,7 +75,7 @@
 
 
 async def eventually(condition: Callable[[], bool]) -> None:
-    """Wait until a condition is true; fails only at the time limit."""
+    """Wait until a condition is true; raise TimeoutError after 5 s."""
     async with asyncio.timeout(5.0):
         while not condition():
             await asyncio.sleep(0.005)
@@ -207,7 +207,7 @@
 
 
 async def test_response_to_another_request_is_not_relayed_and_its_connection_not_reused() -> None:
-    # A response with another id means that its connection is never reused.
+    # After a response with another id, its connection is never reused.
     async with running_site() as site:
         workers = site.workers("s")
         site.add_script("s", response_to_another_attempt())
@@ -435,6 +435,6 @@
                 before = progress
                 await asyncio.sleep(0.2)
                 progress = sum(worker.frames_sent for worker in decoders)
-            # What was sent fits into the buffers of the sockets; the rest waits at the back end.
+            # The frames sent fit into the socket buffers; the back end is blocked with the rest.
             assert 0 < progress < count / 2
             response.close()
--- a/tests/router/test_router_input_fuzz.py
+++ b/tests/router/test_router_input_fuzz.py
@@ -1,4 +1,7 @@
-"""Fuzzed input of callers and back ends: a typed rejection or failure, within its time."""
+"""Fuzzed input from callers and back ends.
+
+Each input must end in a typed rejection or failure within its timeout.
+"""
 
 import asyncio
 import json
@@ -223,7 +226,7 @@
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(answer)
-        # The request is read first; closing before that would reset the connection.
+        # Closing before the request has been read would reset the connection.
         await asyncio.sleep(0)
         writer.close()
 
--- a/tests/router/test_router_process.py
+++ b/tests/router/test_router_process.py
@@ -15,7 +15,7 @@
 
 
 class LinkedFleet(FakeFleet):
-    """A fake fleet that can be started like a link."""
+    """A fake fleet with the life-cycle methods of a control link."""
 
     def set_listener(self, _listener: object) -> None:
         pass
