--- a/src/orchidpath/router/load_view.py
+++ b/src/orchidpath/router/load_view.py
@@ -1,4 +1,4 @@
-"""Estimate of one router of the attempts in flight on each worker."""
+"""Attempts in flight on each worker, as estimated by one router."""
 
 from collections import Counter
 from collections.abc import Sequence
--- a/tests/router/test_load_view.py
+++ b/tests/router/test_load_view.py
@@ -1,4 +1,4 @@
-"""Estimate of one router of the attempts in flight on each worker."""
+"""Attempts in flight on each worker, as estimated by one router."""
 
 from orchidpath.router.load_view import REPORTED_LOAD_TTL_SECONDS, LoadView
 from orchidpath.wire.messages import CandidateState
