--- a/src/orchidpath/wire/messages/__init__.py
+++ b/src/orchidpath/wire/messages/__init__.py
@@ -1,7 +1,7 @@
 """Messages between the fleet's own processes: typed, tagged and msgpack encoded.
 
-Every message says in its docstring who sends it and what a lost, late or duplicated one does. The
-messages are defined by subject in the modules that are imported here.
+The docstring of a message states who sends it and what happens if it is lost, late or duplicated.
+The messages are defined by subject in the modules that are imported here.
 """
 
 from orchidpath.wire.messages.decision_messages import (
--- a/src/orchidpath/wire/messages/decision_messages.py
+++ b/src/orchidpath/wire/messages/decision_messages.py
@@ -1,4 +1,4 @@
-"""Messages of decisions and of their outcomes: requests, reports, counters and circuits."""
+"""Messages about routing decisions and their outcomes: requests, reports, counters, circuits."""
 
 from enum import StrEnum
 
@@ -7,14 +7,14 @@
 from orchidpath.wire.records import CapacityRecord, CircuitRecord, Stage
 
 PREFILL_DONE_SUFFIX = "#read"
-"""An attempt id with this suffix, reported as neutral, means that the attempt's prefill is done.
+"""Suffix of an attempt id in a neutral report: the prefill of that attempt is done.
 
-The outcome of the attempt is reported later, after the KV transfer.
+The outcome of the attempt itself is reported later, after the KV transfer.
 """
 
 
 class StageCandidates(msgspec.Struct, frozen=True, kw_only=True):
-    """One stage of a decision: candidates in preference order (best first)."""
+    """Candidates for one stage of a decision, in order of preference (best first)."""
 
     stage: Stage
     candidates: tuple[str, ...]
@@ -22,7 +22,12 @@
 
 
 class PromptShape(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Prompt of an attempt: key and tokens of its shared prefix, and the tokens after it."""
+    """Size of an attempt's prompt.
+
+    ``prefix_key`` identifies the prefix that the prompt shares with other prompts,
+    ``shared_tokens`` is the length of that prefix in tokens, and ``own_tokens`` is the number of
+    tokens after it.
+    """
 
     prefix_key: int
     shared_tokens: int
@@ -30,13 +35,17 @@
 
 
 class DecisionRequest(msgspec.Struct, frozen=True, kw_only=True, tag="decision_request"):
-    """Requests that the leader check the candidates' circuits and register one attempt.
+    """Requests that the leader choose workers for one attempt and register it as in flight.
+
+    The leader chooses from the candidates by the state of their circuits.
+
+    Sent by: routers, one for each attempt. If the message is lost or late, the router times out
+    and decides from its last known state and its own observations. If the message is duplicated,
+    the leader registers the attempt id once.
 
-    Sent by: routers, one for each attempt. Lost or late: after a timeout the router decides from
-    its last known state and its own observations. Duplicated: the attempt id is registered once.
-    With ``prompt`` the leader places the prefill; it chooses no prefill worker where the decode
-    worker is to prefill the prompt itself. ``is_read`` is set if the prefill is done already. With
-    ``may_wait`` the leader may postpone the decision.
+    If ``prompt`` is set, the leader also places the prefill; it chooses no prefill worker if the
+    decode worker is to prefill the prompt itself. ``is_read`` is set if the prefill is already
+    done. If ``may_wait`` is set, the leader may postpone the decision.
     """
 
     correlation: int
@@ -50,7 +59,11 @@
 
 
 class Choice(msgspec.Struct, frozen=True, kw_only=True):
-    """The worker chosen for one stage; ``probe_generation`` is set if the attempt is its probe."""
+    """The worker chosen for one stage of an attempt.
+
+    If the attempt is the probe of the worker's half-open circuit, ``probe_generation`` is the
+    generation of that circuit.
+    """
 
     stage: Stage
     worker_id: str
@@ -58,7 +71,7 @@
 
 
 class Rejection(StrEnum):
-    """Why no worker was chosen."""
+    """Reason why no worker was chosen."""
 
     NONE = "none"
     CIRCUITS_OPEN = "circuits_open"
@@ -70,7 +83,7 @@
 
 
 class CandidateState(msgspec.Struct, frozen=True, kw_only=True):
-    """A candidate's state at this decision; for the router's cache and for traces."""
+    """State of a candidate at the time of a decision; used in the router's cache and in traces."""
 
     worker_id: str
     status: str
@@ -80,10 +93,15 @@
 
 
 class DecisionReply(msgspec.Struct, frozen=True, kw_only=True, tag="decision_reply"):
-    """The chosen workers, or why there is none and when to retry.
+    """The chosen workers, or the reason why none was chosen and the time before a retry.
+
+    Sent by: the leader; a control process that is not the leader replies with ``NOT_LEADER``. If
+    the message is lost or late, the router decides without it; when a late reply arrives, the
+    router reports each chosen worker that it did not use as neutral, which removes the in-flight
+    entry and releases the probe. If the message is duplicated, the second one is ignored.
 
     ``expected_read_seconds`` is the expected time for queueing and prefill; 0 if there is no
-    prefill, or nothing is known.
+    prefill or no estimate.
     """
 
     correlation: int
@@ -96,7 +114,7 @@
 
 
 class AttemptEffect(StrEnum):
-    """Effect of one attempt on one worker (paper: failures are classified by effect)."""
+    """Effect of one attempt on one worker (paper: failures are classified by their effect)."""
 
     SUCCESS = "success"
     REQUEST = "request"
@@ -107,7 +125,7 @@
 
 
 class AttemptReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """How one attempt ended for one worker. The attempt id makes a repeated report harmless."""
+    """Outcome of one attempt on one worker; the attempt id makes repeated reports idempotent."""
 
     request_id: str
     attempt_id: str
@@ -117,9 +135,12 @@
 
 
 class AttemptReports(msgspec.Struct, frozen=True, kw_only=True, tag="attempt_reports"):
-    """A batch of reports from a router to the leader.
+    """A batch of attempt reports.
 
-    Lost: the router repeats unacknowledged reports, and the in-flight entry expires.
+    Sent by: routers, to the leader. If the message is lost, the router sends the same batch again
+    after ``REPEAT_SECONDS`` (:mod:`orchidpath.router.fleet_link.report_queue`). If the router
+    drops the batch, the in-flight entries of its attempts expire. If the message is duplicated or
+    late, the attempt id and the worker id of each report make it idempotent.
     """
 
     sequence: int
@@ -127,14 +148,18 @@
 
 
 class AttemptReportsReply(msgspec.Struct, frozen=True, kw_only=True, tag="attempt_reports_reply"):
-    """Acknowledges the reports up to ``sequence``."""
+    """Acknowledges exactly the batch with this ``sequence``, not the batches before it.
+
+    Sent by: the leader. If the message is lost, the router sends that batch again. If the message
+    is late or duplicated, it changes nothing.
+    """
 
     sequence: int
     term: int
 
 
 class InFlightMark(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """One attempt in flight on a worker, as its router reports it."""
+    """One attempt that is in flight on a worker, as reported by its router."""
 
     request_id: str
     attempt_id: str
@@ -143,7 +168,7 @@
 
 
 class WorkerTally(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A router's own counts for a worker over the health window."""
+    """Attempts of one router on a worker that succeeded or failed within the health window."""
 
     worker_id: str
     successes: int
@@ -152,7 +177,12 @@
 
 
 class CounterReport(msgspec.Struct, frozen=True, kw_only=True, tag="counter_report"):
-    """A router's own counters, sent once to each new leader to rebuild its soft state."""
+    """A router's own counters, from which a new leader rebuilds its soft state.
+
+    Sent by: routers, once for each term of a leader. If the message is lost, the leader's soft
+    state lacks this router's earlier attempts. If the message is duplicated, the leader ignores
+    the second one; if the message is late, the leader ignores it unless ``term`` is its own.
+    """
 
     term: int
     in_flight: tuple[InFlightMark, ...]
@@ -160,17 +190,26 @@
 
 
 class CapacityObserved(msgspec.Struct, frozen=True, kw_only=True, tag="capacity_observed"):
-    """A router has derived a throttle for a failure domain from rejections and delays."""
+    """Reports that a router derived a throttle of a failure domain from rejections and delays.
+
+    Sent by: routers, to the leader. If the message is lost, the router reports the throttle again
+    the next time it derives one. If the message is late or duplicated, the leader ignores it while
+    the domain's capacity circuit is open.
+    """
 
     failure_domain: str
     retry_after_seconds: float
 
 
 class CircuitsView(msgspec.Struct, frozen=True, kw_only=True, tag="circuits_view"):
-    """The agreed circuits, pushed by the leader on change: the routers' last known state.
+    """The circuits as agreed through the replicated log: the routers' last known state.
+
+    Sent by: the leader, when a circuit changes or a router is new. If the message is lost, a later
+    one replaces it: the leader also sends it every ``CIRCUITS_REPEAT_SECONDS``
+    (:mod:`orchidpath.control.leadership.circuits_publisher`). If the message is late or duplicated,
+    the router ignores it: its ``(term, sequence)`` is not above that of the newest view applied.
 
-    ``duration_seconds`` of each record is what remained when the leader sent this. Late or
-    duplicated: one whose ``(term, sequence)`` is not above the newest applied one is ignored.
+    ``duration_seconds`` of each record is the time that remained when the leader sent the message.
     """
 
     term: int
--- a/src/orchidpath/wire/messages/fleet_update_messages.py
+++ b/src/orchidpath/wire/messages/fleet_update_messages.py
@@ -1,4 +1,8 @@
-"""Messages that keep the routers fresh: leases, fleet updates and freshness queries."""
+"""Messages by which a router proves that its fleet view is current.
+
+They carry router leases, fleet updates and freshness queries. A router may serve only while it
+holds a lease of the leader or of a majority of the witness routers.
+"""
 
 import msgspec
 
@@ -6,22 +10,25 @@
 from orchidpath.wire.records import FleetView, RouterRecord, WorkerRecord
 
 ROUTER_HEARTBEAT_SECONDS = 0.5
-"""Time between two heartbeats of a router to the leader."""
+"""Longest time between two heartbeats of a router to the leader."""
 
 ROUTER_LEASE_SECONDS = 1.5
-"""A router may serve for this long after it sent the heartbeat that was last answered."""
+"""Duration of a router's lease, counted from the time when the router sent the heartbeat."""
 
 LEASE_DRIFT_SECONDS = 0.2
-"""Added by the leader before it treats a router's lease as expired: clocks differ in speed."""
+"""Added to a router's lease before the leader treats it as expired: clocks differ in speed."""
 
 
 class RouterHeartbeat(msgspec.Struct, frozen=True, kw_only=True, tag="router_heartbeat"):
-    """A router requests the renewal of its lease and reports what it has applied.
+    """Requests the renewal of a router's lease and reports the revision that it has adopted.
+
+    Sent by: routers, to the leader, at least every ``ROUTER_HEARTBEAT_SECONDS``. If the message is
+    lost, the next heartbeat renews the lease. If the message is late or duplicated, the lease is
+    not extended: the reply returns ``sequence``, and the lease counts from the time when the router
+    sent the heartbeat with that sequence.
 
-    Sent by: routers, every ``ROUTER_HEARTBEAT_SECONDS``, to the leader. ``adopted_revision`` is
-    the newest revision that every decision of this router applies from now on. Lost: the next
-    one renews the lease. Late or duplicated: harmless, ``sequence`` is echoed and the lease
-    counts from the time when the router sent that sequence.
+    ``adopted_revision`` is the newest revision that the router has adopted; all its decisions from
+    then on apply it.
     """
 
     record: RouterRecord
@@ -32,9 +39,13 @@
 
 
 class RouterHeartbeatReply(msgspec.Struct, frozen=True, kw_only=True, tag="router_heartbeat_reply"):
-    """The leader's reply, sent only while it holds its own leader lease.
+    """The leader's reply to a heartbeat, sent only while it holds its own leader lease.
 
-    ``revision`` is the newest committed revision; the router's lease is renewed only once it has
+    If the message is lost, the router's lease is renewed by the reply to its next heartbeat. If
+    the message is late or duplicated, the lease still counts from the time when the heartbeat was
+    sent; the router ignores a reply of a lower term.
+
+    ``revision`` is the newest committed revision; the lease is renewed only if the router has
     adopted that revision. ``registered`` is false until the router is registered in the
     replicated state.
     """
@@ -46,13 +57,17 @@
 
 
 class FleetUpdate(msgspec.Struct, frozen=True, kw_only=True, tag="fleet_update"):
-    """A newer fleet state, pushed by the leader or answered by a peer.
+    """A newer fleet state, as a full view or as a delta.
+
+    Sent by: the leader, as a push or in reply to a :class:`FleetUpdateRequest`; a witness router
+    sends it inside its :class:`FreshnessReply`. If the message is lost, the next heartbeat reply
+    contains a revision that the router lacks, and the router requests the update. If the message
+    is late or duplicated, the router ignores a revision that is not above the adopted one, so that
+    a router never returns to an older revision.
 
-    With ``view`` set it is a full update. Otherwise it is a delta from ``base_revision`` to
-    ``revision``: the listed workers (a GONE one is removed) and routers, and the witnesses and the
-    configuration where they are not None. Lost: the heartbeat reply names a revision that the
-    router lacks, and the router requests it again. Late or duplicated: a revision not above the
-    adopted one is ignored, so no router ever returns to an older one.
+    If ``view`` is set, the update is a full view. Otherwise it is a delta from ``base_revision`` to
+    ``revision``: the changed workers (one with status ``GONE`` is removed), the changed and the
+    removed routers, and the witnesses and the configuration unless they are None.
     """
 
     revision: int
@@ -67,16 +82,21 @@
 
 
 class FleetUpdateRequest(msgspec.Struct, frozen=True, kw_only=True, tag="fleet_update_request"):
-    """A router requests all changes above ``adopted_revision``. Lost: requested again."""
+    """Requests all changes above a router's ``adopted_revision``.
+
+    Sent by: routers, to the leader. If the message is lost, the router sends it again after a later
+    heartbeat reply. If the message is duplicated, the router ignores the second update.
+    """
 
     adopted_revision: int
 
 
 class FreshnessQuery(msgspec.Struct, frozen=True, kw_only=True, tag="freshness_query"):
-    """A router that does not hear the leader queries a witness router for its newest revision.
+    """Requests the newest adopted revision of a witness router.
 
-    Sent by: routers, to every witness, each ``ROUTER_HEARTBEAT_SECONDS`` while the leader is
-    silent. Lost: that witness does not count this round.
+    Sent by: a router that receives no replies from the leader, to every witness, with each of its
+    heartbeats; a router that has no fleet view yet sends it to every process that it is connected
+    to. If the message is lost, that witness does not count in this round.
     """
 
     router_id: str
@@ -85,7 +105,12 @@
 
 
 class FreshnessReply(msgspec.Struct, frozen=True, kw_only=True, tag="freshness_reply"):
-    """A witness's newest adopted revision, with the newer state if the querying router lacks it."""
+    """The newest adopted revision of a witness, and the fleet state if the router's is older.
+
+    Sent by: routers, in reply to a :class:`FreshnessQuery`. If the message is lost, this witness
+    does not count in this round. If the message is late or duplicated, it still counts only from
+    the time when the query was sent.
+    """
 
     witness_id: str
     sequence: int
--- a/src/orchidpath/wire/messages/membership_messages.py
+++ b/src/orchidpath/wire/messages/membership_messages.py
@@ -1,7 +1,7 @@
 """Messages about membership: connections, control members, joining, workers' announcements.
 
-Consensus messages live in :mod:`orchidpath.consensus.raft_messages`; control processes carry them
-inside :class:`ConsensusMessage` so that this package does not depend on that one.
+Consensus messages are defined in :mod:`orchidpath.consensus.raft_messages`; control processes send
+them inside :class:`ConsensusMessage`, so that this package does not depend on that one.
 """
 
 from enum import StrEnum
@@ -23,7 +23,9 @@
 class Hello(msgspec.Struct, frozen=True, kw_only=True, tag="hello"):
     """First message in both directions of every connection.
 
-    Sent by: both ends. Lost: the connection is not used and is closed after a timeout.
+    Sent by: both ends. If the message is lost, the other end closes the connection unused after
+    ``HELLO_TIMEOUT_SECONDS`` (:mod:`orchidpath.wire.handshake`). A second Hello on the same
+    connection is ignored.
     """
 
     node_id: str
@@ -34,17 +36,21 @@
 
 
 class WhoIsControl(msgspec.Struct, frozen=True, kw_only=True, tag="who_is_control"):
-    """Queries any process for the control members, so that three seed addresses are enough.
+    """Requests the control members from any process, so that three seed addresses are enough.
 
-    Lost: queried again on the next connection. Duplicated: answered twice, the same.
+    Sent by: routers, on each new outgoing connection and periodically while the leader is silent;
+    control processes that form or join a fleet. If the message is lost, the sender sends it again
+    in its next round. If the message is duplicated, the receiver replies twice.
     """
 
 
 class ControlMembers(msgspec.Struct, frozen=True, kw_only=True, tag="control_members"):
-    """The control members and leader as the answering process knows them.
+    """The control members and the leader, as the replying process currently has them.
 
-    Late: an answer with a lower term than one already known is ignored. ``may_vote`` is of the
-    answering process: one without a disk never forms a fleet.
+    Sent by: any process, in reply to :class:`WhoIsControl`; a control process that is not the
+    leader also replies with it to a router's heartbeat. If the message is late, a router ignores
+    it when its term is lower than the highest term received so far. ``may_vote`` concerns the
+    replying process: a process without a disk never forms a fleet.
     """
 
     term: int
@@ -54,18 +60,20 @@
 
 
 class JoinRequest(msgspec.Struct, frozen=True, kw_only=True, tag="join_request"):
-    """A control replica that is no member requests to be added as a learner.
+    """Requests that the leader add a control replica, which is not a member yet, as a learner.
 
-    Lost: requested again each second. Duplicated: adding twice changes nothing.
+    Sent by: the replica itself. If the message is lost, the replica sends it again after
+    ``JOIN_PERIOD_SECONDS`` (0.5 s, :mod:`orchidpath.control.fleet_joiner`). If the message is
+    duplicated, the second one changes nothing.
     """
 
     member: ControlMember
 
 
 class ConsensusMessage(msgspec.Struct, frozen=True, kw_only=True, tag="consensus"):
-    """One encoded message of the replicated log, between control processes.
+    """One encoded consensus message (Raft) between control processes.
 
-    Lost, late, duplicated or reordered: the consensus core is built for each of them.
+    The consensus core tolerates messages that are lost, late, duplicated or reordered.
     """
 
     payload: bytes
@@ -76,7 +84,9 @@
 ):
     """Workers' announcements, forwarded to the leader by the process that received them.
 
-    Lost: the worker announces again. Late: the announcement's sequence decides.
+    Sent by: routers and control processes. If the message is lost, the worker's next announcement
+    replaces it (``ANNOUNCE_PERIOD_SECONDS``). If the message is late or duplicated, the leader
+    compares ``sequence``: an older announcement never overrides a newer one.
     """
 
     announcements: tuple[Announcement, ...]
--- a/src/orchidpath/wire/messages/operator_messages.py
+++ b/src/orchidpath/wire/messages/operator_messages.py
@@ -21,7 +21,8 @@
 class ConfigurationUpdateRequest(msgspec.Struct, frozen=True, kw_only=True, tag="order_request"):
     """An operator's update, forwarded to the leader by the control process that received it.
 
-    Lost: the forwarding process answers ``unknown``. Duplicated: the id makes it idempotent.
+    If the message is lost, the forwarding process times out and reports the outcome as unknown. If
+    the message is duplicated, ``order_id`` makes it idempotent.
     """
 
     correlation: int
@@ -33,7 +34,12 @@
 
 
 class ConfigurationUpdateReply(msgspec.Struct, frozen=True, kw_only=True, tag="order_reply"):
-    """The outcome of a forwarded update. Late: dropped; the outcome is stored under the id."""
+    """The outcome of a forwarded configuration update.
+
+    Sent by: the leader. If the message is lost or late, the forwarding process reports the outcome
+    as unknown and ignores a late reply; the replicated state stores the outcome under
+    ``order_id``.
+    """
 
     correlation: int
     answer: UpdateStatus
@@ -64,7 +70,8 @@
 class PlanActionRequest(msgspec.Struct, frozen=True, kw_only=True, tag="plan_order_request"):
     """A plan action, forwarded to the leader by the control process that received it.
 
-    Lost: the forwarding process answers ``unknown``. Duplicated: the id makes it idempotent.
+    If the message is lost, the forwarding process times out and reports the outcome as unknown. If
+    the message is duplicated, ``order_id`` makes it idempotent.
     """
 
     correlation: int
@@ -74,7 +81,12 @@
 
 
 class PlanActionReply(msgspec.Struct, frozen=True, kw_only=True, tag="plan_order_reply"):
-    """The outcome of a forwarded plan action. Late: dropped; it is stored under the id."""
+    """The outcome of a forwarded plan action.
+
+    Sent by: the leader. If the message is lost or late, the forwarding process reports the outcome
+    as unknown and ignores a late reply; the replicated state stores the outcome under
+    ``order_id``.
+    """
 
     correlation: int
     answer: PlanActionStatus
--- a/src/orchidpath/wire/messages/read_messages.py
+++ b/src/orchidpath/wire/messages/read_messages.py
@@ -1,16 +1,27 @@
-"""Reads that a control process needs the leader for."""
+"""Messages for reads that a control process cannot serve without the leader.
+
+If a request or its reply is lost, the requesting process times out and reports the read as
+unavailable (``READ_TIMEOUT_SECONDS``, :mod:`orchidpath.control.api.local_access`). Late and
+duplicated replies are ignored: no call waits for their ``correlation`` any more.
+"""
 
 import msgspec
 
 
 class ReadIndexRequest(msgspec.Struct, frozen=True, kw_only=True, tag="read_index_request"):
-    """A control process queries the leader for the log index that a fresh read must wait for."""
+    """Requests the log index that a control process must have applied before a linearizable read.
+
+    Sent by: control processes, to the leader.
+    """
 
     correlation: int
 
 
 class ReadIndexReply(msgspec.Struct, frozen=True, kw_only=True, tag="read_index_reply"):
-    """The index to wait for; ``available`` is false if the receiver is no leader with authority."""
+    """The log index to wait for before the read.
+
+    ``available`` is false if the replying process is not a leader with authority.
+    """
 
     correlation: int
     available: bool
@@ -20,13 +31,19 @@
 class WorkerCircuitsRequest(
     msgspec.Struct, frozen=True, kw_only=True, tag="worker_circuits_request"
 ):
-    """A control process queries the leader for the operators' view of the circuits."""
+    """Requests the operators' view of the circuits.
+
+    Sent by: control processes, to the leader, which alone has the current counters.
+    """
 
     correlation: int
 
 
 class WorkerCircuitsReply(msgspec.Struct, frozen=True, kw_only=True, tag="worker_circuits_reply"):
-    """The encoded views (:class:`orchidpath.circuit.circuit_table.WorkerCircuitView`)."""
+    """The encoded views (:class:`orchidpath.circuit.circuit_table.WorkerCircuitView`).
+
+    ``available`` is false if the replying process is not a leader with authority.
+    """
 
     correlation: int
     available: bool
--- a/src/orchidpath/wire/records.py
+++ b/src/orchidpath/wire/records.py
@@ -1,7 +1,7 @@
 """Records of the fleet's shared state, as they are sent and stored.
 
-All of them belong to the replicated state machine (:mod:`orchidpath.state`); routers have copies
-as of the revision that they have adopted.
+All of them belong to the replicated state machine (:mod:`orchidpath.state`); a router has copies
+as of the revision that it has adopted.
 """
 
 from enum import StrEnum
@@ -57,7 +57,11 @@
 
 
 class CircuitStatus(StrEnum):
-    """Operators' view of a worker's circuit (paper, deployments view; quarantine is ours)."""
+    """Status of a worker's circuit, as shown to operators.
+
+    The values are those of the paper's deployments view; ``quarantined`` is an addition of this
+    project.
+    """
 
     AVAILABLE = "available"
     COOLDOWN = "cooldown"
@@ -67,13 +71,14 @@
 
 
 class CircuitRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """The agreed part of a worker's circuit; it changes through the replicated log only.
-
-    ``generation`` counts transitions, so a late report on an earlier generation changes nothing.
-    ``duration_seconds`` counts from the moment a replica applied the record, on that replica's own
-    monotonic clock: replicas apply within milliseconds of each other, and no wall clock is trusted.
-    ``probe_owner`` is the attempt that owns the probe of a half-open circuit. ``incarnation`` is
-    the worker's process that the circuit was opened for: a restarted worker starts afresh.
+    """The replicated part of a worker's circuit; it changes only through the replicated log.
+
+    ``generation`` counts transitions, so that a late report on an earlier generation changes
+    nothing. ``duration_seconds`` counts from the moment when a replica applied the record, on that
+    replica's own monotonic clock: replicas apply a record within milliseconds of each other, and
+    wall clocks are not relied on. ``probe_owner`` is the attempt that owns the probe of a half-open
+    circuit. ``incarnation`` identifies the worker process for which the circuit was opened: a
+    restarted worker starts with a closed circuit.
     """
 
     worker_id: str
@@ -86,7 +91,7 @@
 
 
 class CapacityRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A capacity circuit shared by every worker of one failure domain."""
+    """An open capacity circuit, shared by every worker of one failure domain."""
 
     failure_domain: str
     generation: int
@@ -94,9 +99,9 @@
 
 
 class FleetView(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that a router must apply, at one revision of the replicated state.
+    """The complete state that a router applies, at one revision of the replicated state.
 
-    ``revision`` increases with every change, ``configuration_version`` with every accepted
+    ``revision`` increases with every change, and ``configuration_version`` with every accepted
     configuration. Neither ever decreases.
     """
 
@@ -109,11 +114,13 @@
 
 
 class ControlMember(msgspec.Struct, frozen=True, kw_only=True):
-    """One control replica; ``address`` is its wire address, ``http_address`` the operators' one.
+    """One control replica.
 
-    ``node_id`` is the replica's identity: the process's name and a random part that lives in its
-    data folder, so a process whose folder was lost returns as another replica. One without a disk
-    follows the log to serve operators and workers, and never votes: ``may_vote`` is false.
+    ``address`` is its wire address; ``http_address`` is the address for operators. ``node_id`` is
+    the name of the process and a random part that is stored in its data folder, so that a process
+    whose folder was lost returns as another replica. ``voter`` distinguishes voters from learners.
+    ``may_vote`` is false for a replica without a disk, which never votes but follows the log to
+    serve operators and workers.
     """
 
     node_id: str
