--- a/src/orchidpath/wire/backend.py
+++ b/src/orchidpath/wire/backend.py
@@ -1,11 +1,11 @@
-"""The protocol towards back ends: JSON bodies over HTTP/1.1.
+"""The protocol between the fleet and its back ends (workers): JSON bodies over HTTP/1.1.
 
-Endpoints of a back end: ``POST /v1/prefill``, ``POST /v1/decode`` (server-sent events),
-``POST /v1/call``, ``POST /v1/attempts/{attempt_id}/cancel``, ``POST /v1/orders`` and
-``GET /v1/kv/{handle_id}`` between model workers. A back end announces itself with
+A back end serves ``POST /v1/prefill``, ``POST /v1/decode`` (server-sent events),
+``POST /v1/call``, ``POST /v1/attempts/{attempt_id}/cancel`` and ``POST /v1/orders``; model workers
+also serve ``GET /v1/kv/{handle_id}`` to each other. A back end announces itself with
 ``POST /v1/workers/announce`` to any router or control process.
 
-A back end that answers with an :class:`ErrorBody` whose ``ran`` is ``no`` guarantees that the
+A back end that replies with an :class:`ErrorBody` whose ``ran`` is ``no`` guarantees that the
 attempt was not executed and never will be: it rejects that attempt id from then on.
 """
 
@@ -16,11 +16,14 @@
 from orchidpath.wire.records import Stage, WorkerRecord
 
 ATTEMPT_HEADER = "x-orchidpath-attempt"
-"""Carries the attempt id both ways; a different echo is an answer to another request."""
+"""Header with the attempt id, in requests and responses.
+
+A response with another attempt id belongs to another request.
+"""
 
 
 class Ran(StrEnum):
-    """Whether a call was executed, as reported to a caller that did not get a result."""
+    """Whether a call was executed, as reported to a caller that received no result."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -28,7 +31,7 @@
 
 
 class ErrorCode(StrEnum):
-    """Stable error codes, the same towards callers and from back ends."""
+    """Stable error codes, used both in responses to callers and in responses of back ends."""
 
     BAD_REQUEST = "bad_request"
     UNKNOWN_ROUTE = "unknown_route"
@@ -53,7 +56,10 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True):
-    """The one JSON shape of every error; ``retry_after_seconds`` also goes into the header."""
+    """Content of every error response.
+
+    ``retry_after_seconds`` is also sent as the ``Retry-After`` header.
+    """
 
     code: ErrorCode
     message: str
@@ -64,13 +70,17 @@
 
 
 class ErrorEnvelope(msgspec.Struct, frozen=True, kw_only=True):
-    """An error as it is sent: ``{"error": {...}}``."""
+    """Body of an error response: ``{"error": {...}}``."""
 
     error: ErrorBody
 
 
 class CacheHandle(msgspec.Struct, frozen=True, kw_only=True):
-    """Identifies the KV cache of one prefill; bound to request, attempt and worker incarnation."""
+    """Reference to the KV cache of one prefill.
+
+    The handle is valid only for its request and attempt, and only for this incarnation of the
+    worker that holds the KV cache.
+    """
 
     handle_id: str
     request_id: str
@@ -83,7 +93,7 @@
 
 
 class PrefillRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Dispatches the prefill of one attempt. ``prompt`` is the full text of the messages."""
+    """Dispatches the prefill of one attempt; ``prompt`` is the full text of the messages."""
 
     request_id: str
     attempt_id: str
@@ -92,7 +102,10 @@
 
 
 class PrefillReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The prefill is done; ``cached_tokens`` of the prompt hit the worker's prefix cache."""
+    """Result of a prefill.
+
+    ``cached_tokens`` is the number of prompt tokens that were found in the worker's prefix cache.
+    """
 
     request_id: str
     attempt_id: str
@@ -111,7 +124,7 @@
 
 
 class FrameKind(StrEnum):
-    """Kind of one frame of a decode stream. Only CONTENT commits a response."""
+    """Kind of one frame of a decode stream; only ``CONTENT`` commits a response."""
 
     ROLE = "role"
     KEEPALIVE = "keepalive"
@@ -137,7 +150,7 @@
 
 
 class CallRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Dispatches one plain call."""
+    """Dispatches one call of a plain service."""
 
     request_id: str
     attempt_id: str
@@ -147,7 +160,7 @@
 
 
 class CallReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The result of a plain call."""
+    """Result of one call of a plain service."""
 
     request_id: str
     attempt_id: str
@@ -155,10 +168,10 @@
 
 
 class CancelReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Reply to a cancellation; ``ran=no`` is the not-executed guarantee for the attempt.
+    """Reply to a cancellation; ``ran=no`` guarantees that the attempt was not executed.
 
-    It only counts from the incarnation that received the dispatch: a restarted worker does not
-    know what it executed before.
+    The guarantee is valid only if it comes from the incarnation that received the dispatch: a
+    restarted worker has no record of what it executed before the restart.
     """
 
     attempt_id: str
@@ -167,11 +180,12 @@
 
 
 class Announcement(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's announcement of itself, sent every ``ANNOUNCE_PERIOD_SECONDS``.
+    """A worker's registration and heartbeat, sent every ``ANNOUNCE_PERIOD_SECONDS``.
 
-    ``record.status`` is READY or DRAINING as the worker sees itself; ``sequence`` increases by one
-    with every announcement of an incarnation, so a late one never overrides a newer one. With
-    ``leaving`` the incarnation shuts down: it is removed at once and never returns.
+    ``record.status`` is ``READY`` or ``DRAINING``, as set by the worker itself. ``sequence``
+    increases by one with every announcement of an incarnation, so that a late announcement never
+    overrides a newer one. If ``leaving`` is set, the incarnation shuts down: it is removed at once
+    and never returns.
     """
 
     record: WorkerRecord
@@ -187,7 +201,11 @@
 
 
 class AnnouncementReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Accepted for forwarding; ``announce_to`` are further HTTP addresses for announcements."""
+    """Reply to an announcement.
+
+    ``accepted`` states whether the announcement is forwarded to the leader; ``announce_to`` lists
+    further HTTP addresses that accept announcements.
+    """
 
     accepted: bool
     announce_to: tuple[str, ...] = ()
@@ -202,7 +220,10 @@
 
 
 class WorkerCommand(msgspec.Struct, frozen=True, kw_only=True):
-    """A fenced command: a worker rejects one whose ``(term, sequence)`` isn't above its highest."""
+    """A command from the leader to a worker, with the fencing token ``(term, sequence)``.
+
+    A worker rejects a command whose token is not above the highest token that it has received.
+    """
 
     term: int
     sequence: int
@@ -213,7 +234,7 @@
 
 
 class WorkerCommandReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether the command was executed, and the highest fencing token that the worker has seen."""
+    """Whether a command was executed, and the highest fencing token that the worker received."""
 
     accepted: bool
     highest_term: int
--- a/src/orchidpath/wire/configuration.py
+++ b/src/orchidpath/wire/configuration.py
@@ -1,7 +1,7 @@
 """The configuration that operators send: services, routes and policies.
 
-A configuration is always sent in full. The structs reject unknown fields, so that a misspelt
-setting is an error and not silently ignored. Checks beyond the types are in
+Operators always send a complete configuration. The structs reject unknown fields, so that a
+misspelt setting is an error and is not silently ignored. Checks beyond the types are in
 :mod:`orchidpath.state.configuration_checks.validation`.
 """
 
@@ -11,16 +11,16 @@
 
 
 class ServiceKind(StrEnum):
-    """How a service answers."""
+    """Kind of request that a service executes."""
 
     MODEL = "model"
-    """Prefill, KV transfer and a streamed decode on two workers."""
+    """A prefill, a KV transfer and a streamed decode, on two workers."""
     PLAIN = "plain"
-    """One JSON call on one worker."""
+    """A JSON call on one worker."""
 
 
 class EngineProfile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Engine of a model service's workers, as far as the operator knows it; 0 means unknown.
+    """Parameters of the inference engine of a model service's workers; 0 means unknown.
 
     Attributes
     ----------
@@ -55,19 +55,19 @@
     models
         Models that a model service serves.
     prefill_workers
-        Desired prefill workers; applied through a confirmed plan only.
+        Desired number of prefill workers; applied only through a confirmed plan.
     decode_workers
-        Desired decode workers; applied through a confirmed plan only.
+        Desired number of decode workers; applied only through a confirmed plan.
     max_held_workers
         Largest number of workers that a plan cordons at once.
     balanced_decode_share
         Share of decode workers that the leader maintains; 0 leaves the allocation to plans.
     least_decode_workers
-        Least number of decode workers, where the leader maintains the allocation.
+        Least number of decode workers if the leader maintains the allocation.
     max_connections
         Connections that one worker accepts from all routers together; 0 if the bound is unknown.
     engine
-        Engine of the workers.
+        Parameters of the workers' inference engine.
     """
 
     name: str
@@ -116,19 +116,19 @@
     name
         Name, unique among the forward routes; a label of metrics.
     host
-        Host that it matches, without a port; compared without regard to case.
+        Host that the route matches, without a port; compared without regard to case.
     path_prefix
-        Prefix of the path that it matches; it begins and ends with a slash.
+        Prefix of the paths that the route matches; begins and ends with a slash.
     services
-        Services that share its requests.
+        Services that share the requests of the route.
     streaming
-        Whether answers are streams of events.
+        Whether responses are streams of events.
     repetition
         Whether a request that may have been executed can be retried.
     max_attempts
         Largest number of workers to which one request may be sent.
     timeout_seconds
-        Timeout of a request as a whole; a caller may ask for less.
+        Timeout of the complete request; a caller may set a shorter one.
     target_latency_seconds
         Latency target (SLO) for the response, or for the first event of a stream; 0 for none.
     target_gap_seconds
@@ -154,18 +154,18 @@
 
 
 class EdgeLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Bounds on what a caller of forward routes may send, and on its time.
+    """Limits on the size and the duration of what a caller of forward routes sends.
 
     Attributes
     ----------
     max_header_bytes
-        Largest head of a request.
+        Largest size of a request's head: request line and headers.
     max_body_bytes
-        Largest body of a request.
+        Largest size of a request's body.
     header_timeout_seconds
-        Time from the first byte of a head to its last.
+        Longest time from the first byte of a request's head to its last byte.
     idle_timeout_seconds
-        Time for which a connection may be idle between requests, or inside a body.
+        Longest time for which a connection may be idle between requests or within a body.
     """
 
     max_header_bytes: int = 65_536
@@ -175,7 +175,7 @@
 
 
 class Route(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Which requests go to which service.
+    """Requests of one kind, and the service that answers them.
 
     Attributes
     ----------
@@ -193,9 +193,9 @@
         Whether a call that may have been executed can be retried.
     repeat_prompt_read
         Whether the prefill of a call that may not be retried can be repeated, as long as no
-        decode of it can have been executed.
+        decode of the call can have been executed.
     deadline_seconds
-        Timeout of a request as a whole; a caller may ask for less.
+        Timeout of the complete request; a caller may set a shorter one.
     first_token_timeout_seconds
         Timeout of a back end's response, or of the first content of a stream.
     stall_timeout_seconds
@@ -220,21 +220,21 @@
     Attributes
     ----------
     allowed_fails
-        Transient failures in a row that open a worker's circuit.
+        Number of consecutive transient failures that opens a worker's circuit.
     cooldown_seconds
         First cooldown of an opened circuit; each failed probe doubles it, with jitter.
     max_cooldown_seconds
         Longest cooldown, also of a capacity circuit.
     half_open_probe_seconds
-        How long one attempt owns a worker's probe.
+        How long one attempt owns the probe of a worker's half-open circuit.
     configuration_cooldown_seconds
         How long a worker with a configuration failure is quarantined.
     throttle_cooldown_seconds
         First cooldown of a throttled failure domain.
     health_window_seconds
-        Window over which a worker's health is counted.
+        Window over which the successes and failures of a worker are counted.
     in_flight_ttl_seconds
-        After this long without a report an attempt no longer counts as in flight.
+        Time without a report after which an attempt no longer counts as in flight.
     """
 
     allowed_fails: int = 3
@@ -253,17 +253,18 @@
     Attributes
     ----------
     max_attempts
-        Attempts of one request, the first included.
+        Largest number of attempts of one request, including the first.
     backoff_base_seconds
-        Upper end of the first random wait before a retry; each retry doubles it.
+        Upper bound of the first random delay before a retry; each retry doubles it.
     backoff_cap_seconds
-        Upper end of any random wait before a retry.
+        Upper bound of every random delay before a retry.
     budget_ratio
-        Retries of a service as a share of its requests, at most.
+        Largest number of retries of a service, as a share of its requests.
     budget_window_seconds
         Window over which that share is counted.
     budget_minimum_per_second
-        Retries a second that a service may make whatever its traffic, over all routers.
+        Retries per second, over all routers, that a service may make in addition to that share,
+        whatever its traffic.
     """
 
     max_attempts: int = 4
@@ -275,14 +276,14 @@
 
 
 class AdmissionPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Bounds on what one router admits concurrently; beyond them it rejects requests at once.
+    """Bounds on the requests that one router admits concurrently; it rejects others at once.
 
     Attributes
     ----------
     max_requests_in_flight
-        Requests that one router serves concurrently.
+        Largest number of requests that one router serves concurrently.
     max_cost_tokens_in_flight
-        Sum of their expected tokens, of prompts and of completions.
+        Largest sum of the expected prompt and completion tokens of these requests.
     max_tenant_share
         Share of both bounds that one tenant may use.
     load_bound_factor
@@ -302,23 +303,24 @@
 
 
 class PlacementPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Mechanisms that place the prompts of proxied requests.
+    """Mechanisms that choose the workers for the prompts of proxied requests.
 
-    Each can be disabled, to measure its effect.
+    Each mechanism can be disabled, to measure its effect.
 
     Attributes
     ----------
     prefix_affinity
         Prompts go to workers that have cached their shared prefix, or to its owner on the ring.
     postponement
-        A request is postponed while its shared prefix is being prefilled by another one.
+        A request is postponed while another request prefills the shared prefix of its prompt.
     direct_reads
-        A decode worker prefills a prompt itself where it would finish sooner than a pair.
+        A decode worker prefills a prompt itself if the estimated cost is below that of a prefill
+        on another worker and a KV transfer.
     near_pairs
-        A KV transfer stays inside a zone unless the zone is much busier.
+        A KV transfer stays within a zone unless the decode workers there are much more loaded.
     near_requests
-        A prompt that a decode worker prefills itself goes to one in the router's zone unless it
-        is much busier.
+        A prompt that a decode worker prefills itself goes to a worker in the router's zone, unless
+        the workers there are much more loaded.
     """
 
     prefix_affinity: bool = True
@@ -334,23 +336,24 @@
     Attributes
     ----------
     services
-        The services.
+        Services of the fleet.
     routes
-        The routes.
+        Routes of model and plain services.
     circuit
         Parameters of the circuits.
     retry
         Bounds on retries.
     admission
-        Bounds on what a router admits.
+        Bounds on the requests that a router admits.
     placement
-        Mechanisms that place prompts.
+        Mechanisms that choose the workers for prompts.
     forward_routes
         Routes whose requests are proxied unchanged.
     edge_limits
-        Bounds on what callers of forward routes send.
+        Limits on what callers of forward routes send.
     label
-        The operator's own number for this configuration, 0 for none; it increases where it is used.
+        Number that the operator assigns to this configuration, 0 for none; if labels are used, each
+        new configuration has a larger one.
     """
 
     services: list[Service] = []
--- a/src/orchidpath/wire/connection.py
+++ b/src/orchidpath/wire/connection.py
@@ -1,7 +1,8 @@
-"""A connection between two processes of the fleet: frames over TCP, Hello first both ways.
+"""A connection between two processes of the fleet: frames over TCP, a Hello first from both ends.
 
-Callers tolerate loss, so sending never waits: a message is sent soon, or the connection is closed
-and the message is lost with it. Received messages are passed on synchronously and in order.
+Callers tolerate the loss of messages, so sending never waits: either a message is written in the
+next turn of the event loop, or the connection closes and the message is lost. Received messages are
+passed to the owner of the connection synchronously and in order.
 """
 
 import asyncio
@@ -22,27 +23,27 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection; made by :func:`orchidpath.wire.connector.connect` or by a listener.
+    """One connection, created by :func:`orchidpath.wire.connector.connect` or by a listener.
 
     Parameters
     ----------
     hello
         Hello of this end.
     on_connect, on_message, on_close
-        Called with this connection; ``on_close`` only after ``on_connect``.
+        Callbacks that receive this connection; ``on_close`` is called only after ``on_connect``.
     faults
         Injected faults, for tests.
     max_outgoing_bytes
-        Unsent bytes at which the connection is closed.
+        Bound on the unsent bytes; a message that would exceed it closes the connection.
     dialled_address
         Wire address that this end has connected to; empty for an accepted connection.
 
     Attributes
     ----------
     connected, closed
-        Set when Hello was exchanged, and when the connection has closed.
+        Events: the exchange of Hello is complete; the connection has closed.
     error
-        The first error of the connection; None if it was closed without one.
+        The first error of the connection; None if it was closed without an error.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         Raises
         ------
         HelloError
-            The other end has not sent it yet.
+            The other end has not sent its Hello yet.
         """
         if self._handshake.remote is None:
             raise HelloError("the other end has sent no Hello yet")
@@ -92,8 +93,8 @@
         Returns
         -------
         bool
-            False if the connection is closed and the message is lost for certain; True does not
-            mean that it will be delivered.
+            False if the message is certainly lost, since the connection is closed; True does not
+            guarantee that the message is delivered.
 
         Raises
         ------
@@ -118,7 +119,7 @@
         return self._enqueue(frame)
 
     def close(self, error: Exception | None = None) -> None:
-        """Close once what is queued was written to the kernel; safe to call twice."""
+        """Close the connection after writing the queued frames to the kernel; idempotent."""
         if self._transport is None:
             return
         if self._send_buffer is not None:
@@ -128,7 +129,7 @@
             self._transport.close()
 
     def abort(self, error: Exception) -> None:
-        """Close at once and drop what is queued."""
+        """Close the connection at once and drop the queued frames."""
         self._set_error(error)
         if self._send_buffer is not None:
             self._send_buffer.clear()
@@ -146,7 +147,7 @@
         self._handshake.start_timeout(loop, self.abort)
 
     def data_received(self, data: bytes) -> None:
-        """Pass on every complete message (called by asyncio)."""
+        """Pass every message that is now complete to the owner (called by asyncio)."""
         try:
             messages = self._decoder.feed(data)
         except FrameError as error:
@@ -158,7 +159,7 @@
             self._receive(message)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notify the owner (called by asyncio)."""
+        """Release the transport and notify the owner (called by asyncio)."""
         self._set_error(exc)
         self._transport = None
         if self._send_buffer is not None:
@@ -184,7 +185,8 @@
         try:
             remote = self._handshake.check(message)
         except HelloError as error:
-            # Closed, not aborted: this end's Hello is still sent, so the other end gets the cause.
+            # Closed, not aborted, so that this end's Hello is still sent: the other end can then
+            # find the cause, such as a fleet mismatch, itself.
             self.close(error)
             return
         local = self._handshake.local
--- a/src/orchidpath/wire/framing.py
+++ b/src/orchidpath/wire/framing.py
@@ -2,7 +2,7 @@
 
 A frame is a 4-byte big-endian length of the payload, the 4-byte CRC32C of the payload and the
 payload itself: one :data:`orchidpath.wire.messages.Message`, compressed if it is large. This module
-does no input or output.
+performs no I/O.
 """
 
 import struct
@@ -15,10 +15,10 @@
 from orchidpath.wire.messages import Message
 
 MAX_FRAME_BYTES = 32 * 1024 * 1024
-"""Largest payload of one frame; a larger one is rejected on both ends."""
+"""Largest payload of one frame; both the sender and the receiver reject a larger one."""
 
 LARGE_FRAME_BYTES = 2048
-"""A frame of this size is cached until the next one, in case the same message is sent again."""
+"""Smallest size of a frame that is cached, in case the same message is sent to other peers."""
 
 _HEADER = struct.Struct(">II")
 _COMPACT_THRESHOLD_BYTES = 64 * 1024
@@ -27,9 +27,9 @@
 
 
 class _LastLargeFrame:
-    """The newest large frame: a leader sends one view to hundreds of routers in turn.
+    """Cache of the newest large frame: a leader sends the same view to hundreds of routers.
 
-    Messages never change, so the same object always gives the same frame.
+    Messages are immutable, so that the same message object always encodes to the same frame.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,10 @@
 
 
 class FrameError(OrchidpathError):
-    """Base of the errors of a stream of frames; the stream is unusable after one."""
+    """Base class of the errors of a stream of frames; the stream is unusable after such an error.
+
+    Encoding raises only :class:`FrameTooLargeError`, after which the stream stays usable.
+    """
 
 
 class FrameTooLargeError(FrameError):
@@ -54,7 +57,7 @@
 
 
 class UnknownMessageError(FrameError):
-    """A frame is intact but holds no message of this version's types."""
+    """A frame is intact, but its payload is not a message that this version defines."""
 
 
 def encode_frame(message: Message) -> bytes:
@@ -69,7 +72,9 @@
         return _last_large.frame
     payload = compressed(_encoder.encode(message))
     if len(payload) > MAX_FRAME_BYTES:
-        raise FrameTooLargeError(f"a message of {len(payload)} bytes is over {MAX_FRAME_BYTES}")
+        raise FrameTooLargeError(
+            f"message of {len(payload)} bytes exceeds the frame limit of {MAX_FRAME_BYTES} bytes"
+        )
     frame = _HEADER.pack(len(payload), crc32c(payload)) + payload
     if len(frame) >= LARGE_FRAME_BYTES:
         _last_large.message, _last_large.frame = message, frame
@@ -77,7 +82,7 @@
 
 
 class FrameDecoder:
-    """Decodes a stream of bytes into messages, however the bytes were split on their way."""
+    """Decodes a stream of bytes into messages, whatever the sizes of the received chunks."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -85,12 +90,12 @@
         self._error: FrameError | None = None
 
     def feed(self, received: bytes) -> list[Message]:
-        """Consume bytes and return every message that they complete, in order.
+        """Consume received bytes and return every message that is now complete, in order.
 
         Parameters
         ----------
         received
-            The next bytes of the stream; any number of them.
+            The next bytes of the stream, in a chunk of any size.
 
         Returns
         -------
@@ -100,8 +105,9 @@
         Raises
         ------
         FrameTooLargeError, FrameDamagedError, UnknownMessageError
-            The stream is unusable from here on; every later call raises the same error. Messages
-            completed by the same call are dropped: callers tolerate loss, and the link is closed.
+            The stream is unusable; every later call raises the same error. Messages that the same
+            call completed before the error are dropped: the caller closes the link and tolerates
+            their loss.
         """
         if self._error is not None:
             raise self._error
@@ -123,7 +129,9 @@
             return None
         length, checksum = _HEADER.unpack_from(self._buffer, self._start)
         if length > MAX_FRAME_BYTES:
-            raise FrameTooLargeError(f"a frame of {length} bytes is over {MAX_FRAME_BYTES}")
+            raise FrameTooLargeError(
+                f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"
+            )
         payload_end = payload_start + length
         if len(self._buffer) < payload_end:
             return None
@@ -132,8 +140,8 @@
         return _decode_payload(payload, checksum)
 
     def _compact(self) -> None:
-        # Deleting the consumed head on every call would copy a half-received large frame again
-        # and again; it is done once the head is large or nothing else is left.
+        # Deleting the consumed bytes on every call would copy a partially received large frame
+        # again and again. They are deleted once they are many or nothing else is buffered.
         if self._start == len(self._buffer):
             self._buffer.clear()
             self._start = 0
@@ -144,12 +152,12 @@
 
 def _decode_payload(payload: bytes, checksum: int) -> Message:
     if crc32c(payload) != checksum:
-        raise FrameDamagedError("the checksum of a frame does not match")
+        raise FrameDamagedError(f"checksum of a frame of {len(payload)} bytes does not match")
     try:
         return _decoder.decode(decompressed(payload, MAX_FRAME_BYTES))
     except CompressionError as error:
-        raise FrameDamagedError(f"a frame can't be decompressed: {error}") from error
+        raise FrameDamagedError(f"payload of a frame can't be decompressed: {error}") from error
     except msgspec.ValidationError as error:
-        raise UnknownMessageError(f"a frame holds no known message: {error}") from error
+        raise UnknownMessageError(f"payload of a frame is not a known message: {error}") from error
     except (msgspec.DecodeError, RecursionError) as error:
-        raise FrameDamagedError(f"a frame holds no msgpack value: {error}") from error
+        raise FrameDamagedError(f"payload of a frame is not valid msgpack: {error}") from error
--- a/src/orchidpath/wire/link_faults.py
+++ b/src/orchidpath/wire/link_faults.py
@@ -1,9 +1,9 @@
 """Injected faults on the links between processes, for tests and the local fleet only.
 
 A fault file (JSON, :class:`LinkFaultFile`) names links by the node names of both ends. A partition
-applies to sent and to received messages; delay and loss apply to sent ones only, so that they count
-once when both ends read the same file. No connection is made over a link that is partitioned in
-either direction.
+applies to sent and to received messages. Delay and loss apply to sent messages only, so that they
+take effect once when both ends read the same file. No connection can be made over a link that is
+partitioned in either direction.
 """
 
 import asyncio
@@ -19,21 +19,22 @@
 from orchidpath.common.logs import get_logger
 
 ANY_NODE = "*"
-"""Stands for every node at one end of a link."""
+"""Wildcard for the node name of a link's end: matches every node."""
 
 RELOAD_PERIOD_SECONDS = 0.1
 """Time between two reads of the fault file."""
 
 
 class LinkFaultFileError(OrchidpathError):
-    """The fault file is not valid; the active faults stay."""
+    """The fault file can't be read or is not valid; the active faults remain in effect."""
 
 
 class LinkFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A fault of the link from ``source`` to ``destination`` (node names or ``*``).
 
-    ``partitioned`` drops every message, ``loss`` is the probability that one is dropped, and
-    ``delay_seconds`` is added to the delivery of one.
+    With ``partitioned``, every message is dropped. ``loss`` is the probability that a message is
+    dropped, and ``delay_seconds`` is added to the delivery time of each message. With
+    ``both_ways``, the fault also applies to the opposite direction.
     """
 
     source: str
@@ -55,19 +56,23 @@
 
 
 def _end_matches(name: str, node_id: str) -> bool:
-    # A control replica is called "name.identity"; a fault names the process, whatever its identity.
+    # The node id of a control replica is "name.identity"; a fault names the process, so that it
+    # applies whatever the identity is.
     return name in (ANY_NODE, node_id) or node_id.startswith(f"{name}.")
 
 
 class LinkFaultFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """All active faults; an empty list heals every link. ``seed`` is that of the losses."""
+    """All active faults; an empty list removes every fault.
+
+    ``seed`` is the seed of the random selection of lost messages.
+    """
 
     seed: int = 0
     links: list[LinkFault] = []
 
 
 class Fate(StrEnum):
-    """What happens to one message."""
+    """Effect of the active faults on one message."""
 
     DELIVERED = "delivered"
     DELAYED = "delayed"
@@ -75,7 +80,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """The fate of one message, with its delay."""
+    """The fate of one message; ``delay_seconds`` is above 0 only if the message is delayed."""
 
     fate: Fate
     delay_seconds: float = 0.0
@@ -86,7 +91,7 @@
 
 
 class LinkFaults:
-    """The active faults, queried once for each message; it does no input or output itself."""
+    """The active faults, queried for each message; performs no I/O."""
 
     def __init__(self) -> None:
         self._faults: tuple[LinkFault, ...] = ()
@@ -98,7 +103,7 @@
         self._random = Random(faults.seed)
 
     def on_send(self, source: str, destination: str) -> Verdict:
-        """Decide the fate of a message that ``source`` is about to send."""
+        """Return the fate of a message that ``source`` is about to send to ``destination``."""
         if not self._faults:
             return _DELIVERED
         delay_seconds = 0.0
@@ -111,18 +116,18 @@
         return Verdict(Fate.DELAYED, delay_seconds) if delay_seconds else _DELIVERED
 
     def is_partitioned(self, source: str, destination: str) -> bool:
-        """Return whether a message that ``destination`` has received must be dropped."""
+        """Return whether a message from ``source`` to ``destination`` must be dropped."""
         return any(
             fault.partitioned and fault.applies(source, destination) for fault in self._faults
         )
 
     def blocks_connection(self, local: str, remote: str) -> bool:
-        """Return whether no connection can be made, since either direction is partitioned."""
+        """Return whether no connection can be made, because one direction is partitioned."""
         return self.is_partitioned(local, remote) or self.is_partitioned(remote, local)
 
 
 class LinkFaultFileReader:
-    """Reads a fault file into a :class:`LinkFaults` whenever its text has changed."""
+    """Loads a fault file into a :class:`LinkFaults` whenever the content of the file changes."""
 
     def __init__(self, path: Path, faults: LinkFaults) -> None:
         self._path = path
@@ -130,7 +135,7 @@
         self._last_text: bytes | None = None
 
     def refresh(self) -> bool:
-        """Read the file and activate its faults; a missing file heals every link.
+        """Read the file and activate its faults; if the file is missing, there are no faults.
 
         Returns
         -------
@@ -140,7 +145,7 @@
         Raises
         ------
         LinkFaultFileError
-            The file is not valid; the active faults stay.
+            The file can't be read or is not valid; the active faults remain in effect.
         """
         text = self._read()
         if text == self._last_text:
@@ -165,14 +170,14 @@
 async def keep_faults_current(
     reader: LinkFaultFileReader, on_error: Callable[[LinkFaultFileError], None]
 ) -> None:
-    """Refresh the faults each :data:`RELOAD_PERIOD_SECONDS` until cancelled.
+    """Reload the fault file every :data:`RELOAD_PERIOD_SECONDS` until cancelled.
 
     Parameters
     ----------
     reader
         Reader of the file that a process's ``fault_file`` setting names.
     on_error
-        Called for each file that is not valid.
+        Called with the error when the file can't be read or is not valid.
     """
     while True:
         try:
@@ -183,7 +188,7 @@
 
 
 def watch_fault_file(path: str, faults: LinkFaults) -> asyncio.Task[None]:
-    """Start to keep ``faults`` current with a file; a file that is not valid is logged."""
+    """Start a task that keeps ``faults`` current with a file; errors of the file are logged."""
     logger = get_logger("link_faults")
     reader = LinkFaultFileReader(Path(path), faults)
 
