--- a/src/orchidpath/common/__init__.py
+++ b/src/orchidpath/common/__init__.py
@@ -1,1 +1,4 @@
-"""What every role shares: identifiers, clock, errors, settings, logging, metrics, backoff."""
+"""Code that processes of every role share.
+
+Addresses, backoff, the clock, the daemon runner, errors, logs, metrics and settings.
+"""
--- a/src/orchidpath/common/addresses.py
+++ b/src/orchidpath/common/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of processes: an IP number and a port, never a name."""
+"""Addresses of processes: an IP address and a port; host names are rejected."""
 
 from ipaddress import ip_address
 from typing import NamedTuple
@@ -14,19 +14,19 @@
 
 
 class HostPort(NamedTuple):
-    """An IP number, without brackets, and a TCP port."""
+    """An IP address, without brackets, and a TCP port."""
 
     host: str
     port: int
 
 
 def parse_address(address: str) -> HostPort:
-    """Return the host and the port of ``IP:port`` (IPv6 in brackets).
+    """Return the host and the port of an address ``IP:port`` (IPv6 in brackets).
 
     Raises
     ------
     AddressError
-        The text has another form, the host is a name, or the port is out of range.
+        The text has another form, the host is a host name, or the port is out of range.
     """
     host, separator, port_text = address.rpartition(":")
     if not separator:
@@ -43,5 +43,5 @@
 
 
 def format_address(host: str, port: int) -> str:
-    """Join an IP number and a port; the inverse of :func:`parse_address`."""
+    """Return the address of an IP address and a port; the inverse of :func:`parse_address`."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/src/orchidpath/common/backoff.py
+++ b/src/orchidpath/common/backoff.py
@@ -1,13 +1,13 @@
-"""Jittered exponential backoff; the caller waits."""
+"""Exponential backoff with jitter; it computes the delays, and the caller waits."""
 
 from random import Random
 
 
 class Backoff:
-    """Delays that double from a base up to a cap, each drawn at random (full jitter).
+    """Random delays whose upper bound doubles from a base up to a cap.
 
-    Full jitter spreads reconnects and retries of many processes that lost the same peer at the
-    same moment.
+    Each delay is selected at random between half the base and the current bound. This jitter
+    spreads the reconnects and retries of many processes that lost the same peer at the same time.
 
     Parameters
     ----------
@@ -26,11 +26,11 @@
         self._bound_seconds = base_seconds
 
     def next_delay_seconds(self) -> float:
-        """Return the next delay and double the bound of the one after it."""
+        """Return the next delay in seconds, and double the bound of the delay after it."""
         delay_seconds = self._random.uniform(self._base_seconds / 2, self._bound_seconds)
         self._bound_seconds = min(self._bound_seconds * 2, self._cap_seconds)
         return delay_seconds
 
     def reset(self) -> None:
-        """Start again from the base, after a success."""
+        """Set the bound back to the base, after a success."""
         self._bound_seconds = self._base_seconds
--- a/src/orchidpath/common/clock.py
+++ b/src/orchidpath/common/clock.py
@@ -1,19 +1,23 @@
-"""The one place that reads a clock: monotonic seconds, so a clock step changes nothing."""
+"""The clock for leases, deadlines and timeouts.
+
+It returns monotonic seconds, so that steps of the wall clock have no effect.
+"""
 
 import time
 from collections.abc import Callable
 
 Clock = Callable[[], float]
-"""Returns seconds that never decrease; their zero point has no meaning."""
+"""Returns seconds that never decrease; only differences between two readings have a meaning."""
 
 _BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", None)
 
 
 def monotonic_seconds() -> float:
-    """Return the seconds of a monotonic clock that runs on while the machine is suspended.
+    """Return the seconds of a monotonic clock that also advances while the machine is suspended.
 
-    A lease that expired while a machine was suspended must count as expired; the plain monotonic
-    clock of Linux stops during that time.
+    A lease that expires while the machine is suspended must count as expired; ``CLOCK_MONOTONIC``
+    of Linux stops during that time. On a system without ``CLOCK_BOOTTIME`` the standard monotonic
+    clock is used.
     """
     if _BOOT_CLOCK is None:
         return time.monotonic()
--- a/src/orchidpath/common/daemon.py
+++ b/src/orchidpath/common/daemon.py
@@ -1,4 +1,4 @@
-"""The shell of every deployed process: signals, graceful shutdown, reload, exit code."""
+"""Runner of every deployed process: signals, graceful shutdown, reload and exit code."""
 
 import asyncio
 import contextlib
@@ -13,10 +13,10 @@
 from orchidpath.common.logs import Logger, get_logger
 
 STOP_GRACE_SECONDS = 2.0
-"""Added to the drain time before a shutdown that does not end is cancelled."""
+"""Time beyond the drain time after which a shutdown that has not completed is cancelled."""
 
 CANCEL_GRACE_SECONDS = 0.2
-"""Time for a cancelled shutdown to end."""
+"""Time that a cancelled shutdown has to clean up."""
 
 
 class ExitCode(IntEnum):
@@ -32,7 +32,7 @@
 
 
 class Daemon(ABC, Generic[SettingsT]):
-    """A long-running process; subclass it, and run it with :func:`run_daemon`."""
+    """Base class of a long-running process; run a subclass with :func:`run_daemon`."""
 
     def __init__(self) -> None:
         self._failed: asyncio.Future[OrchidpathError] | None = None
@@ -41,11 +41,15 @@
     @property
     @abstractmethod
     def drain_seconds(self) -> float:
-        """How long a graceful shutdown may take, in seconds."""
+        """Longest duration of a graceful shutdown, in seconds."""
 
     @abstractmethod
     async def start(self) -> None:
-        """Bind, start tasks and return; an :class:`OrchidpathError` or OSError ends the process."""
+        """Bind the addresses, start the tasks and return.
+
+        An :class:`OrchidpathError` or :class:`OSError` ends the process with
+        :attr:`ExitCode.FAILED`.
+        """
 
     @abstractmethod
     async def stop(self, drain_seconds: float) -> None:
@@ -53,10 +57,13 @@
 
     @abstractmethod
     async def reload(self, settings: SettingsT) -> None:
-        """Apply new, valid settings as far as they can change in a running process."""
+        """Apply new, valid settings, except those that can't change in a running process."""
 
     def fail(self, error: OrchidpathError) -> None:
-        """End the process with :attr:`ExitCode.FAILED`, for a fault that it can't serve with."""
+        """End the process with :attr:`ExitCode.FAILED` after a fault with which it can't serve.
+
+        Only the first error is reported.
+        """
         self._early_failure = self._early_failure or error
         if self._failed is not None and not self._failed.done():
             self._failed.set_result(error)
@@ -71,7 +78,7 @@
 
 
 SETTINGS_POLL_SECONDS = 1.0
-"""Time between two checks whether the settings have changed without a signal."""
+"""Time between two checks for settings that have changed without a signal."""
 
 
 def run_daemon(
@@ -79,18 +86,20 @@
     load_settings: Callable[[], SettingsT],
     settings_stamp: Callable[[], object] | None = None,
 ) -> int:
-    """Run a daemon until a signal stops it or it fails.
+    """Run a daemon until SIGTERM or SIGINT stops it, or until it fails.
+
+    A second SIGTERM or SIGINT cancels the graceful shutdown.
 
     Parameters
     ----------
     daemon
         The process to run.
     load_settings
-        Reads the settings again on SIGHUP; when it raises an :class:`OrchidpathError` nothing
-        changes and the reason is logged.
+        Reads the settings again on SIGHUP. If it raises an :class:`OrchidpathError`, the current
+        settings remain in effect and the error is logged.
     settings_stamp
-        Returns something that differs once the settings have changed; they are then read again
-        without a signal.
+        Returns a value that changes when the settings change, such as a file's modification time;
+        the settings are then read again without a signal.
 
     Returns
     -------
@@ -107,8 +116,8 @@
 ) -> int:
     exit_code = await serve(daemon, load_settings, settings_stamp)
     if exit_code == ExitCode.STOPPED_HARD:
-        # asyncio.run would wait for tasks that did not end in time. Nothing is lost: whatever was
-        # acknowledged was synced before.
+        # asyncio.run would wait for the tasks that did not end in time. An immediate exit is safe,
+        # because data is synced to disk before it is acknowledged.
         os._exit(exit_code)
     return exit_code
 
@@ -128,7 +137,7 @@
 
 
 class _Shell(Generic[SettingsT]):
-    """State of one run: which signals were received."""
+    """One run of a daemon: handles its signals and determines its exit code."""
 
     def __init__(
         self,
@@ -219,7 +228,7 @@
         return False
 
     async def _watch_settings(self) -> None:
-        """Request a reload whenever the settings have changed without a signal."""
+        """Request a reload whenever the settings change without a signal."""
         if self._settings_stamp is None:
             return
         last_stamp = self._settings_stamp()
--- a/src/orchidpath/common/errors.py
+++ b/src/orchidpath/common/errors.py
@@ -1,5 +1,5 @@
-"""Base class of the project's own errors; each cause has a class of its own."""
+"""Base class of the errors that this project defines; each cause has its own subclass."""
 
 
 class OrchidpathError(Exception):
-    """Base of every error that orchidpath raises on purpose."""
+    """Base class of every error that orchidpath raises deliberately."""
--- a/src/orchidpath/common/logs.py
+++ b/src/orchidpath/common/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard error."""
+"""Structured logs: one JSON object per line, on standard error."""
 
 import logging
 import sys
@@ -10,18 +10,18 @@
 """Names of the log levels, lowest first."""
 
 Logger = structlog.typing.FilteringBoundLogger
-"""Logger with fields bound to it; ``logger.info("event_name", field=value)``."""
+"""Logger with bound fields, called as ``logger.info("event_name", field=value)``."""
 
 
 def configure_logs(level: str, *, node_id: str, role: str) -> None:
-    """Set up the logs of this process.
+    """Configure the logs of this process.
 
     Parameters
     ----------
     level
-        One of :data:`LOG_LEVELS`; anything below it is dropped.
+        One of :data:`LOG_LEVELS`; entries of a lower level are dropped.
     node_id, role
-        Bound to every line.
+        Fields that are added to every line.
     """
     numeric_level = logging.getLevelNamesMapping()[level.upper()]
     structlog.configure(
--- a/src/orchidpath/common/metrics.py
+++ b/src/orchidpath/common/metrics.py
@@ -22,13 +22,13 @@
     10.0,
     30.0,
 )
-"""Bucket bounds of every latency histogram, in seconds; equal, so that they can be compared."""
+"""Bucket bounds of all latency histograms, in seconds; equal bounds make them comparable."""
 
 _NAMESPACE = "orchidpath"
 
 
 class Metrics:
-    """Creates the metrics of one process, in one registry and under one name prefix."""
+    """Creates the metrics of one process, in one registry and with one name prefix."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/src/orchidpath/common/problems.py
+++ b/src/orchidpath/common/problems.py
@@ -6,7 +6,7 @@
 class Problem(msgspec.Struct, frozen=True, kw_only=True, order=True):
     """One problem: the path of a value, such as ``routes[3].deadline_seconds``, and a message.
 
-    The empty path is the data as a whole. Problems sort by path.
+    The empty path refers to the data as a whole. Problems sort by path.
     """
 
     path: str
@@ -14,5 +14,5 @@
 
 
 def join_path(path: str, field: str) -> str:
-    """Return the path of a field of the object at a path."""
+    """Return the path of a field of the object at ``path``."""
     return f"{path}.{field}" if path else field
--- a/src/orchidpath/common/settings.py
+++ b/src/orchidpath/common/settings.py
@@ -7,10 +7,10 @@
 import msgspec
 
 DEFAULT_HOST = "127.0.0.1"
-"""Loopback: a process is only reachable from elsewhere if its settings say so."""
+"""Loopback: a process is reachable from other machines only if its settings say so."""
 
 SEED_COUNT = 3
-"""Number of seed addresses in a settings file, in any order; its own may be one of them."""
+"""Number of seed addresses in a settings file; the process's own address may be one of them."""
 
 
 class RouterSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -38,16 +38,17 @@
         ``IP:port`` at which callers of forward routes reach this one; ``http_address`` then serves
         health and metrics only. Empty for the fleet's own interface.
     decision_timeout_seconds
-        Timeout of a decision of the leader, after which the last known state is used.
+        Timeout of a decision of the leader, after which the router decides by its last known
+        state.
     decision_log
         File to which every decision and its outcome is appended as a JSON line, for
         ``orchidpath replay``; empty for none, since a router needs no disk. Its folder must exist.
-        At 64 MiB it is renamed to ``FILE.1``; four such older files are retained. While the disk
-        is slow or full, lines are dropped and counted in the log; no request waits for it. Read
-        at start only.
+        At 64 MiB the file is renamed to ``FILE.1``; four such older files are retained. While the
+        disk is slow or full, lines are dropped and counted in the log; no request waits for the
+        disk. Read at start only.
     fault_file
         For tests only: JSON file of injected link faults (:mod:`orchidpath.wire.link_faults`),
-        read again each 100 ms; empty for none.
+        read again every 100 ms; empty for none.
     """
 
     node_id: str
@@ -82,18 +83,18 @@
     seeds
         Three wire addresses of any processes of the fleet, routers included.
     data_folder
-        Folder for everything that this process stores; created if missing.
+        Folder for all data that this process stores; created if missing.
     formation_members
-        Wire addresses of the control processes of a new fleet. Read only while the data folder is
-        empty: the first one listed forms a new fleet if every other one answers that it belongs
-        to none; every other process joins as a learner.
+        Wire addresses of the control processes of a new fleet. Only a process with an empty data
+        folder forms a fleet: the first one listed that may vote does so if all the others reply
+        that they belong to none. Every other process joins as a learner.
     target_voters
         Number of voters that the leader maintains among all control processes.
     replace_voter_after_seconds
         A voter without a heartbeat for this long is replaced by a learner that is caught up.
     may_vote
-        Whether this process stores its data on a disk, and may become a voter; otherwise it
-        follows the log and serves operators and workers all the same.
+        Whether this process stores its data on a disk and may become a voter. A process without a
+        disk also follows the log and serves operators and workers.
     worker_lease_seconds
         A worker without an announcement for this long is removed.
     log_level
@@ -101,10 +102,10 @@
     drain_seconds
         Accepted for compatibility; a control process has nothing to drain and stops at once.
     sync_delay_warning_seconds
-        A disk sync slower than this is logged.
+        A disk sync that takes longer than this is logged.
     fault_file
         For tests only: JSON file of injected link faults (:mod:`orchidpath.wire.link_faults`),
-        read again each 100 ms; empty for none.
+        read again every 100 ms; empty for none.
     """
 
     node_id: str
--- a/src/orchidpath/common/settings_errors.py
+++ b/src/orchidpath/common/settings_errors.py
@@ -1,4 +1,4 @@
-"""Problems found in settings files, reported all at once."""
+"""Error of a settings file, which reports all problems of the file together."""
 
 from collections.abc import Sequence
 
@@ -8,7 +8,7 @@
 
 
 class SettingProblem(msgspec.Struct, frozen=True, kw_only=True):
-    """One problem: the file, the path inside it, and what is expected there."""
+    """One problem: the file, the path of the value in the file, and the expected value."""
 
     file: str
     path: str
@@ -21,12 +21,12 @@
 
 
 class SettingsError(OrchidpathError):
-    """A file is not valid.
+    """A settings file is not valid.
 
     Parameters
     ----------
     problems
-        Every problem found, at least one.
+        Every problem that was found; at least one.
     """
 
     def __init__(self, problems: Sequence[SettingProblem]) -> None:
--- a/src/orchidpath/common/settings_file.py
+++ b/src/orchidpath/common/settings_file.py
@@ -1,4 +1,4 @@
-"""Loads TOML or JSON files into typed structs and reports every problem at once."""
+"""Loads TOML or JSON files into typed structs and reports all problems of a file together."""
 
 import json
 import tomllib
@@ -14,7 +14,7 @@
 from orchidpath.common.typed_walk import find_mismatches
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
-"""A larger file is rejected without being read."""
+"""Largest size of a file; a larger one is rejected without being read."""
 
 StructT = TypeVar("StructT", bound=msgspec.Struct)
 
@@ -29,16 +29,17 @@
     Parameters
     ----------
     path
-        File to read; its suffix, ``.toml`` or ``.json``, decides the format.
+        File to read; its suffix, ``.toml`` or ``.json``, determines the format.
     expected
-        Struct to load into.
+        Struct type of the result.
     check
-        Checks beyond the types.
+        Returns the problems that the types do not cover.
 
     Raises
     ------
     SettingsError
-        Holds every problem: all type mismatches, or, when there is none, all failed checks.
+        The file is not valid. The error contains all type mismatches or, if there are none, all
+        failed checks.
     """
     return convert_settings(read_table(path), str(path), expected, check)
 
@@ -49,7 +50,7 @@
     expected: type[StructT],
     check: Callable[[StructT], list[Problem]] = check_settings,
 ) -> StructT:
-    """Convert and check an already decoded file; see :func:`load_settings`."""
+    """Convert and check the decoded content of a file; see :func:`load_settings`."""
     _raise_if_any(file, find_mismatches(table, expected))
     settings = msgspec.convert(table, expected)
     _raise_if_any(file, check(settings))
@@ -62,7 +63,7 @@
     Raises
     ------
     SettingsError
-        The file can't be read, has another suffix or is no valid TOML or JSON.
+        The file can't be read, has another suffix or is not valid TOML or JSON.
     """
     return decode_table(path, _read_bytes(path))
 
@@ -96,11 +97,11 @@
         return tomllib.loads(text)
     if path.suffix == ".json":
         return json.loads(text, parse_constant=_reject_constant)
-    return _reject(path, "expected a name that ends in .toml or .json")
+    return _reject(path, "expected a file name that ends in .toml or .json")
 
 
 def _reject_constant(constant: str) -> NoReturn:
-    raise ValueError(f"{constant} is no JSON value")
+    raise ValueError(f"{constant} is not a JSON value")
 
 
 def _form_of(path: Path) -> str:
--- a/src/orchidpath/common/typed_walk.py
+++ b/src/orchidpath/common/typed_walk.py
@@ -1,9 +1,9 @@
-"""Walks plain decoded data along a msgspec struct type and collects every problem.
+"""Compares decoded data with a msgspec struct type and collects every mismatch.
 
-msgspec itself stops at the first mismatch; operators want all of them at once. The walk is shared
-by settings files (:func:`find_mismatches`) and by configurations
-(:mod:`orchidpath.state.configuration_checks.structure`). They differ in what a plain value may be
-and in their texts, which are the :class:`WalkRules` of each.
+msgspec itself stops at the first mismatch, but operators need to see all of them. The walk is used
+for settings files (:func:`find_mismatches`) and for configurations
+(:mod:`orchidpath.state.configuration_checks.structure`). The two accept different plain values and
+have different error texts; each defines both as its :class:`WalkRules`.
 """
 
 from collections.abc import Iterable
@@ -18,22 +18,22 @@
 
 
 class WalkRules(Protocol):
-    """Decides which plain values fit a type, and words the problems."""
+    """Rules of a walk: which plain values fit a type, and the texts of the problems."""
 
     def not_an_object(self, value: object) -> str:
-        """Return the message for a value where an object must be."""
+        """Return the message for a value in place of an object."""
 
     def not_a_list(self, value: object) -> str:
-        """Return the message for a value where a list must be."""
+        """Return the message for a value in place of a list."""
 
     def unknown_field(self, known: Iterable[str]) -> str:
         """Return the message for a field that the struct does not have."""
 
     def missing_field(self) -> str:
-        """Return the message for a required field that is not there."""
+        """Return the message for a required field that is missing."""
 
     def value_problem(self, value: object, expected: Any) -> str:
-        """Return why a value does not fit a type other than a struct or list; empty if it does."""
+        """Return why a value does not fit a type other than a struct or list; empty if it fits."""
 
 
 class WalkResult(msgspec.Struct, frozen=True, kw_only=True):
@@ -44,9 +44,9 @@
     readable
         The data, with a placeholder at every unreadable path.
     problems
-        Every problem, in the order of the walk.
+        Every problem, in the order in which the walk found it.
     unreadable_paths
-        Paths of the values that do not fit or are missing.
+        Paths of the values that do not fit their type or are missing.
     """
 
     readable: Any
@@ -55,7 +55,7 @@
 
 
 def walk(value: object, expected: type[msgspec.Struct], rules: WalkRules) -> WalkResult:
-    """Walk data along a struct type.
+    """Compare data with a struct type and return the data that fits and every problem.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
     expected
         A msgspec struct type that forbids unknown fields.
     rules
-        What a plain value may be, and the texts of the problems.
+        Which plain values fit a type, and the texts of the problems.
     """
     walker = _Walker(rules)
     readable = walker.read(value, expected, "")
@@ -98,7 +98,7 @@
 
 
 class _Walker:
-    """Collects the problems of one walk."""
+    """State of one walk: the problems and the unreadable paths found so far."""
 
     def __init__(self, rules: WalkRules) -> None:
         self.problems: list[Problem] = []
@@ -106,7 +106,7 @@
         self._rules = rules
 
     def read(self, value: object, expected: Any, path: str) -> object:
-        """Return a value with placeholders in place of what does not fit."""
+        """Return a value in which placeholders replace the parts that do not fit."""
         if isinstance(expected, type) and issubclass(expected, msgspec.Struct):
             return self._read_struct(value, expected, path)
         if get_origin(expected) is list:
@@ -134,7 +134,8 @@
             elif field.required:
                 readable[name] = _placeholder(field.type)
                 self.unreadable_paths.add(field_path)
-                # A value that is no object was reported as a whole, which says enough.
+                # A value that is not an object has already been reported as one problem; its
+                # missing fields would add nothing.
                 if is_object:
                     problem = Problem(path=field_path, message=self._rules.missing_field())
                     self.problems.append(problem)
@@ -162,7 +163,7 @@
 
 
 def _placeholder(expected: Any) -> object:
-    """Return some value of a type, in place of one that can't be read."""
+    """Return an arbitrary value of a type, to replace a value that can't be read."""
     if get_origin(expected) is list:
         return []
     if isinstance(expected, type) and issubclass(expected, Enum):
@@ -171,7 +172,7 @@
 
 
 class _SettingsRules:
-    """A plain value fits if msgspec converts it; texts name settings, tables and lists."""
+    """Rules for settings files: a plain value fits if msgspec can convert it to the type."""
 
     def not_an_object(self, value: object) -> str:
         return f"expected a table, got {_kind_of(value)}"
@@ -183,7 +184,7 @@
         return f"unknown setting; known are {', '.join(sorted(known))}"
 
     def missing_field(self) -> str:
-        return "missing, and it has no default"
+        return "required setting is missing; it has no default"
 
     def value_problem(self, value: object, expected: Any) -> str:
         return _conversion_problem(value, expected)
--- a/src/orchidpath/wire/announcements.py
+++ b/src/orchidpath/wire/announcements.py
@@ -1,4 +1,4 @@
-"""Decodes and checks workers' announcements, alike on every process that receives them."""
+"""Decodes and validates workers' announcements; used by every process that receives them."""
 
 import msgspec
 
@@ -7,25 +7,25 @@
 from orchidpath.wire.records import WorkerStatus
 
 MAX_ID_CHARACTERS = 200
-"""Longest identifier of an update, a worker or an incarnation, in characters."""
+"""Largest length, in characters, of the identifier of an update, a worker or an incarnation."""
 
 MAX_SEQUENCE = 2**53
-"""Largest version or sequence: beyond it, JSON readers that use doubles are inexact."""
+"""Largest version or sequence: JSON readers that use doubles represent larger ones inexactly."""
 
 _decoder = msgspec.json.Decoder(Announcement)
 
 
 class InvalidAnnouncementError(OrchidpathError):
-    """The bytes are no announcement that a worker may make."""
+    """The bytes are not a valid announcement of a worker."""
 
 
 def decode_announcement(raw: bytes) -> Announcement:
-    """Return a worker's announcement.
+    """Return the announcement that a JSON body contains.
 
     Raises
     ------
     InvalidAnnouncementError
-        The body does not have the documented form.
+        The body does not have the documented form, or a value is out of its range.
     """
     try:
         announcement = _decoder.decode(raw)
@@ -36,18 +36,22 @@
         if not is_identifier(getattr(record, name)):
             raise InvalidAnnouncementError(f"record.{name} must be {IDENTIFIER_FORM}")
     if not record.url.startswith("http://") or not record.url.isprintable():
-        raise InvalidAnnouncementError("record.url is not an http address")
+        raise InvalidAnnouncementError(
+            "record.url must be a printable URL that begins with http://"
+        )
     if record.status is WorkerStatus.GONE:
         raise InvalidAnnouncementError("record.status must be ready or draining")
     if not 0 <= announcement.sequence <= MAX_SEQUENCE:
-        raise InvalidAnnouncementError("sequence is out of range")
+        raise InvalidAnnouncementError(
+            f"sequence must be 0 to {MAX_SEQUENCE}, got {announcement.sequence}"
+        )
     return announcement
 
 
 IDENTIFIER_FORM = f"1 to {MAX_ID_CHARACTERS} printable characters"
-"""Description of an identifier, for messages that reject one."""
+"""Expected form of an identifier, for error messages."""
 
 
 def is_identifier(value: str) -> bool:
-    """Return whether a text may be an identifier."""
+    """Return whether a text has the form of an identifier (:data:`IDENTIFIER_FORM`)."""
     return 0 < len(value) <= MAX_ID_CHARACTERS and value.isprintable()
--- a/src/orchidpath/wire/compression.py
+++ b/src/orchidpath/wire/compression.py
@@ -1,7 +1,7 @@
-"""Compression of large msgpack values, distinguished from plain ones by their first byte.
+"""Compression of large msgpack values.
 
-A value that this project encodes is a map or an array; the first byte of a zlib stream begins
-neither.
+The first byte distinguishes a compressed value from a plain one: every plain value is a msgpack map
+or array, and neither begins with the first byte of a zlib stream.
 """
 
 import zlib
@@ -9,18 +9,18 @@
 from orchidpath.common.errors import OrchidpathError
 
 COMPRESSION_THRESHOLD_BYTES = 4096
-"""Smaller values are not compressed: it would cost more time than it saves."""
+"""Smaller values are not compressed: the compression would cost more time than it saves."""
 
 _LEVEL = 1
 _ZLIB_FIRST_BYTE = 0x78
 
 
 class CompressionError(OrchidpathError):
-    """A compressed value is damaged, or larger than allowed."""
+    """A compressed value is damaged, or its decompressed size exceeds the bound."""
 
 
 def compressed(value: bytes) -> bytes:
-    """Return a value, compressed if it has :data:`COMPRESSION_THRESHOLD_BYTES` or more."""
+    """Return a value, compressed if it has at least :data:`COMPRESSION_THRESHOLD_BYTES`."""
     if len(value) < COMPRESSION_THRESHOLD_BYTES:
         return value
     return zlib.compress(value, _LEVEL)
@@ -32,7 +32,7 @@
     Raises
     ------
     CompressionError
-        It is damaged, or has more than ``max_bytes``.
+        The value is damaged, or its decompressed size exceeds ``max_bytes``.
     """
     if not value or value[0] != _ZLIB_FIRST_BYTE:
         return value
@@ -42,5 +42,7 @@
     except zlib.error as error:
         raise CompressionError(str(error)) from error
     if not decompressor.eof or decompressor.unused_data:
-        raise CompressionError("it is truncated, too large, or followed by other bytes")
+        raise CompressionError(
+            f"zlib stream is truncated, followed by other bytes, or larger than {max_bytes} bytes"
+        )
     return plain
--- a/src/orchidpath/wire/configuration_delta.py
+++ b/src/orchidpath/wire/configuration_delta.py
@@ -1,6 +1,6 @@
-"""Differences between configurations, so that a small change of a large one is a small message.
+"""Deltas of configurations, so that a small change of a large configuration is a small message.
 
-Only forward routes are many; everything else of a configuration is sent in full.
+Only the forward routes can be numerous; the rest of a configuration is always sent in full.
 """
 
 from collections.abc import Iterable
@@ -13,8 +13,8 @@
 class ConfigurationDelta(msgspec.Struct, frozen=True, kw_only=True):
     """Difference between a configuration and a later one.
 
-    ``rest`` is the later configuration without its forward routes; ``routes`` are the forward
-    routes that are new or changed, and ``removed_routes`` names those that were removed.
+    ``rest`` is the later configuration without its forward routes, ``routes`` are the forward
+    routes that are new or changed, and ``removed_routes`` are the names of the removed ones.
     """
 
     rest: Configuration
@@ -23,7 +23,7 @@
 
 
 def configuration_delta(earlier: Configuration, later: Configuration) -> ConfigurationDelta:
-    """Return the delta from ``earlier`` to ``later``; the order of forward routes is not part."""
+    """Return the delta from ``earlier`` to ``later``; it ignores the order of forward routes."""
     before = {route.name: route for route in earlier.forward_routes}
     after = {route.name: route for route in later.forward_routes}
     changed = tuple(route for name, route in after.items() if before.get(name) != route)
@@ -42,7 +42,7 @@
 
 
 def merge_configuration_deltas(deltas: Iterable[ConfigurationDelta]) -> ConfigurationDelta | None:
-    """Return one delta with the effect of several in turn; None if there are none."""
+    """Return one delta with the effect of several, applied in order; None if there are none."""
     merged: ConfigurationDelta | None = None
     for delta in deltas:
         if merged is None:
--- a/src/orchidpath/wire/connection_callbacks.py
+++ b/src/orchidpath/wire/connection_callbacks.py
@@ -1,4 +1,4 @@
-"""What the owner of a connection is called for."""
+"""Callbacks by which a connection notifies its owner."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,15 +13,15 @@
 """Called for each message after Hello, synchronously and in order."""
 
 ConnectionHandler = Callable[["Connection"], None]
-"""Called when a connection has exchanged Hello, or when such a connection has closed."""
+"""Called when the exchange of Hello is complete, or when a connection closes after that."""
 
 
 def ignore_connection(_connection: "Connection") -> None:
-    """Do nothing when a connection opens or closes."""
+    """Ignore that a connection opened or closed; the default ``on_connect`` and ``on_close``."""
 
 
 def ignore_message(_connection: "Connection", _message: Message) -> None:
-    """Do nothing when a message arrives."""
+    """Ignore a received message; the default ``on_message``."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/orchidpath/wire/connector.py
+++ b/src/orchidpath/wire/connector.py
@@ -37,9 +37,9 @@
     on_message
         Called for each message after Hello.
     timeout_seconds
-        Timeout for both: TCP connect and Hello.
+        Timeout of the TCP connect and the exchange of Hello together.
     on_connect
-        Called after Hello and before any message.
+        Called after the exchange of Hello and before any message.
     on_close
         Called when the connection has closed.
     faults
@@ -48,9 +48,9 @@
     Raises
     ------
     ConnectError
-        Nothing answers at the address, or not in time.
+        The address is not valid, no process accepts the connection, or the timeout has expired.
     FleetMismatchError, HelloError
-        The other end is no process of this fleet.
+        The other end is not a process of this fleet.
     """
 
     def make_connection() -> Connection:
@@ -63,13 +63,13 @@
         return connection
     if isinstance(connection.error, OrchidpathError):
         raise connection.error
-    raise ConnectError(f"{address} closed the connection before its Hello")
+    raise ConnectError(f"{address} closed the connection before the exchange of Hello")
 
 
 async def _open(
     address: str, make_connection: Callable[[], Connection], timeout_seconds: float
 ) -> Connection:
-    """Return a connection whose exchange of Hello has ended, well or not."""
+    """Return a connection that has either completed the exchange of Hello or closed."""
     loop = asyncio.get_running_loop()
     connection: Connection | None = None
     try:
--- a/src/orchidpath/wire/errors.py
+++ b/src/orchidpath/wire/errors.py
@@ -1,4 +1,4 @@
-"""Errors of connections; those of frames are in :mod:`orchidpath.wire.framing`."""
+"""Errors of connections; errors of frames are defined in :mod:`orchidpath.wire.framing`."""
 
 from orchidpath.common.errors import OrchidpathError
 
@@ -8,16 +8,16 @@
 
 
 class ConnectError(OrchidpathError):
-    """No usable connection could be made within the time allowed."""
+    """No connection could be established within the timeout."""
 
 
 class HelloError(OrchidpathError):
-    """The first message was no Hello, or none came in time."""
+    """The first message was not a Hello, or no Hello was received within the timeout."""
 
 
 class FleetMismatchError(HelloError):
-    """The other end belongs to a fleet of another name."""
+    """The other end belongs to another fleet."""
 
 
 class SlowPeerError(OrchidpathError):
-    """The other end does not read; more than the allowed bytes are waiting."""
+    """The other end reads too slowly: the unsent bytes would exceed their bound."""
--- a/src/orchidpath/wire/keepalive.py
+++ b/src/orchidpath/wire/keepalive.py
@@ -1,19 +1,19 @@
-"""Socket options by which the kernel detects a peer machine that is unreachable."""
+"""Socket options with which the kernel detects that a peer's machine is unreachable."""
 
 import asyncio
 import socket
 from contextlib import suppress
 
 UNREACHABLE_PEER_SECONDS = 5
-"""The kernel closes a connection whose peer machine acknowledged nothing for this long."""
+"""The kernel closes a connection if the peer's machine acknowledges nothing for this long."""
 
 _KEEPALIVE_PERIOD_SECONDS = 1
 
 
 def set_keepalive(transport: asyncio.Transport) -> None:
-    """Send without delay, probe an idle connection, and bound the wait for acknowledgements.
+    """Disable Nagle's algorithm, enable TCP keepalive, and bound the wait for acknowledgements.
 
-    A system that lacks one of the options keeps its defaults.
+    On a system that lacks one of the options, this option and those after it keep their defaults.
     """
     tcp_socket = transport.get_extra_info("socket")
     if tcp_socket is None:
--- a/src/orchidpath/wire/listener.py
+++ b/src/orchidpath/wire/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections from other processes of the fleet."""
+"""Listener for connections from other processes of the fleet."""
 
 import asyncio
 
@@ -23,12 +23,13 @@
     Parameters
     ----------
     address
-        ``IP:port``; port 0 lets the system choose, see :attr:`address` after :meth:`start`.
+        ``IP:port``. With port 0 the system chooses the port; :attr:`address` contains it after
+        :meth:`start`.
     hello
-        What this end says of itself; its address is filled in when it equals ``address`` with
-        port 0.
+        Hello of this end. If its address equals ``address``, :meth:`start` replaces it by the
+        address that was bound.
     on_connect, on_message, on_close
-        Called with the connection, after Hello.
+        Called with the connection, after the exchange of Hello.
     faults
         Injected faults, for tests.
     """
@@ -68,7 +69,7 @@
         self.address = bound_address
 
     async def close(self) -> None:
-        """Stop listening and close every connection that was accepted."""
+        """Stop listening and close every accepted connection."""
         if self._server is not None:
             self._server.close()
         for connection in tuple(self._connections):
--- a/src/orchidpath/wire/peer_links.py
+++ b/src/orchidpath/wire/peer_links.py
@@ -1,4 +1,4 @@
-"""Outgoing connections to a changing set of addresses, reconnected when they close."""
+"""Outgoing connections to a set of addresses that can change; closed ones are reconnected."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -23,21 +23,21 @@
 """Timeout of one attempt to connect to a peer."""
 
 RECONNECT_BASE_SECONDS = 0.05
-"""Upper bound of the first delay before a reconnect."""
+"""Upper bound of the random delay before the first reconnect."""
 
 RECONNECT_CAP_SECONDS = 0.4
-"""Upper bound of every delay before a reconnect; it dominates the restart time of a whole fleet."""
+"""Upper bound of every delay before a reconnect; dominates the restart time of a complete fleet."""
 
 FailureHandler = Callable[[str, OrchidpathError], None]
-"""Called with the address and the error when an attempt to connect failed."""
+"""Called with the address and the error when an attempt to connect fails."""
 
 
 def _ignore_failure(_address: str, _error: OrchidpathError) -> None:
-    """Do nothing."""
+    """Ignore a failed attempt to connect; the default ``on_failure``."""
 
 
 class PeerLinks:
-    """Maintains one outgoing connection to each of a changing set of addresses.
+    """Maintains one outgoing connection (link) to each address of a set that can change.
 
     Must be used inside a running event loop.
 
@@ -46,11 +46,11 @@
     hello
         Hello of this end.
     on_message
-        Called for each message of any link, synchronously and in order for each link.
+        Called synchronously for each message of any link; the messages of one link are in order.
     random
         Source of the reconnect jitter.
     on_connect, on_close
-        Called when a link is up or down; ``connection.dialled_address`` names it.
+        Called when a link is up or down; ``connection.dialled_address`` is the address of the link.
     on_failure
         Called for each failed attempt to connect.
     faults
@@ -84,7 +84,7 @@
         return frozenset(self._tasks)
 
     def set_addresses(self, addresses: Collection[str]) -> None:
-        """Replace the set of addresses: new ones are connected to, the others are closed."""
+        """Replace the set of addresses: connect to new ones, and close links to removed ones."""
         for address in self._tasks.keys() - set(addresses):
             self._tasks.pop(address).cancel()
         for address in addresses:
@@ -92,18 +92,18 @@
                 self._tasks[address] = asyncio.create_task(self._maintain(address))
 
     def send(self, address: str, message: Message) -> bool:
-        """Send to one address; the message is dropped when its link is not up.
+        """Send a message to one address; the message is dropped if the link is not up.
 
         Returns
         -------
         bool
-            False when the message is lost for certain.
+            False if the message is certainly lost; True does not guarantee its delivery.
         """
         connection = self._connections.get(address)
         return connection is not None and connection.send(message)
 
     def connection(self, address: str) -> Connection | None:
-        """Return the open connection to an address, if its link is up."""
+        """Return the open connection to an address; None if the link is not up."""
         return self._connections.get(address)
 
     def connections(self) -> tuple[Connection, ...]:
--- a/src/orchidpath/wire/send_buffer.py
+++ b/src/orchidpath/wire/send_buffer.py
@@ -1,11 +1,11 @@
-"""Outgoing frames of a connection: joined into one write, and bounded."""
+"""Bounded buffer of a connection's outgoing frames, which joins them into one write."""
 
 import asyncio
 
 from orchidpath.wire.errors import SlowPeerError
 
 MAX_OUTGOING_BYTES = 64 * 1024 * 1024
-"""Unsent bytes at which a peer that does not read loses its connection."""
+"""Bound on the unsent bytes of a connection; exceeding it closes the connection."""
 
 
 class SendBuffer:
@@ -14,11 +14,11 @@
     Parameters
     ----------
     transport
-        Where frames are written.
+        Transport to which the frames are written.
     loop
         The running event loop.
     max_bytes
-        Bound on the unsent bytes, those that the transport buffers included.
+        Bound on the unsent bytes, including those in the transport's own buffer.
     """
 
     def __init__(
@@ -36,18 +36,21 @@
         Raises
         ------
         SlowPeerError
-            More than ``max_bytes`` would be unsent; the frame is not queued.
+            The unsent bytes would exceed ``max_bytes``; the frame is not queued.
         """
         unsent_bytes = self._frame_bytes + self._transport.get_write_buffer_size()
         if unsent_bytes + len(frame) > self._max_bytes:
-            raise SlowPeerError(f"{unsent_bytes} bytes are waiting for a slow peer")
+            raise SlowPeerError(
+                f"peer reads too slowly: {unsent_bytes} unsent bytes and a frame of {len(frame)} "
+                f"bytes exceed the bound of {self._max_bytes} bytes"
+            )
         if not self._frames:
             self._loop.call_soon(self.flush)
         self._frames.append(frame)
         self._frame_bytes += len(frame)
 
     def flush(self) -> None:
-        """Write what is queued, unless the transport is closing."""
+        """Write the queued frames, or drop them if the transport is closing."""
         if not self._frames:
             return
         joined = b"".join(self._frames)
@@ -56,6 +59,6 @@
             self._transport.write(joined)
 
     def clear(self) -> None:
-        """Drop what is queued."""
+        """Drop the queued frames."""
         self._frames.clear()
         self._frame_bytes = 0
