--- a/tests/common/test_typed_walk.py
+++ b/tests/common/test_typed_walk.py
@@ -1,4 +1,4 @@
-"""One walk reports every problem, in order, and returns a value with placeholders."""
+"""Tests that a walk reports every problem in order and returns a value with placeholders."""
 
 from collections.abc import Iterable
 from typing import Any
--- a/tests/compatibility/binary_corpus.py
+++ b/tests/compatibility/binary_corpus.py
@@ -1,8 +1,8 @@
-"""The corpus of encoded values: its files, the codec of each group, and their comparison.
+"""The corpus of encoded values: its files, the codec of each group, and the comparison of cases.
 
 A case is one value, as the bytes that the code before the first rename wrote and as plain JSON.
-Nothing in the files names a class: cases are labelled by tag or by a label of the corpus. The one
-place that maps such labels to classes and attributes is this module.
+The files contain no class names: cases are labelled by tag or by a label of the corpus. Only this
+module maps these labels to classes and attributes.
 """
 
 import base64
@@ -54,10 +54,10 @@
 FOLDER = Path(__file__).parent
 
 FORMAT_FIELD = "format"
-"""Attribute that holds the number of a format; no other number of it can be read."""
+"""Attribute with the version of a format; a value with another version can't be read."""
 
 ArrayFields = Mapping[type, Mapping[str, str]]
-"""For each array-like struct: the attribute behind each name of the corpus, in encoded order."""
+"""For each array-like struct: the attribute for each name of the corpus, in encoded order."""
 
 ARRAY_FIELDS: ArrayFields = {
     LogEntry: {"index": "index", "term": "term", "kind": "kind", "payload": "payload"},
@@ -86,9 +86,11 @@
         "consecutive_transients": "consecutive_transients",
     },
 }
-"""The bytes of these structs hold no names, so only this table tells a swap of two fields.
+"""The fields of all array-like structs.
 
-The left side stands in the files and stays; the right side follows a rename of the attribute.
+The bytes of these structs contain no field names, so that a swap of two fields can be detected only
+by this table. The keys occur in the files and never change; a value changes if its attribute is
+renamed.
 """
 
 JSON_BODIES: dict[str, type[msgspec.Struct]] = {
@@ -107,27 +109,27 @@
     "configuration": Configuration,
     "link_fault_file": LinkFaultFile,
 }
-"""Structs of the wire package that travel as JSON and by no tag."""
+"""Structs of the wire package that are sent as JSON and have no tag."""
 
 
 class Case(msgspec.Struct, frozen=True, kw_only=True):
-    """One encoded value, in hexadecimal digits, and the value itself."""
+    """One encoded value, in hexadecimal digits, and the value as plain JSON."""
 
     content: str = msgspec.field(name="bytes")
     value: Any
 
 
 class Group(NamedTuple):
-    """Cases of one file, and how the production code reads and writes them.
+    """Cases of one file, and the production code that reads and writes them.
 
     Attributes
     ----------
     name
-        The file's name without its suffix.
+        Name of the file without its suffix.
     labelled
-        The root type behind each label, or one union whose members are labelled by their tags.
+        Root type of each label; the label of a member of a union is its tag.
     decode, encode
-        The production code; ``decode`` also gets the case's label.
+        The production code; ``decode`` also receives the label of the case.
     """
 
     name: str
@@ -137,7 +139,7 @@
 
     @property
     def path(self) -> Path:
-        """The group's file."""
+        """Path of the group's file."""
         return FOLDER / f"{self.name}.json"
 
 
@@ -231,11 +233,11 @@
 )
 
 READ_ERRORS = (OrchidpathError, msgspec.MsgspecError, ValueError)
-"""What a decoder raises for bytes that it does not take."""
+"""Errors that a decoder raises for bytes that it rejects."""
 
 
 def label_of(case_name: str) -> str:
-    """Return the label in a case's name, ``label/what is special``."""
+    """Return the label in a case's name, which has the form ``label/variant``."""
     return case_name.split("/", maxsplit=1)[0]
 
 
@@ -252,8 +254,8 @@
 def plain(value: Any, array_fields: ArrayFields = ARRAY_FIELDS) -> Any:
     """Return a value as plain JSON, with the encoded names and tags.
 
-    As ``msgspec.to_builtins`` does, except that an array-like struct gives its fields by name:
-    as a list, two swapped fields of one type would look the same.
+    The result is that of ``msgspec.to_builtins``, except that an array-like struct becomes a
+    dictionary: in a list, a swap of two fields of the same type could not be detected.
     """
     if isinstance(value, msgspec.Struct):
         return _plain_struct(value, array_fields)
@@ -292,7 +294,7 @@
     encode: Callable[[Any], bytes],
     array_fields: ArrayFields = ARRAY_FIELDS,
 ) -> str:
-    """Return in which way the code and a case disagree; nothing if they agree."""
+    """Return how the result of the code differs from a case; empty if there is no difference."""
     content = bytes.fromhex(case.content)
     try:
         value = decode(content)
@@ -306,7 +308,7 @@
 
 
 def reachable_types(roots: Iterable[Any]) -> set[type]:
-    """Return every struct and enum that some types are made of, themselves included."""
+    """Return every struct and enum that some types contain, including the types themselves."""
     found: set[type] = set()
     waiting = list(roots)
     while waiting:
@@ -323,7 +325,7 @@
 
 
 def walk_values(value: Any) -> Iterator[msgspec.Struct | Enum]:
-    """Yield every struct and enum in a value, itself included."""
+    """Yield every struct and enum in a value, including the value itself."""
     if isinstance(value, msgspec.Struct):
         yield value
         for field in msgspec.structs.fields(type(value)):
--- a/tests/compatibility/commands_tree.py
+++ b/tests/compatibility/commands_tree.py
@@ -1,4 +1,4 @@
-"""Names of the commands and their options, and exit codes of known errors."""
+"""Names of the commands and of their options, and the exit codes of known errors."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -12,7 +12,7 @@
 
 VALID_CONFIGURATION = '[[services]]\nname = "s"\nkind = "plain"\n'
 ANY_FILE = "FILE"
-"""Stands in an order for the file of the case."""
+"""Placeholder, in the arguments of a case, for the path of the file with the case's content."""
 
 CASES: tuple[tuple[str, str, tuple[str, ...]], ...] = (
     ("no command", "", ("nothing",)),
@@ -39,7 +39,7 @@
 
 
 def command_tree() -> dict[str, Any]:
-    """Return the parameters of each command by the command's words."""
+    """Return the parameters of each command, by the full name of the command."""
     with click.Context(orchidpath) as context:
         return dict(_commands("orchidpath", orchidpath, context))
 
@@ -47,7 +47,7 @@
 def _commands(
     path: str, command: click.Command, context: click.Context
 ) -> list[tuple[str, list[dict[str, Any]]]]:
-    found = [(path, [parameter(one) for one in command.params])]
+    found = [(path, [parameter(param) for param in command.params])]
     if isinstance(command, click.Group):
         for name in sorted(command.list_commands(context)):
             child = command.get_command(context, name)
@@ -56,28 +56,30 @@
     return found
 
 
-def parameter(one: click.Parameter) -> dict[str, Any]:
-    """Return what the writer of an order must know of an option or an argument."""
-    default = one.default
+def parameter(param: click.Parameter) -> dict[str, Any]:
+    """Return the properties of an option or an argument on which its users depend."""
+    default = param.default
     plain = str | int | float | bool | None
     return {
-        "kind": one.param_type_name,
-        "names": [*one.opts, *one.secondary_opts] if isinstance(one, click.Option) else [],
-        "type": one.type.name,
-        "choices": list(one.type.choices) if isinstance(one.type, click.Choice) else [],
-        "required": one.required,
-        "takes": one.nargs,
-        "repeated": one.multiple,
-        "flag": isinstance(one, click.Option) and one.is_flag,
-        "environment": one.envvar,
+        "kind": param.param_type_name,
+        "names": [*param.opts, *param.secondary_opts] if isinstance(param, click.Option) else [],
+        "type": param.type.name,
+        "choices": list(param.type.choices) if isinstance(param.type, click.Choice) else [],
+        "required": param.required,
+        "takes": param.nargs,
+        "repeated": param.multiple,
+        "flag": isinstance(param, click.Option) and param.is_flag,
+        "environment": param.envvar,
         "default": default if isinstance(default, plain) else None,
     }
 
 
 def exit_codes() -> dict[str, Any]:
-    """Return the exit code of each case, and the codes that commands may end with."""
+    """Return the exit code of each case, and the exit codes that commands define."""
     with TemporaryDirectory() as folder:
-        cases = {name: _exit_code(Path(folder), content, order) for name, content, order in CASES}
+        cases = {
+            name: _exit_code(Path(folder), content, arguments) for name, content, arguments in CASES
+        }
     return {
         "success": ExitCode.OK.value,
         "failure": ExitCode.FAILED.value,
@@ -88,8 +90,8 @@
     }
 
 
-def _exit_code(folder: Path, content: str, order: tuple[str, ...]) -> int:
+def _exit_code(folder: Path, content: str, arguments: tuple[str, ...]) -> int:
     path = folder / "case.toml"
     path.write_text(content)
-    words = [str(path) if word == ANY_FILE else word for word in order]
-    return CliRunner().invoke(orchidpath, words).exit_code
+    command_line = [str(path) if argument == ANY_FILE else argument for argument in arguments]
+    return CliRunner().invoke(orchidpath, command_line).exit_code
--- a/tests/compatibility/corpus_checks.py
+++ b/tests/compatibility/corpus_checks.py
@@ -1,4 +1,4 @@
-"""What the tests of several groups of the corpus ask: coverage of types, enums and fields."""
+"""Checks that several groups of the corpus share: coverage of types, enums and fields."""
 
 import importlib
 import pkgutil
@@ -36,15 +36,15 @@
 
 
 def uncovered_labels(group: Group) -> set[str]:
-    """Return the types that have no case of their own, or cases without a type."""
+    """Return the labels of types without a case, and the labels of cases without a type."""
     return set(group.labelled) ^ {label_of(name) for name in read_cases(group.path)}
 
 
 def uncovered_forms(groups: Iterable[Group]) -> list[str]:
-    """Return what the cases of some groups never show of the types they are made of.
+    """Return the forms of the groups' types that occur in no case.
 
-    Each struct must stand in some case with all its optional fields at their defaults, and each
-    optional field in some case with another value; each enum value must stand in some case.
+    Each struct must occur in a case with all its optional fields at their defaults, each optional
+    field must occur in a case with another value, and each enum value must occur in a case.
     """
     groups = list(groups)
     expected = reachable_types(root for group in groups for root in group.labelled.values())
@@ -101,10 +101,10 @@
 
 
 def covered_structs() -> set[type[msgspec.Struct]]:
-    """Return every struct that some group's roots are made of."""
+    """Return every struct that the root types of any group contain, including the roots."""
     return {found for found in all_covered_types() if issubclass(found, msgspec.Struct)}
 
 
 def all_covered_types() -> set[type]:
-    """Return every type that some group's roots are made of."""
+    """Return every type that the root types of any group contain, including the roots."""
     return reachable_types(root for group in GROUPS for root in group.labelled.values())
--- a/tests/compatibility/corpus_values.py
+++ b/tests/compatibility/corpus_values.py
@@ -1,6 +1,6 @@
-"""Makes a value of a type, with its optional fields at their defaults or all of them set.
+"""Creates a value of a type, with its optional fields at their defaults or all of them set.
 
-Used by the script that writes the corpus only: the tests read the files.
+Only the script that writes the corpus uses this module; the tests read the files.
 """
 
 import itertools
@@ -12,18 +12,19 @@
 
 ITEMS_IN_COLLECTION = 2
 UNLIMITED_DEPTH = 100
-"""Deeper than any type of the corpus."""
+"""A depth that exceeds that of every type of the corpus."""
 
 
 class ValueMaker:
-    """Makes values whose leaves all differ, so that two mixed up fields are noticed.
+    """Creates values whose leaves all differ, so that a swap of two fields is detected.
 
     Parameters
     ----------
     set_depth
-        Structs in this many levels have all optional fields set; those below have their defaults.
+        Number of levels of structs with all optional fields set; structs at deeper levels have
+        their defaults.
     variant
-        Which value of an enum, and which member of a union, is taken first.
+        Index of the enum value and of the union member that is used first.
     """
 
     def __init__(self, *, set_depth: int = UNLIMITED_DEPTH, variant: int = 0) -> None:
@@ -53,7 +54,7 @@
             count = ITEMS_IN_COLLECTION if self._depth <= self._set_depth else 1
             return origin(self.make(item_type, offset + index) for index in range(count))
         if origin is Annotated:
-            return 1 / next(self._numbers)  # the bounds in use are 0 to 1, or 0 and up
+            return 1 / next(self._numbers)  # annotated fields are bounded by 0 and 1, or by 0 only
         if origin is dict:
             _, value_type = get_args(expected)
             return {f"key-{next(self._numbers)}": self.make(value_type) for _ in range(2)}
@@ -91,7 +92,7 @@
 
 
 def variant_count(expected: type) -> int:
-    """Return how many variants show every enum value and union member that a type reaches."""
+    """Return the number of variants needed to cover every enum value and union member of a type."""
     sizes = [1]
     for found in reachable_types([expected]):
         if issubclass(found, Enum):
--- a/tests/compatibility/data_folder_history.py
+++ b/tests/compatibility/data_folder_history.py
@@ -1,4 +1,4 @@
-"""A control process's data folder: the history written to it, and the state read back from it."""
+"""Data folder of a control process: the commands written to it, and the state restored from it."""
 
 import json
 import random
@@ -83,7 +83,7 @@
 
 
 def submission(order_id: str, base_version: int, label: int) -> SubmitConfiguration:
-    """Return an operator's order."""
+    """Return an operator's configuration update."""
     content = configuration(label)
     return SubmitConfiguration(
         order_id=order_id,
@@ -108,12 +108,12 @@
 
 
 def orders() -> list[SubmitConfiguration]:
-    """Return the orders: two that were taken and one that conflicted."""
+    """Return the configuration updates: two that are accepted and one that conflicts."""
     return [submission("first", 0, 1), submission("second", 1, 2), submission("late", 0, 3)]
 
 
 def early_plan_order() -> StartPlan:
-    """Return a refused order about a plan, which the snapshot remembers."""
+    """Return a rejected plan action, whose outcome the snapshot contains."""
     return StartPlan(order_id="early", plan_id="plan-0")
 
 
@@ -148,7 +148,7 @@
 
 
 def plan_for(state: FleetState) -> Plan:
-    """Return a plan that changes one worker of the state."""
+    """Return a plan that switches the stage of one worker of the state."""
     version = state.configuration_version
     return Plan(
         plan_id="plan-1",
@@ -177,7 +177,7 @@
 
 
 def plan_orders(state: FleetState) -> list[Command]:
-    """Return one order about a plan of each kind; the plan ends up cancelled."""
+    """Return a plan action of each kind, the last of which cancels the plan, and a rejected one."""
     return [
         StartPlan(order_id="start", plan_id="plan-1", plan=plan_for(state)),
         HaltPlan(order_id="halt", plan_id="plan-1"),
@@ -188,7 +188,7 @@
 
 
 def late_commands() -> list[Command]:
-    """Return the commands after the snapshot, before the orders about the plan."""
+    """Return the commands between the snapshot and the plan actions."""
     return [
         orders()[1],
         orders()[2],
@@ -212,7 +212,7 @@
 
 
 class HistoryWriter:
-    """Writes commands to a storage and applies them to a state."""
+    """Writes commands to a log storage and applies them to a replicated state."""
 
     def __init__(self, storage: FileLogStorage) -> None:
         self.state = FleetState()
@@ -240,12 +240,12 @@
         self._last_index = noop.index
 
     def write_snapshot(self) -> None:
-        """Replace everything so far by a snapshot."""
+        """Replace all entries written so far by a snapshot."""
         data = self.state.snapshot()
         self._storage.persist_snapshot(Snapshot(self._last_index, TERM, MEMBERSHIP, data))
 
     def torn_record(self) -> bytes:
-        """Return the beginning of a record that a crash cut short."""
+        """Return the first bytes of a record, as a crash during its write leaves them."""
         entry = self._next_entry(encode_command(CordonWorker(worker_id="prefill-1", cordoned=True)))
         return encode_record(EntriesRecord(None, [entry]))[:-TORN_BYTES]
 
@@ -254,7 +254,7 @@
 
 
 def write_folder(folder: Path) -> None:
-    """Write a data folder with a snapshot, a log after it and a torn tail."""
+    """Write a data folder with a snapshot, later log entries and a torn record at the end."""
     shutil.rmtree(folder, ignore_errors=True)
     storage = FileLogStorage(str(folder), RealFiles(), lambda: IDENTITY)
     storage.load()
@@ -274,7 +274,7 @@
 
 
 def write_later_folder(folder: Path) -> None:
-    """Write a data folder of a later version, which this one does not know."""
+    """Write a data folder in the format of a later version, which this version can't read."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir()
     (folder / LOG_NAME).write_bytes(encode_record(HeaderRecord(2, IDENTITY)))
@@ -282,13 +282,13 @@
 
 
 def open_copy(source: Path, target: Path) -> FileLogStorage:
-    """Return the storage of a copy of a data folder."""
+    """Copy a data folder and return the storage of the copy."""
     shutil.copytree(source, target)
     return FileLogStorage(str(target), RealFiles())
 
 
 def start_core(storage: FileLogStorage) -> tuple[ControlReplica, float]:
-    """Return a control core that leads, started from a storage, and the time then."""
+    """Start a control replica from a storage; return it as the leader, and the current time."""
     restored = storage.load()
     generator = random.Random(1)
     raft = RaftCore(NODE_ID, RaftSettings(), restored, None, 0.0, generator)
@@ -298,11 +298,11 @@
         core.tick(now)
         if core.is_leader:
             return core, now
-    raise AssertionError("the only voter does not lead")
+    raise AssertionError(f"the only voter did not lead within {LONGEST_ELECTION_TICKS} ticks")
 
 
 def state_values(state: FleetState) -> dict[str, Any]:
-    """Return what a data folder must bring back, as plain JSON."""
+    """Return the values that must be restored from a data folder, as plain JSON."""
     return {
         "configuration": plain(state.configuration),
         "configuration_version": state.configuration_version,
@@ -326,17 +326,17 @@
 
 
 def repeated_outcomes(state: FleetState) -> list[Any]:
-    """Return the outcomes of all orders when they are sent again, as plain JSON."""
-    again = [*orders(), early_plan_order(), *plan_orders(state)]
+    """Return the outcomes of all updates and plan actions when sent again, as plain JSON."""
+    repeated = [*orders(), early_plan_order(), *plan_orders(state)]
     first_index = state.applied_index + 1
     return [
         plain(state.apply(first_index + position, encode_command(command)).outcome)
-        for position, command in enumerate(again)
+        for position, command in enumerate(repeated)
     ]
 
 
 def write_expected_state(folder: Path) -> None:
-    """Write what a control core reads back from a data folder."""
+    """Write the values that a control replica restores from a data folder."""
     copy = folder.with_name("data_folder_copy")
     storage = open_copy(folder, copy)
     try:
--- a/tests/compatibility/documents_read.py
+++ b/tests/compatibility/documents_read.py
@@ -1,4 +1,4 @@
-"""Configurations in each form that people send, and what the code makes of them."""
+"""Configurations in each form that operators send, and the values that the code reads from them."""
 
 import tomllib
 from pathlib import Path
@@ -52,7 +52,7 @@
 
 
 def documents() -> dict[str, Any]:
-    """Return every document of the corpus with what the code makes of it now."""
+    """Return every document of the corpus with the value that the current code reads from it."""
     configurations = [
         "{}",
         msgspec.json.encode({"services": [{"name": "stock", "kind": "plain"}]}).decode(),
@@ -63,18 +63,18 @@
         },
         "configurations": [read_configuration(text) for text in configurations],
         "configuration with every field": read_unchecked(full_configuration()),
-        "platform documents": [read_platform(one) for one in (SHORT_DOCUMENT, LONG_DOCUMENT)],
-        "platform changes": [read_platform_change(LONG_DOCUMENT, one) for one in CHANGES],
+        "platform documents": [read_platform(text) for text in (SHORT_DOCUMENT, LONG_DOCUMENT)],
+        "platform changes": [read_platform_change(LONG_DOCUMENT, change) for change in CHANGES],
     }
 
 
 def full_configuration() -> str:
-    """Return a configuration with every field set, whether or not the fields fit together."""
+    """Return a configuration with every field set; its fields may contradict each other."""
     return msgspec.json.encode(full_sample(Configuration)).decode()
 
 
 def read_fleet_file(text: str) -> dict[str, Any]:
-    """Return a fleet file with what is read from it."""
+    """Return the text of a fleet file and the values that are read from it."""
     fleet = convert_fleet(tomllib.loads(text), "fleet.toml")
     return {
         "text": text,
@@ -84,23 +84,23 @@
 
 
 def read_configuration(text: str) -> dict[str, Any]:
-    """Return a configuration that passes every check, with how it is written."""
+    """Return the text of a valid configuration and the form in which the code writes it."""
     return {"text": text, "configuration": written(parse_configuration(text.encode()))}
 
 
 def read_unchecked(text: str) -> dict[str, Any]:
-    """Return a configuration of which only the types are right, with how it is written."""
+    """Return the text of a configuration and its written form; checks only the types."""
     configuration = msgspec.json.decode(text, type=Configuration)
     return {"text": text, "configuration": written(configuration)}
 
 
 def read_platform(text: str) -> dict[str, Any]:
-    """Return a document of the platform with the configuration that it gives."""
+    """Return the text of a platform document and the configuration that is read from it."""
     return {"text": text, "configuration": written(read_document(text.encode(), POLICIES))}
 
 
 def read_platform_change(text: str, change: str) -> dict[str, Any]:
-    """Return a document and a change of it, with the document and configuration they give."""
+    """Return a document and a change, and the changed document and its configuration."""
     changed = changed_document(text.encode(), read_change(change.encode()), POLICIES)
     return {
         "text": text,
@@ -111,7 +111,7 @@
 
 
 def written(configuration: Configuration) -> dict[str, str]:
-    """Return the JSON text of a configuration and the digest of an order with it."""
+    """Return the JSON text of a configuration and the digest of an update that contains it."""
     return {
         "encoded": msgspec.json.encode(configuration).decode(),
         "digest": configuration_digest(BASE_VERSION, configuration),
--- a/tests/compatibility/http_answers.py
+++ b/tests/compatibility/http_answers.py
@@ -1,4 +1,4 @@
-"""The operators' API over a control process that answers as it is told, and its answers."""
+"""Responses of the operators' API, served by a control process with preset results."""
 
 import msgspec
 import prometheus_client
@@ -19,7 +19,7 @@
 
 KEPT_HEADERS = ("Content-Type", "Retry-After", "Allow")
 TEXT = "any text"
-"""Stands for a text for people, which may be worded anew."""
+"""Placeholder for a text for people, whose wording may change."""
 
 ORDER = b'{"order_id":"o1","base_version":0,"configuration":{}}'
 PLAN_ORDER = b'{"plan_id":"p1","order_id":"o1"}'
@@ -31,7 +31,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """One answer of the API, without the texts for people."""
+    """One response of the API, without the texts for people."""
 
     request: str
     status: int
@@ -40,14 +40,14 @@
 
 
 class TellingAccess(ControlAccess, PlanAccess):
-    """A control process without any state whose results are set from outside."""
+    """A control process without state, whose results a test sets."""
 
     def __init__(self) -> None:
         self.available = True
         self.submitted = SubmitResult(status=SubmitStatus.CONFIRMED, version=3)
         self.planned = PlanActionResult(answer=PlanActionStatus.ACCEPTED)
 
-    async def submit(self, order: SubmitConfiguration) -> SubmitResult:
+    async def submit(self, update: SubmitConfiguration) -> SubmitResult:
         return self.submitted
 
     async def request_plan_action(
@@ -110,7 +110,7 @@
 
 
 async def operator_answers() -> list[Answer]:
-    """Return the answers of the API to each request and to each result of an order."""
+    """Return the responses to each request and to each result of an update or a plan action."""
     access = TellingAccess()
     app = create_operator_app(access, prometheus_client.CollectorRegistry())
     add_plan_routes(app, access)
@@ -145,7 +145,7 @@
 
 
 def _without_texts(raw: bytes) -> bytes:
-    """Return a JSON body with its texts for people taken out."""
+    """Return a JSON body in which :data:`TEXT` replaces the texts for people."""
     body = msgspec.json.decode(raw)
     if isinstance(body, dict) and "error" in body:
         body["error"]["message"] = TEXT
--- a/tests/compatibility/http_corpus.py
+++ b/tests/compatibility/http_corpus.py
@@ -1,4 +1,4 @@
-"""Cases of the JSON messages: what the code of a time writes and reads, as plain JSON."""
+"""Cases of the JSON messages: the texts that the code reads and writes, as plain JSON."""
 
 import json
 from enum import Enum
@@ -9,22 +9,22 @@
 from http_samples import plain_value, samples
 
 FOLDER = Path(__file__).parent
-"""Where the files of the corpus are."""
+"""Folder of the files of the corpus."""
 
 
 class Case(msgspec.Struct, frozen=True, kw_only=True):
-    """One message as text, what it means, and how the code writes it.
+    """One message: its text, the decoded value, and the text that the code writes for it.
 
     Attributes
     ----------
     name
-        Which sample of the message it is.
+        Name of the sample of the message.
     accepted
         JSON text that is read.
     value
-        What the text means, with the fields that it leaves out.
+        Decoded value, including the fields that the text omits.
     encoded
-        JSON text that the value is written as.
+        JSON text that the code writes for the value.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 
 def cases_of(message: type[msgspec.Struct]) -> list[Case]:
-    """Return the cases of a message type as the code has it now."""
+    """Return the cases of a message type, created by the current code."""
     return [_case(message, name, content) for name, content in samples(message)]
 
 
@@ -50,7 +50,7 @@
 
 
 def check_case(message: type[msgspec.Struct], case: Case) -> None:
-    """Fail unless a message type reads a case as it was meant and writes the same bytes."""
+    """Fail unless a message type reads the value of a case and writes the same bytes."""
     value = msgspec.json.decode(case.accepted, type=message)
     assert plain_value(value) == case.value
     assert msgspec.json.encode(value).decode() == case.encoded
@@ -60,8 +60,8 @@
 
 
 def values_of(enumeration: type[Enum]) -> list[Any]:
-    """Return the values of an enumeration in their order."""
-    return [one.value for one in enumeration]
+    """Return the values of an enumeration in the order of their definition."""
+    return [member.value for member in enumeration]
 
 
 def read_cases(name: str) -> dict[str, list[Case]]:
@@ -75,6 +75,6 @@
 
 
 def json_file(content: object) -> bytes:
-    """Return the bytes of a file of the corpus."""
+    """Return the bytes of a file of the corpus with some content."""
     plain = msgspec.to_builtins(content)
     return json.dumps(plain, indent=1, ensure_ascii=False, sort_keys=False).encode() + b"\n"
--- a/tests/compatibility/http_labels.py
+++ b/tests/compatibility/http_labels.py
@@ -1,6 +1,6 @@
-"""What each label of the corpus means in the code: the only place that names the classes.
+"""Maps each label of the corpus to a class; no other file of the corpus names the classes.
 
-A class that is renamed or moved changes here; the labels and the corpus stay as they are.
+If a class is renamed or moved, only this module changes; the labels and the corpus do not.
 """
 
 from enum import Enum
@@ -306,7 +306,7 @@
     "platform: prompt read": PrefillResultBody,
     "platform: order": PlatformCommandBody,
 }
-"""Every message and document in JSON, with what they are made of."""
+"""Every JSON message and document, and the structs that they contain."""
 
 ENUMERATIONS: dict[str, type[Enum]] = {
     "operators: taken": Accepted,
@@ -331,7 +331,7 @@
     "stand-in: fault kind": FaultKind,
     "traffic: traffic kind": TrafficKind,
 }
-"""Every enumeration that stands in a message or document."""
+"""Every enumeration that occurs in a message or document."""
 
 MODULES: tuple[ModuleType, ...] = (
     operator_bodies,
@@ -351,7 +351,7 @@
     request_mapping,
     command_format,
 )
-"""Modules whose every message type must have a label."""
+"""Modules in which every message type must have a label."""
 
 NOT_WRITTEN: dict[type, str] = {
     SubmitResult: "result of a call inside the process; the answers pin what it becomes",
@@ -360,4 +360,4 @@
     Verdict: "result of a function inside the process",
     Fate: "part of a result inside the process",
 }
-"""Types of those modules that no file and no connection ever holds, and why."""
+"""Types of those modules that are never written to a file or a connection, with the reason."""
--- a/tests/compatibility/http_names.py
+++ b/tests/compatibility/http_names.py
@@ -1,4 +1,4 @@
-"""Names and numbers of the HTTP interfaces that stand in no body."""
+"""Names and numbers of the HTTP interfaces that occur in no message body."""
 
 from typing import Any
 
@@ -22,8 +22,8 @@
 
 
 def http_names() -> dict[str, Any]:
-    """Return the names and numbers as the code has them now."""
-    order = WorkerCommand(
+    """Return the names and numbers of the current code."""
+    command = WorkerCommand(
         term=4,
         sequence=2,
         worker_id="w1",
@@ -31,7 +31,7 @@
         kind=WorkerCommandKind.SET_STAGE,
         stage=Stage.DECODE,
     )
-    platform_orders = PlatformCommandFormat("node-1")
+    command_format = PlatformCommandFormat("node-1")
     return {
         "header of the attempt": ATTEMPT_HEADER,
         "header of the request": REQUEST_ID_HEADER,
@@ -50,8 +50,8 @@
         .decode(),
         "platform, seconds of Retry-After": RETRY_SECONDS,
         "platform, order": {
-            "path": platform_orders.path,
-            "headers": platform_orders.headers(order),
-            "body": platform_orders.body(order).decode(),
+            "path": command_format.path,
+            "headers": command_format.headers(command),
+            "body": command_format.body(command).decode(),
         },
     }
--- a/tests/compatibility/http_samples.py
+++ b/tests/compatibility/http_samples.py
@@ -1,7 +1,7 @@
 """Sample values of message types, and the plain JSON of a decoded value.
 
-Both go by the names that stand in the JSON text, never by names of Python classes or attributes,
-so that classes and attributes may be renamed and the corpus stays as it is.
+Both use the names in the JSON text and never the names of Python classes or attributes, so that
+classes and attributes can be renamed without a change of the corpus.
 """
 
 from collections.abc import Iterator
@@ -12,11 +12,11 @@
 from msgspec import inspect
 
 RAW_SAMPLE = b'{"kept":[1,2.5,"as it is"]}'
-"""Sample of a part of a message that is passed on unread."""
+"""Sample of a part of a message that is passed on without being decoded."""
 
 
 class UnsupportedTypeError(Exception):
-    """A message has a type for which there is no sample yet."""
+    """A message contains a type for which no sample is defined."""
 
 
 def struct_info(struct: type[msgspec.Struct]) -> inspect.StructType:
@@ -28,7 +28,7 @@
 
 
 def required_sample(struct: type[msgspec.Struct]) -> dict[str, Any]:
-    """Return a message that only has its required fields."""
+    """Return a message with only its required fields."""
     return {
         field.encode_name: sample(field.type)
         for field in struct_info(struct).fields
@@ -37,17 +37,17 @@
 
 
 def full_sample(struct: type[msgspec.Struct]) -> dict[str, Any]:
-    """Return a message with every field set, to another value than its default."""
+    """Return a message in which every field has a value other than its default."""
     return {
         field.encode_name: sample(field.type, field.default) for field in struct_info(struct).fields
     }
 
 
 def samples(struct: type[msgspec.Struct]) -> Iterator[tuple[str, dict[str, Any]]]:
-    """Yield the named samples of a message type.
+    """Yield the samples of a message type, each with its name.
 
-    These are: only required fields, every field, and for each field every alternative of a union
-    and every value of an enumeration.
+    The samples are a message with only the required fields, a message with every field, and for
+    each field a message with each alternative of a union and each value of an enumeration.
     """
     yield "required fields", required_sample(struct)
     full = full_sample(struct)
@@ -64,8 +64,8 @@
         case inspect.StructType(cls=struct):
             return full_sample(struct)
         case inspect.EnumType(cls=enumeration):
-            values = [one.value for one in enumeration]
-            return next((one for one in reversed(values) if one != default), values[0])
+            values = [member.value for member in enumeration]
+            return next((value for value in reversed(values) if value != default), values[0])
         case inspect.UnionType(types=kinds):
             return sample(_first_of(kinds), default)
         case inspect.ListType(item_type=item) | inspect.VarTupleType(item_type=item):
@@ -100,17 +100,17 @@
 
 def _alternatives(kind: inspect.Type) -> list[Any]:
     if isinstance(kind, inspect.EnumType):
-        return [one.value for one in kind.cls]
+        return [member.value for member in kind.cls]
     if not isinstance(kind, inspect.UnionType):
         return []
     found: list[Any] = []
-    for one in kind.types:
-        found += _alternatives(one) or [sample(one)]
+    for alternative in kind.types:
+        found += _alternatives(alternative) or [sample(alternative)]
     return found
 
 
 def plain_value(value: Any) -> Any:
-    """Return the plain JSON of a decoded value, with the fields that its text leaves out."""
+    """Return the plain JSON of a decoded value, including the fields that its text omits."""
     if isinstance(value, msgspec.Raw):
         return {"unread": bytes(value).decode()}
     if isinstance(value, msgspec.Struct):
@@ -118,20 +118,20 @@
             (field.encode_name, getattr(value, field.name))
             for field in msgspec.structs.fields(value)
         ]
-        return {name: plain_value(one) for name, one in pairs if one is not msgspec.UNSET}
+        return {name: plain_value(item) for name, item in pairs if item is not msgspec.UNSET}
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, dict):
-        return {plain_value(key): plain_value(one) for key, one in value.items()}
+        return {plain_value(key): plain_value(item) for key, item in value.items()}
     if isinstance(value, list | tuple):
-        return [plain_value(one) for one in value]
+        return [plain_value(item) for item in value]
     if isinstance(value, bytes):
         return {"text": value.decode()}
     return value
 
 
 def reachable_types(struct: type[msgspec.Struct]) -> set[type[Any]]:
-    """Return the message types and enumerations that a message is made of, itself included."""
+    """Return the message types and enumerations that a message contains, including its own."""
     found: set[type[Any]] = set()
     _collect(inspect.type_info(struct), found)
     return found
@@ -147,8 +147,8 @@
         case inspect.EnumType(cls=enumeration):
             found.add(enumeration)
         case inspect.UnionType(types=kinds):
-            for one in kinds:
-                _collect(one, found)
+            for alternative in kinds:
+                _collect(alternative, found)
         case inspect.ListType(item_type=item) | inspect.VarTupleType(item_type=item):
             _collect(item, found)
         case inspect.DictType(key_type=key, value_type=value):
--- a/tests/compatibility/metrics_list.py
+++ b/tests/compatibility/metrics_list.py
@@ -18,7 +18,7 @@
 
 
 def metrics() -> dict[str, Any]:
-    """Return the metrics of each process as the code has them now."""
+    """Return the metrics of each process of the current code."""
     return {
         "content type": METRICS_CONTENT_TYPE,
         "router": made_by(RouterMetrics),
@@ -41,23 +41,23 @@
 
 
 def made_by(make: Callable[[], object]) -> list[dict[str, Any]]:
-    """Return the metrics that a part of a process makes, by name."""
+    """Return the metrics that a part of a process creates, sorted by name."""
     registries: list[CollectorRegistry] = []
-    begin = Metrics.__init__
+    original_init = Metrics.__init__
 
-    def remember(made: Metrics) -> None:
-        begin(made)
-        registries.append(made.registry)
+    def record_registry(created: Metrics) -> None:
+        original_init(created)
+        registries.append(created.registry)
 
-    with patch.object(Metrics, "__init__", remember):
-        kept = make()  # holds the metrics until they are read
-    found = [one for registry in registries for one in metrics_of(registry)]
-    del kept
-    return sorted(found, key=lambda one: str(one["name"]))
+    with patch.object(Metrics, "__init__", record_registry):
+        owner = make()  # keeps the metrics alive until they are read
+    found = [metric for registry in registries for metric in metrics_of(registry)]
+    del owner
+    return sorted(found, key=lambda metric: str(metric["name"]))
 
 
 def metrics_of(registry: CollectorRegistry) -> list[dict[str, Any]]:
-    """Return the metrics of a registry, each with the names and labels of its samples."""
+    """Return the metrics of a registry, with the names and labels of the samples of each."""
     for name in list(_collectors(registry)):
         _use(_collectors(registry)[name])
     return [
@@ -65,9 +65,9 @@
             "name": metric.name,
             "type": metric.type,
             "samples": [
-                {"name": one.name, "labels": _shown(one.labels)}
-                for one in metric.samples
-                if not one.name.endswith("_created")
+                {"name": sample.name, "labels": _shown(sample.labels)}
+                for sample in metric.samples
+                if not sample.name.endswith("_created")
             ],
         }
         for metric in registry.collect()
@@ -80,7 +80,7 @@
 
 
 def _use(metric: Any) -> None:
-    """Give a metric with labels one sample, since it shows none before its first use."""
+    """Create a sample of a metric with labels, which has none before its first use."""
     for number in range(1, MAX_LABELS + 1):
         try:
             metric.labels(*["any"] * number)
--- a/tests/compatibility/settings_read.py
+++ b/tests/compatibility/settings_read.py
@@ -1,4 +1,4 @@
-"""Settings files as operators write them, and what is read from them."""
+"""Settings files as operators write them, and the values that are read from them."""
 
 import tomllib
 from pathlib import Path
@@ -56,7 +56,7 @@
 
 
 def settings_read() -> dict[str, Any]:
-    """Return every settings file of the corpus with what the code reads from it now."""
+    """Return every settings file of the corpus with the values that the current code reads."""
     return {
         "variable of the platform's settings": SETTINGS_VARIABLE,
         "number of seeds": SEED_COUNT,
@@ -74,7 +74,7 @@
 
 
 def fields_of(settings: type[msgspec.Struct]) -> dict[str, Any]:
-    """Return each setting's name with its default and a sample of its form."""
+    """Return the default and a sample value of each setting, by the name of the setting."""
     form = full_sample(settings)
     return {
         field.encode_name: {
@@ -87,7 +87,7 @@
 
 
 def default_of(field: msgspec.inspect.Field) -> Any:
-    """Return the default of a setting as plain JSON; None if it has none."""
+    """Return the default of a setting as plain JSON; None if it has no default."""
     if field.default is not msgspec.NODEFAULT:
         return plain_value(field.default)
     if field.default_factory is not msgspec.NODEFAULT:
@@ -103,7 +103,7 @@
 
 
 def read_file(kind: str, text: str) -> dict[str, Any]:
-    """Return a settings file with what is read from it, as TOML and as JSON."""
+    """Return a settings file and its values, which must be the same from TOML and from JSON."""
     with TemporaryDirectory() as folder:
         path = Path(folder) / "settings.toml"
         path.write_text(text)
@@ -115,7 +115,7 @@
 
 
 def read_node(text: str) -> dict[str, Any]:
-    """Return a settings file of the platform with the settings that come of it."""
+    """Return a settings file of the platform and the settings that are derived from it."""
     with TemporaryDirectory() as folder:
         path = Path(folder) / "node.json"
         path.write_text(text)
@@ -132,5 +132,5 @@
 
 
 def read_policies(text: str) -> dict[str, Any]:
-    """Return the policies of a deployment with what is read from them."""
+    """Return the policies file of a deployment and the values that are read from it."""
     return read_file("policies", text)
--- a/tests/compatibility/test_commands_corpus.py
+++ b/tests/compatibility/test_commands_corpus.py
@@ -1,4 +1,4 @@
-"""The commands have the names, options and exit codes of the corpus."""
+"""Tests that the commands have the names, options and exit codes of the corpus."""
 
 import click
 import pytest
@@ -6,7 +6,7 @@
 from http_corpus import read_json
 
 RENAMED = {"orchidpath standin": "orchidpath emulator"}
-"""Commands with a further name since the corpus was written: both take the same."""
+"""Commands that got a second name after the corpus was written; both have the same parameters."""
 
 
 def test_commands_and_options_are_the_same() -> None:
--- a/tests/compatibility/test_corpus_is_sensitive.py
+++ b/tests/compatibility/test_corpus_is_sensitive.py
@@ -1,4 +1,4 @@
-"""Each kind of change that must not happen makes a comparison with the corpus fail."""
+"""Tests that each kind of incompatible change makes a comparison with the corpus fail."""
 
 from enum import Enum, StrEnum
 from pathlib import Path
--- a/tests/compatibility/test_data_folder_corpus.py
+++ b/tests/compatibility/test_data_folder_corpus.py
@@ -1,4 +1,4 @@
-"""A data folder that was written before the first rename brings the same state back."""
+"""Tests that the same state is restored from a data folder written before the first rename."""
 
 import json
 from collections.abc import Iterator
@@ -71,7 +71,7 @@
     for effect in effects:
         if isinstance(effect, UpdateAnswered):
             answers[effect.key] = effect
-    # The only router, which is the only witness, is silent, so nothing can be confirmed.
+    # The only router is also the only witness. It sends nothing, so no revision can be confirmed.
     assert (answers[1].version, answers[1].answer) == (1, UpdateStatus.ACCEPTED_NOT_CONFIRMED)
     assert (answers[2].version, answers[2].answer) == (2, UpdateStatus.CONFLICT)
 
--- a/tests/compatibility/test_decision_log_corpus.py
+++ b/tests/compatibility/test_decision_log_corpus.py
@@ -1,4 +1,4 @@
-"""A decision log that was written before the first rename is read and written the same."""
+"""Tests that a decision log from before the first rename is read and written unchanged."""
 
 import json
 
--- a/tests/compatibility/test_documents_corpus.py
+++ b/tests/compatibility/test_documents_corpus.py
@@ -1,4 +1,4 @@
-"""Configurations in each form are read, and written again, as the corpus has them."""
+"""Tests that configurations in each form are read and written as in the corpus."""
 
 import msgspec
 import pytest
@@ -58,7 +58,7 @@
 
 
 def test_a_changed_value_changes_text_and_digest() -> None:
-    one = written(Configuration(services=[Service(name="s", kind=ServiceKind.PLAIN)]))
-    other = written(Configuration(services=[Service(name="t", kind=ServiceKind.PLAIN)]))
-    assert one["encoded"] != other["encoded"]
-    assert one["digest"] != other["digest"]
+    before = written(Configuration(services=[Service(name="s", kind=ServiceKind.PLAIN)]))
+    changed = written(Configuration(services=[Service(name="t", kind=ServiceKind.PLAIN)]))
+    assert before["encoded"] != changed["encoded"]
+    assert before["digest"] != changed["digest"]
--- a/tests/compatibility/test_http_corpus.py
+++ b/tests/compatibility/test_http_corpus.py
@@ -1,4 +1,4 @@
-"""The JSON messages are read and written as the corpus has them."""
+"""Tests that the JSON messages are read and written as in the corpus."""
 
 from enum import Enum, StrEnum
 from typing import Any
@@ -33,15 +33,15 @@
     known = {*MESSAGES.values(), *ENUMERATIONS.values()}
     assert len(known) == len(MESSAGES) + len(ENUMERATIONS)
     of_modules = {
-        one
+        defined
         for module in MODULES
-        for one in vars(module).values()
-        if isinstance(one, type)
-        and issubclass(one, msgspec.Struct | Enum)
-        and one.__module__ == module.__name__
+        for defined in vars(module).values()
+        if isinstance(defined, type)
+        and issubclass(defined, msgspec.Struct | Enum)
+        and defined.__module__ == module.__name__
     }
-    made_of = {one for message in MESSAGES.values() for one in reachable_types(message)}
-    assert (of_modules | made_of) - known - NOT_WRITTEN.keys() == set()
+    contained = {found for message in MESSAGES.values() for found in reachable_types(message)}
+    assert (of_modules | contained) - known - NOT_WRITTEN.keys() == set()
 
 
 @pytest.mark.parametrize("label", MESSAGES)
@@ -68,7 +68,7 @@
 
 
 class Sample(msgspec.Struct, frozen=True, kw_only=True):
-    """Message that the altered ones below are compared with."""
+    """Message with which the altered messages below are compared."""
 
     name: str
     colour: Colour
@@ -77,7 +77,7 @@
 
 
 class ChangedColour(StrEnum):
-    """Another value for red."""
+    """The enumeration with another value for red."""
 
     RED = "crimson"
     BLUE = "blue"
--- a/tests/compatibility/test_log_corpus.py
+++ b/tests/compatibility/test_log_corpus.py
@@ -1,4 +1,4 @@
-"""Commands, records and snapshots on disk are read and written as before the first rename."""
+"""Tests that commands, records and snapshots are read and written as before the first rename."""
 
 import msgspec
 import pytest
@@ -21,7 +21,7 @@
 
 
 class _LaterRecord(msgspec.Struct, frozen=True, tag="later"):
-    """A record of a kind that this version does not know."""
+    """A record of a kind that this version does not define."""
 
     hard_state: HardState
 
--- a/tests/compatibility/test_metrics_corpus.py
+++ b/tests/compatibility/test_metrics_corpus.py
@@ -1,4 +1,4 @@
-"""Each process has the metrics that the corpus lists."""
+"""Tests that each process has the metrics that the corpus lists."""
 
 import pytest
 from http_corpus import read_json
--- a/tests/compatibility/test_settings_corpus.py
+++ b/tests/compatibility/test_settings_corpus.py
@@ -1,4 +1,4 @@
-"""Settings have the names, defaults and forms of the corpus."""
+"""Tests that the settings have the names, defaults and forms of the corpus."""
 
 import msgspec
 import pytest
@@ -41,7 +41,7 @@
 
 
 class Sample(msgspec.Struct):
-    """Settings that the altered ones are compared with."""
+    """Settings with which the altered settings are compared."""
 
     name: str
     seconds: float = 2.0
--- a/tests/compatibility/test_wire_corpus.py
+++ b/tests/compatibility/test_wire_corpus.py
@@ -1,4 +1,4 @@
-"""Messages as they were written before the first rename are read and written the same."""
+"""Tests that messages from before the first rename are read and written unchanged."""
 
 import pytest
 from binary_corpus import (
@@ -35,10 +35,10 @@
 ZLIB_FIRST_BYTE = 0x78
 
 NEVER_ENCODED = {FoundRecord, Verdict}
-"""Structs that live in memory only."""
+"""Structs that exist only in memory."""
 
 READ_AS_PART = {SnapshotHeader}
-"""Read from the bytes of a larger struct, whose cases cover it."""
+"""Structs that are read from the bytes of a larger struct, whose cases cover them."""
 
 
 @pytest.mark.parametrize(("group", "name"), case_parameters(WIRE_GROUPS))
--- a/tests/compatibility/write_corpus.py
+++ b/tests/compatibility/write_corpus.py
@@ -1,7 +1,7 @@
-"""Writes the corpus of encoded values; run by hand, once, with the code whose forms it pins.
+"""Writes the corpus of encoded values; run manually, once, with the code whose formats it pins.
 
-Usage: ``python tests/compatibility/write_corpus.py [--overwrite]``. A file that exists is refused:
-a corpus written again by changed code would prove nothing.
+Usage: ``python tests/compatibility/write_corpus.py [--overwrite]``. The script refuses to replace
+existing files: a corpus that changed code has written again would prove nothing.
 """
 
 import argparse
@@ -35,7 +35,7 @@
 
 
 def large_command() -> SubmitConfiguration:
-    """Return a command that is compressed."""
+    """Return a command that is large enough to be compressed."""
     return SubmitConfiguration(
         order_id="large",
         base_version=3,
@@ -46,7 +46,7 @@
 
 
 def large_message() -> FleetUpdate:
-    """Return a message that is compressed."""
+    """Return a message that is large enough to be compressed."""
     routers = tuple(
         RouterRecord(
             router_id=f"router-{number}",
@@ -65,10 +65,10 @@
     """Yield the cases of a group: defaults, fields set down to each depth, and large ones."""
     for label, expected in group.labelled.items():
         yield f"{label}/defaults", ValueMaker(set_depth=0).make(expected)
-        whole = ValueMaker().make(expected)
+        complete = ValueMaker().make(expected)
         for depth in itertools.count(1):
             value = ValueMaker(set_depth=depth).make(expected)
-            if value == whole:
+            if value == complete:
                 break
             yield f"{label}/set to depth {depth}", value
         for variant in range(variant_count(expected)):
@@ -91,7 +91,7 @@
 
 
 def write_decision_log() -> None:
-    """Write a whole decision log, and its lines as plain JSON."""
+    """Write a complete decision log, and its lines as plain JSON."""
     [group] = [group for group in GROUPS if group.name == "decision_log_lines"]
     lines: list[LogLine] = [value for _, value in group_values(group)]
     DECISION_LOG.write_bytes(b"".join(encode_line(line) for line in lines))
@@ -100,7 +100,7 @@
 
 
 def refuse_existing(paths: list[Path]) -> None:
-    """End the program if a file of the corpus is there already."""
+    """Exit with an error if a file of the corpus already exists."""
     existing = [str(path.name) for path in paths if path.exists()]
     if existing:
         sys.exit(f"refused, these exist (--overwrite replaces them): {', '.join(existing)}")
--- a/tests/compatibility/write_http_corpus.py
+++ b/tests/compatibility/write_http_corpus.py
@@ -1,8 +1,8 @@
-"""Writes the corpus of messages, documents, settings, metrics and commands; run by hand.
+"""Writes the corpus of messages, documents, settings, metrics and commands; run manually.
 
-``python tests/compatibility/write_http_corpus.py [--overwrite]`` from the root of the repository
-writes what the code of that moment says. It was run on the code before any name changed; written
-anew, the corpus shows nothing about what came before.
+``python tests/compatibility/write_http_corpus.py [--overwrite]``, run from the root of the
+repository, writes the formats of the current code. The corpus was written by the code before the
+first rename; a corpus that is written again proves nothing about that code.
 """
 
 import argparse
@@ -24,10 +24,10 @@
 
 
 def corpus() -> dict[str, bytes]:
-    """Return the content of every file by its name."""
+    """Return the content of every file, by the name of the file."""
     contents = {
-        "http_messages.json": {label: cases_of(one) for label, one in MESSAGES.items()},
-        "http_enumerations.json": {label: values_of(one) for label, one in ENUMERATIONS.items()},
+        "http_messages.json": {label: cases_of(kind) for label, kind in MESSAGES.items()},
+        "http_enumerations.json": {label: values_of(kind) for label, kind in ENUMERATIONS.items()},
         "http_answers.json": asyncio.run(operator_answers()),
         "http_names.json": http_names(),
         "documents_read.json": documents(),
@@ -40,14 +40,14 @@
 
 
 def main() -> None:
-    """Write the files, unless one of them is there already."""
+    """Write the files; without ``--overwrite``, exit with an error if one of them exists."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--overwrite", action="store_true", help="replace what is there")
+    parser.add_argument("--overwrite", action="store_true", help="replace existing files")
     overwrite = parser.parse_args().overwrite
     contents = corpus()
-    there = [name for name in contents if (FOLDER / name).exists()]
-    if there and not overwrite:
-        sys.exit(f"left as they are, see --overwrite: {', '.join(there)}")
+    existing = [name for name in contents if (FOLDER / name).exists()]
+    if existing and not overwrite:
+        sys.exit(f"refused, these exist (--overwrite replaces them): {', '.join(existing)}")
     for name, content in contents.items():
         (FOLDER / name).write_bytes(content)
 
--- a/tests/wire/test_announcements.py
+++ b/tests/wire/test_announcements.py
@@ -1,4 +1,4 @@
-"""Decoding of announcements, common to every process that receives them."""
+"""Tests of the decoding of announcements, which every receiving process uses."""
 
 import msgspec
 import pytest
--- a/tests/wire/test_configuration_delta.py
+++ b/tests/wire/test_configuration_delta.py
@@ -1,4 +1,4 @@
-"""Deltas of configurations, alone and merged; compression of large values."""
+"""Tests of configuration deltas, applied one by one and merged, and of compression."""
 
 import itertools
 from random import Random
@@ -29,8 +29,8 @@
     return Configuration(label=label, forward_routes=routes)
 
 
-def content(one: Configuration) -> tuple[int, dict[str, ForwardRoute]]:
-    return one.label, {route.name: route for route in one.forward_routes}
+def content(value: Configuration) -> tuple[int, dict[str, ForwardRoute]]:
+    return value.label, {route.name: route for route in value.forward_routes}
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -117,11 +117,11 @@
 async def test_unresponsive_peer_fails_within_the_timeout() -> None:
     release = asyncio.Event()
 
-    async def say_nothing(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def never_reply(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.close()
 
-    server = await asyncio.start_server(say_nothing, "127.0.0.1", 0)
+    server = await asyncio.start_server(never_reply, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     with pytest.raises((ConnectError, HelloError)):
         await connect(f"127.0.0.1:{port}", hello("b"), Inbox(), 0.05)
@@ -141,7 +141,7 @@
     server = await asyncio.start_server(never_read, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     connection = await connect(f"127.0.0.1:{port}", hello("b"), Inbox(), BOUND_SECONDS)
-    # Large frames are compressed, so that zeros would hardly fill the buffer.
+    # Large frames are compressed, so a payload of zeros would hardly fill the buffer.
     megabyte = ConsensusMessage(payload=Random(7).randbytes(1024 * 1024))
     sent = 0
     while connection.send(megabyte):
@@ -175,17 +175,17 @@
         await down.get()
     assert not links.send(listener.address, WhoIsControl())
 
-    again = Listener(listener.address, hello("a2"), on_message=inbox)
-    await again.start()
+    restarted = Listener(listener.address, hello("a2"), on_message=inbox)
+    await restarted.start()
     async with asyncio.timeout(BOUND_SECONDS):
         connection = await up.get()
     assert connection.remote.node_id == "a2"
 
     links.set_addresses([])
     await wait_closed(connection)
-    assert not links.send(again.address, WhoIsControl())
+    assert not links.send(restarted.address, WhoIsControl())
     await links.close()
-    await again.close()
+    await restarted.close()
 
 
 PARTITION = LinkFault(source="b", destination="a", partitioned=True)
--- a/tests/wire/test_framing.py
+++ b/tests/wire/test_framing.py
@@ -110,7 +110,7 @@
     monkeypatch.setattr(framing, "MAX_FRAME_BYTES", 100)
     with pytest.raises(FrameTooLargeError):
         encode_frame(ConsensusMessage(payload=bytes(101)))
-    # The header alone is enough: nothing of such a frame is buffered.
+    # The header is enough to reject the frame, so that its payload is never buffered.
     with pytest.raises(FrameTooLargeError):
         FrameDecoder().feed(struct.pack(">II", 101, 0))
 
@@ -129,8 +129,11 @@
 
 
 def test_a_large_message_is_encoded_once_and_another_one_separately() -> None:
-    """One view goes to hundreds of routers; an equal message that is another object is encoded."""
-    first, second = (ConsensusMessage(payload=Random(one).randbytes(5000)) for one in (1, 2))
+    """A leader sends one view to hundreds of routers, so the newest large frame is cached.
+
+    The cache is keyed by object identity: another message is encoded separately.
+    """
+    first, second = (ConsensusMessage(payload=Random(seed).randbytes(5000)) for seed in (1, 2))
     assert encode_frame(first) is encode_frame(first)
     for message in (first, second, first, second):
         assert FrameDecoder().feed(encode_frame(message)) == [message]
--- a/tests/wire/test_link_fault_file_fuzz.py
+++ b/tests/wire/test_link_fault_file_fuzz.py
@@ -1,4 +1,7 @@
-"""Fault files of any content: applied, or rejected while the present faults remain."""
+"""Tests of fault files with arbitrary content.
+
+A file is either applied, or rejected while the active faults remain in effect.
+"""
 
 import json
 from pathlib import Path
@@ -42,7 +45,7 @@
 
 
 def read(tmp_path: Path, content: bytes) -> tuple[bool, LinkFaults]:
-    """Read a file while a link is partitioned; return whether it was accepted."""
+    """Read a file while a link is partitioned; return whether it was accepted, and the faults."""
     path = tmp_path / "faults.json"
     path.write_bytes(content)
     faults = LinkFaults()
