--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -173,7 +173,7 @@
     async def decide(
         self, request: DecisionRequest, timeout_seconds: float
     ) -> DecisionReply | None:
-        """Request a decision from the leader, which registers the attempt; None without a reply."""
+        """Request a decision from the leader, which registers the attempt; None without one."""
         now = self._clock()
         if now < self._tier_retry_at:
             return None
--- a/src/orchidpath/router/fleet_link/fleet_access.py
+++ b/src/orchidpath/router/fleet_link/fleet_access.py
@@ -51,7 +51,7 @@
         Returns
         -------
         DecisionReply or None
-            None when the control tier is unreachable or did not reply in time.
+            None when the leader is unreachable, did not reply in time, or no longer leads.
         """
 
     @abstractmethod
