--- a/src/orchidpath/common/settings_file.py
+++ b/src/orchidpath/common/settings_file.py
@@ -115,5 +115,8 @@
 def _raise_if_any(file: str, problems: list[Problem]) -> None:
     if problems:
         raise SettingsError(
-            [SettingProblem(file=file, path=each.path, message=each.message) for each in problems]
+            [
+                SettingProblem(file=file, path=problem.path, message=problem.message)
+                for problem in problems
+            ]
         )
--- a/src/orchidpath/common/typed_walk.py
+++ b/src/orchidpath/common/typed_walk.py
@@ -184,7 +184,7 @@
         return f"unknown setting; known are {', '.join(sorted(known))}"
 
     def missing_field(self) -> str:
-        return "required setting is missing; it has no default"
+        return "missing, and it has no default"
 
     def value_problem(self, value: object, expected: Any) -> str:
         return _conversion_problem(value, expected)
--- a/src/orchidpath/wire/configuration.py
+++ b/src/orchidpath/wire/configuration.py
@@ -248,7 +248,7 @@
 
 
 class RetryPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Bounds on retries of one request and of a whole service.
+    """Bounds on the retries of each request and of each service.
 
     Attributes
     ----------
--- a/src/orchidpath/wire/keepalive.py
+++ b/src/orchidpath/wire/keepalive.py
@@ -13,7 +13,7 @@
 def set_keepalive(transport: asyncio.Transport) -> None:
     """Disable Nagle's algorithm, enable TCP keepalive, and bound the wait for acknowledgements.
 
-    On a system that lacks one of the options, this option and those after it keep their defaults.
+    If the system rejects one of the options, this option and those after it keep their defaults.
     """
     tcp_socket = transport.get_extra_info("socket")
     if tcp_socket is None:
--- a/src/orchidpath/wire/messages/fleet_update_messages.py
+++ b/src/orchidpath/wire/messages/fleet_update_messages.py
@@ -67,7 +67,8 @@
 
     If ``view`` is set, the update is a full view. Otherwise it is a delta from ``base_revision`` to
     ``revision``: the changed workers (one with status ``GONE`` is removed), the changed and the
-    removed routers, and the witnesses and the configuration unless they are None.
+    removed routers, and the witnesses and the configuration unless they are None. A router that has
+    not adopted ``base_revision`` can't apply the delta and requests an update.
     """
 
     revision: int
--- a/src/orchidpath/wire/messages/membership_messages.py
+++ b/src/orchidpath/wire/messages/membership_messages.py
@@ -47,10 +47,11 @@
 class ControlMembers(msgspec.Struct, frozen=True, kw_only=True, tag="control_members"):
     """The control members and the leader, as the replying process currently has them.
 
-    Sent by: any process, in reply to :class:`WhoIsControl`; a control process that is not the
-    leader also replies with it to a router's heartbeat. If the message is late, a router ignores
-    it when its term is lower than the highest term received so far. ``may_vote`` concerns the
-    replying process: a process without a disk never forms a fleet.
+    Sent by: routers and control processes, in reply to :class:`WhoIsControl`; a control process
+    that is not the leader also sends it in reply to a router's heartbeat. If the message is lost,
+    the requester requests it again. If the message is late, a router ignores it when its term is
+    lower than that of the members that it already has. ``may_vote`` concerns the replying process:
+    a process without a disk never forms a fleet.
     """
 
     term: int
