--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Puts the locked runtime requirements and the product itself into target/deps. Only wheels are taken, so that no
-# compiler has to be there; deploy/requirements.lock has one for each supported interpreter.
+# Installs the locked runtime requirements and orchidpath into target/deps. Only wheels are installed, so that no
+# compiler is needed; deploy/requirements.lock has a wheel for each supported interpreter.
 set -eu
 mkdir -p target/deps
 if [ ! -f target/deps/.requirements ] || ! cmp -s deploy/requirements.lock target/deps/.requirements; then
--- a/deploy/write_days.py
+++ b/deploy/write_days.py
@@ -1,4 +1,8 @@
-"""Writes the days of `deploy/days.toml` for the users' bench, one file each, to `target/days/`."""
+"""Writes the days of `deploy/days.toml` to `target/days/`, one file each.
+
+A day is a scenario of the users' bench: traffic with planned operations and faults at given times.
+The script needs the standard library only.
+"""
 
 import json
 import sys
@@ -9,12 +13,16 @@
 SOURCE = Path(__file__).with_name("days.toml")
 FOLDER = Path("target/days")
 MOMENTS_SECONDS = (7.0, 19.0)
-"""When a kind of trouble comes, counted from the start of traffic."""
+"""Times at which each event of a day occurs, from the start of the traffic."""
 FIRST_SEED = 4101
+"""Seed of the first day; each further day has the next number."""
 
 
 class Trouble(NamedTuple):
-    """One way of one kind of trouble."""
+    """One variant of an event: of a planned operation or of a fault.
+
+    ``fields`` are the parameters of the event in the file format of the users' bench.
+    """
 
     kind: str
     is_planned: bool
@@ -22,24 +30,24 @@
 
     @property
     def name(self) -> str:
-        """Name of the day that plays it alone."""
+        """Name of the day in which only this event occurs."""
         how = str(self.fields.get("how", "")).replace(" ", "-")
         core = "-core" if "on" in self.fields else ""
         return f"{self.kind}{core}" + (f"-{how}" if how else "")
 
 
 def read_troubles(table: dict[str, Any]) -> list[Trouble]:
-    """Return every way of every kind."""
+    """Return every variant of every kind of event, in the order of the table."""
     return [
         Trouble(kind, section == "plan", fields)
         for section in ("plan", "faults")
-        for kind, ways in table[section].items()
-        for fields in ways
+        for kind, variants in table[section].items()
+        for fields in variants
     ]
 
 
 def day_text(name: str, seed: int, troubles: list[Trouble]) -> str:
-    """Return the text of a day that plays the troubles together, at each of the moments."""
+    """Return the text of a day in which the events occur together, at each of the times."""
     lines = [f'name = "{name}"', 'slot = "trouble"', f"seed = {seed}", "one = 0.8", "zero = 0.4"]
     lines.append("goal = { floor = 0.3 }")
     for section, is_planned in (("plan", True), ("faults", False)):
@@ -60,17 +68,17 @@
 
 
 def main() -> int:
-    """Write all days; returns the exit code."""
+    """Write all days and return the exit code."""
     table = tomllib.loads(SOURCE.read_text())
     troubles = read_troubles(table)
     days = {trouble.name: [trouble] for trouble in troubles}
-    firsts = {trouble.kind: trouble for trouble in reversed(troubles)}
+    first_variants = {trouble.kind: trouble for trouble in reversed(troubles)}
     for pair in table["pairs"]:
-        both = [firsts[kind] for kind in pair["kinds"]]
+        both = [first_variants[kind] for kind in pair["kinds"]]
         days["pair-" + "-".join(trouble.kind for trouble in both)] = both
     FOLDER.mkdir(parents=True, exist_ok=True)
-    for number, (name, played) in enumerate(days.items()):
-        (FOLDER / f"{name}.toml").write_text(day_text(name, FIRST_SEED + number, played))
+    for number, (name, events) in enumerate(days.items()):
+        (FOLDER / f"{name}.toml").write_text(day_text(name, FIRST_SEED + number, events))
     print(f"{len(days)} days in {FOLDER}")
     return 0
 
--- a/deploy/write_shapes.py
+++ b/deploy/write_shapes.py
@@ -1,4 +1,7 @@
-"""Derives site files by the factors of `deploy/shapes.toml`; writes them to `target/shapes/`."""
+"""Derives variants ("shapes") of the users' site files and writes them to `target/shapes/`.
+
+Each entry of `deploy/shapes.toml` multiplies named numbers of a site file by factors.
+"""
 
 import re
 import shutil
@@ -9,7 +12,7 @@
 SOURCE = Path(__file__).with_name("shapes.toml")
 FOLDER = Path("target/shapes")
 WIRE_FILE = "wire.json"
-"""Lies beside every site file and is named in it."""
+"""File next to every site file, which refers to it by this name."""
 
 
 class UnknownNumberError(ValueError):
@@ -17,7 +20,18 @@
 
 
 def derived_text(site_text: str, name: str, factors: dict[str, float]) -> str:
-    """Return a site file whose named numbers are multiplied; its name gets the shape's.
+    """Return the text of a site file with its named numbers multiplied.
+
+    The shape's name is appended to the name of the site.
+
+    Parameters
+    ----------
+    site_text
+        Text of the given site file.
+    name
+        Name of the shape.
+    factors
+        Factor for each field name; it applies to every number with that name.
 
     Raises
     ------
@@ -35,14 +49,14 @@
 
 
 def _scaled(found: re.Match[str], field: str, factor: float) -> str:
-    """Return the number times the factor; a whole number stays one, and is never below 1."""
+    """Return the field with its number multiplied; an integer stays an integer of at least 1."""
     number = found.group(1)
     scaled = float(number) * factor
     return f"{field} = {scaled:.6g}" if "." in number else f"{field} = {max(round(scaled), 1)}"
 
 
 def main(sites: list[str]) -> int:
-    """Write every shape of every site; returns the exit code."""
+    """Write every shape of every site file and return the exit code."""
     if not sites:
         print("usage: write_shapes.py SITE...", file=sys.stderr)
         return 2
