--- a/tests/adapter/platform_environment.py
+++ b/tests/adapter/platform_environment.py
@@ -1,7 +1,8 @@
 """The users' platform, emulated on loopback: machines, workers, an operator and clients.
 
-Machines have addresses of their own in 127.0.0.0/8 and the same ports, as on the platform. Control
-processes and routers are the deployed ones, built from settings files in the platform's form.
+Each machine has an address of its own in 127.0.0.0/8; the ports are the same on all machines, as on
+the platform. The control processes and routers are the deployed ones, with settings converted from
+the platform's format.
 """
 
 import asyncio
@@ -32,7 +33,7 @@
 SIGNATURE = "X-Server-Signature"
 NOT_EXECUTED = {"X-Not-Executed": "1"}
 Answer = Callable[["EmulatedWorker", web.Request], Awaitable[web.StreamResponse]]
-
+"""Handler that serves one request in place of the normal response of a worker."""
 
 PORTS = (8144, 8140, 8146, 7660)
 """Front, ready, control and first internal port: the same on every machine, as on the platform.
@@ -51,7 +52,7 @@
 
 
 class Arrival(NamedTuple):
-    """One request as a worker received it."""
+    """A request as a worker received it."""
 
     headers: Mapping[str, str]
     body: bytes
@@ -59,7 +60,13 @@
 
 
 class EmulatedWorker:
-    """One worker: plain, prefill or decode; answers normally unless ``answers`` says otherwise."""
+    """A plain, prefill or decode worker.
+
+    Each handler in ``answers`` serves one request, in their order; all other requests get a normal
+    response. ``arrivals`` are the requests received, ``runs`` the ids of those executed, ``freed``
+    the handles whose KV cache was freed, ``cancelled`` the number of requests that the router
+    cancelled.
+    """
 
     def __init__(self, worker_id: str, service: str, stage: str = "") -> None:
         self.worker_id = worker_id
@@ -143,7 +150,7 @@
 
 
 def stock(*names: str) -> list[EmulatedWorker]:
-    """Return plain workers of the stock service."""
+    """Return plain workers of the service ``stock-api`` with these names."""
     return [EmulatedWorker(name, "stock-api") for name in names]
 
 
@@ -184,7 +191,7 @@
 
 
 async def reject_kv_transfer(worker: EmulatedWorker, request: web.Request) -> web.StreamResponse:
-    """Reject because the KV transfer fails, though the worker has capacity."""
+    """Reject the request because the KV transfer fails; the reported load shows free capacity."""
     headers = {"X-Request-Id": request.headers["X-Request-Id"], **NOT_EXECUTED}
     return web.Response(status=503, headers={**headers, "X-Server-Load": "0,0,64"})
 
@@ -198,7 +205,7 @@
 
 
 async def stream_and_abort(worker: EmulatedWorker, request: web.Request) -> web.StreamResponse:
-    """Send one event and reset the connection."""
+    """Send one event, then reset the connection."""
     request_id = request.headers["X-Request-Id"]
     worker.runs.append(request_id)
     response = web.StreamResponse(headers={"X-Request-Id": request_id, SIGNATURE: "sig"})
@@ -245,27 +252,27 @@
 
 
 async def fail(worker: EmulatedWorker, request: web.Request) -> web.StreamResponse:
-    """Execute the request and answer with a failure of the worker."""
+    """Execute the request and respond with status 500."""
     request_id = request.headers["X-Request-Id"]
     worker.runs.append(request_id)
     return web.Response(status=500, headers={"X-Request-Id": request_id, SIGNATURE: "sig"})
 
 
 async def answer_unsigned(worker: EmulatedWorker, request: web.Request) -> web.StreamResponse:
-    """Execute the request and answer a success without the worker's signature."""
+    """Execute the request and respond with status 200, without the worker's signature."""
     worker.runs.append(request.headers["X-Request-Id"])
     return web.Response(body=b"spoilt", headers={"X-Request-Id": request.headers["X-Request-Id"]})
 
 
 async def run_and_answer_503(worker: EmulatedWorker, request: web.Request) -> web.StreamResponse:
-    """Execute the request and answer 503 without the not-executed guarantee."""
+    """Execute the request and respond with status 503, without the not-executed guarantee."""
     request_id = request.headers["X-Request-Id"]
     worker.runs.append(request_id)
     return web.Response(status=503, headers={"X-Request-Id": request_id, SIGNATURE: "sig"})
 
 
 class PlatformEnvironment:
-    """A few machines, each with a control process and a router, and their workers."""
+    """Machines, each with a control process and a router, and workers that send heartbeats."""
 
     def __init__(self, folder: Path, machines: int = 3) -> None:
         self._folder = folder
@@ -280,7 +287,7 @@
         self._stopped: set[int] = set()
 
     def settings_file(self, number: int) -> bytes:
-        """Return a machine's settings as the platform writes them."""
+        """Return a machine's settings file as the platform writes it."""
         front, ready, control, router_wire = self._ports
         host = self._hosts[number]
         return json.dumps(
@@ -345,13 +352,13 @@
     async def put_configuration(
         self, document: bytes, match: int, number: int = 0
     ) -> aiohttp.ClientResponse:
-        """Send a configuration until the answer is definite."""
+        """Send a configuration, again after each 503, whose outcome is unknown."""
         return await self._submit_update("PUT", document, match, number)
 
     async def patch_configuration(
         self, change: bytes, match: int, number: int = 0
     ) -> aiohttp.ClientResponse:
-        """Send a change of the configuration until the answer is definite."""
+        """Send a change of the configuration, again after each 503, whose outcome is unknown."""
         return await self._submit_update("PATCH", change, match, number)
 
     async def _submit_update(
@@ -378,7 +385,7 @@
                 await asyncio.sleep(0.1)
 
     async def read_configuration(self, number: int) -> aiohttp.ClientResponse:
-        """Read the configuration once."""
+        """Request the configuration once, without waiting for status 200."""
         return await self._session.get(self.control_url(number) + "/config")
 
     async def send_heartbeat(
@@ -389,12 +396,12 @@
     async def put_instance(
         self, worker: EmulatedWorker, heartbeat: dict[str, Any], number: int
     ) -> int:
-        """Send a heartbeat unchanged to one machine."""
+        """Send a given heartbeat to one machine and return the status."""
         url = f"{self.control_url(number)}/instances/{worker.worker_id}"
         return (await self._session.put(url, json=heartbeat)).status
 
     async def stop_control(self, number: int) -> None:
-        """Stop one control process permanently."""
+        """Stop one control process for the rest of the test."""
         self._stopped.add(number)
         await self.controls[number].stop(0.0)
 
@@ -436,7 +443,10 @@
     async def request_until_served(
         self, path: str, number: int = 0, headers: Mapping[str, str] | None = None
     ) -> bytes:
-        """Send requests until one is served; a worker is usable shortly after its announcement."""
+        """Send requests until one gets status 200, and return its body.
+
+        A worker is available to the routers only some time after its first heartbeat.
+        """
         async with asyncio.timeout(WAIT_SECONDS):
             while True:
                 response, body = await self.request(path, number, headers)
@@ -526,7 +536,7 @@
 async def running(
     folder: Path, *workers: EmulatedWorker, machines: int = 3
 ) -> AsyncIterator[PlatformEnvironment]:
-    """Run an environment whose first configuration is confirmed."""
+    """Run an environment; its first configuration, version 2, is confirmed at the start."""
     environment = PlatformEnvironment(folder, machines)
     await environment.start(*workers)
     try:
--- a/tests/adapter/test_command_format.py
+++ b/tests/adapter/test_command_format.py
@@ -1,4 +1,4 @@
-"""Commands to workers, in the platform's form."""
+"""Commands to workers and their replies in the platform's format."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 def test_commands_carry_one_leader_and_its_fencing_token() -> None:
-    form = PlatformCommandFormat("front-z-1")
+    command_format = PlatformCommandFormat("front-z-1")
     command = WorkerCommand(
         term=41,
         sequence=3,
@@ -17,10 +17,10 @@
         kind=WorkerCommandKind.SET_STAGE,
         stage=Stage.PREFILL,
     )
-    body = json.loads(form.body(command))
+    body = json.loads(command_format.body(command))
     assert body == {"op": "stage", "stage": "prefill", "holder": "front-z-1", "fence": 41}
-    assert form.headers(command)["X-Target-Instance"] == "i-1"
-    assert form.read_answer(command, 202, b"").accepted
-    assert form.read_answer(command, 200, b"").accepted
-    assert not form.read_answer(command, 409, b"").accepted
-    assert not form.read_answer(command, 412, b"").accepted
+    assert command_format.headers(command)["X-Target-Instance"] == "i-1"
+    assert command_format.read_answer(command, 202, b"").accepted
+    assert command_format.read_answer(command, 200, b"").accepted
+    assert not command_format.read_answer(command, 409, b"").accepted
+    assert not command_format.read_answer(command, 412, b"").accepted
--- a/tests/adapter/test_configuration_format.py
+++ b/tests/adapter/test_configuration_format.py
@@ -1,4 +1,4 @@
-"""Configuration documents of the platform's operators, and the deployed policies."""
+"""Conversion of the platform's configuration documents, and the deployed policies."""
 
 import json
 from pathlib import Path
--- a/tests/adapter/test_control_calls.py
+++ b/tests/adapter/test_control_calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators and workers to the control processes, over the emulated platform."""
+"""Calls of operators and workers to the control processes of the emulated platform."""
 
 import asyncio
 import json
@@ -23,8 +23,8 @@
     async with running(tmp_path) as environment:
         first = document(2)
         assert await environment.get_configuration(1) == first
-        again = await environment.put_configuration(first, 0, number=2)
-        assert again.status == 200
+        repeated = await environment.put_configuration(first, 0, number=2)
+        assert repeated.status == 200
         second, rival = document(5), document(5, note="another one")
         answers = await asyncio.gather(
             environment.put_configuration(second, 2, number=0),
@@ -120,7 +120,7 @@
         assert await environment.get_configuration(0) == document(2)
 
 
-async def _end_worker(
+async def _drain_or_delete_worker(
     environment: PlatformEnvironment, worker: EmulatedWorker, ending: str
 ) -> None:
     async with asyncio.timeout(WAIT_SECONDS):
@@ -141,8 +141,8 @@
     async with running(tmp_path, *workers) as environment:
         await environment.request_until_served("/stock/")
         environment.without_heartbeats.add("s1")
-        await _end_worker(environment, workers[0], ending)
-        # The limit is two seconds; the lease of every router is shorter.
+        await _drain_or_delete_worker(environment, workers[0], ending)
+        # The platform allows two seconds for this; the lease of every router is shorter.
         await asyncio.sleep(1.7)
         workers[0].arrivals.clear()
         for number in range(12):
@@ -160,14 +160,16 @@
         await environment.request_until_served("/stock/")
         environment.without_heartbeats.add("s1")
         late = workers[0].heartbeat()
-        await _end_worker(environment, workers[0], ending)
+        await _drain_or_delete_worker(environment, workers[0], ending)
         for _ in range(6):
-            # The lease of every router expires meanwhile; that of a draining worker must not.
+            # The leases of all routers expire within these 1.8 seconds. A draining worker continues
+            # to send heartbeats, so that its lease does not expire.
             await asyncio.sleep(0.3)
             if ending == "draining":
                 await environment.send_heartbeat(workers[0], "draining")
         workers[0].arrivals.clear()
-        # A worker that became available again would be so until its lease expires.
+        # If the late heartbeat made the worker available, it would be available until its lease
+        # expires, and some of these requests would reach it.
         for _ in range(4):
             for number in range(3):
                 await environment.put_instance(workers[0], late, number)
@@ -195,7 +197,7 @@
 async def test_acknowledgements_to_workers_are_short_and_contain_no_address(
     tmp_path: Path,
 ) -> None:
-    """Acknowledgements over 4 KiB are invalid, and an address in one may fail later."""
+    """The platform rejects acknowledgements over 4 KiB, and the process at an address may fail."""
     (worker,) = stock("s1")
     async with running(tmp_path, worker) as environment:
         await environment.request_until_served("/stock/")
--- a/tests/adapter/test_node_settings.py
+++ b/tests/adapter/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a machine, as the platform writes them."""
+"""Conversion of the platform's settings file of a machine."""
 
 from pathlib import Path
 
--- a/tests/adapter/test_platform_boundary.py
+++ b/tests/adapter/test_platform_boundary.py
@@ -1,4 +1,7 @@
-"""Nothing outside `platform/` and `deploy/` uses the platform's names or imports its modules."""
+"""No source in `src/` uses the platform's names or imports the modules of `platform/`.
+
+Everything that depends on the platform is in `platform/` and `deploy/`.
+"""
 
 import ast
 from pathlib import Path
@@ -23,13 +26,14 @@
     "ORCHIDPATH_SETTINGS",
     "policies.toml",
 )
+"""Names of the platform and of its adapter, besides the headers."""
 
 
 def platform_names() -> set[str]:
-    """Return the platform's header names that are not also defaults of the product, and others."""
-    own = set(msgspec.structs.asdict(HeaderNames()).values())
-    foreign = set(msgspec.structs.asdict(HEADER_NAMES).values()) - own
-    return {name.decode() for name in foreign} | {name.lower() for name in OTHER_NAMES}
+    """Return the platform's header names that are no defaults of orchidpath, and other names."""
+    default_names = set(msgspec.structs.asdict(HeaderNames()).values())
+    header_names = set(msgspec.structs.asdict(HEADER_NAMES).values()) - default_names
+    return {name.decode() for name in header_names} | {name.lower() for name in OTHER_NAMES}
 
 
 def imported_modules(source: str) -> set[str]:
--- a/tests/adapter/test_platform_path.py
+++ b/tests/adapter/test_platform_path.py
@@ -1,4 +1,4 @@
-"""Requests of clients through routers and workers, over the emulated platform."""
+"""Requests of clients through the routers to the workers of the emulated platform."""
 
 import asyncio
 import json
@@ -34,7 +34,7 @@
     "X-Token-Usage": "73000,80",
     "X-Prefix-Hash": "5c1e07a2:13000,e4402b7d:60000",
 }
-"""Headers of a prompt too long for decode-side prefill while a pair is free."""
+"""Headers of a prompt that is too long for decode-side prefill while a prefill worker is free."""
 EVENTS = b"".join(f"id: {number}\ndata: word\n\n".encode() for number in range(3))
 
 
@@ -101,12 +101,12 @@
                 await asyncio.sleep(0.01)
         second = asyncio.create_task(environment.request("/advice/x", headers=uncached))
         await asyncio.sleep(0.3)
-        arrived_meanwhile = len(prefill.arrivals)
+        prefills_before_release = len(prefill.arrivals)
         may_prefill.set()
         for task in (first, second):
             response, body = await task
             assert (response.status, body) == (200, EVENTS)
-        assert arrived_meanwhile == 1
+        assert prefills_before_release == 1
 
 
 async def test_stage_headers_of_a_client_are_dropped(tmp_path: Path) -> None:
@@ -136,7 +136,10 @@
 async def test_a_long_prompt_whose_prefill_failed_is_rejected_without_decode_side_prefill(
     tmp_path: Path,
 ) -> None:
-    """In a bench run, decode-side prefills of 20,000 and more tokens delayed every stream there."""
+    """Long decode-side prefills delay the worker's streams.
+
+    In a bench run, prefills of 20,000 and more tokens delayed every stream of a decode worker.
+    """
     prefill, decode = pair()
     routes = json.loads(document(1))["routes"]
     once = {**routes[1], "max_attempts": 1}
@@ -146,8 +149,8 @@
         await environment.request_until_served("/advice/x", headers=MODEL)
         decode.arrivals.clear()
         prefill.answers.append(run_and_abort)
-        unknown = "aa1e07a2:8000,bb402b7d:1000"
-        long = {**MODEL, "X-Token-Usage": "9000,10", "X-Prefix-Hash": unknown}
+        uncached = "aa1e07a2:8000,bb402b7d:1000"
+        long = {**MODEL, "X-Token-Usage": "9000,10", "X-Prefix-Hash": uncached}
         response, _ = await environment.request("/advice/x", headers=long)
         assert response.status == 503
         assert float(response.headers["Retry-After"]) > 0
@@ -155,11 +158,11 @@
 
 
 async def test_a_request_without_a_prompt_never_visits_a_prefill_worker(tmp_path: Path) -> None:
-    """In a bench run, such a request ran on a prefill worker after a busy decode worker failed."""
+    """In a bench run, it ran on a prefill worker after a loaded decode worker had failed."""
     prefill = EmulatedWorker("p", "wine-llm", "prefill")
     decoders = [EmulatedWorker(name, "wine-llm", "decode") for name in ("d1", "d2")]
     routes = json.loads(document(1))["routes"]
-    # With this target no worker times out while the test runs.
+    # These limits are so long that no worker times out while the test runs.
     patient = {"target_latency_ms": 30_000, "timeout_ms": 60_000}
     resumable = {**routes[1], "resumable": True, "max_attempts": 2, **patient}
     async with running(tmp_path, prefill, *decoders) as environment:
@@ -169,9 +172,9 @@
         for worker in decoders:
             worker.runs.clear()
             worker.answers.extend([hang] * 8)
-        busy = [asyncio.create_task(environment.request("/advice/x")) for _ in range(8)]
+        hanging = [asyncio.create_task(environment.request("/advice/x")) for _ in range(8)]
         async with asyncio.timeout(WAIT_SECONDS):
-            while sum(len(worker.runs) for worker in decoders) < len(busy):
+            while sum(len(worker.runs) for worker in decoders) < len(hanging):
                 await asyncio.sleep(0.01)
         for worker in decoders:
             worker.runs.clear()
@@ -180,7 +183,7 @@
         await environment.request("/advice/x")
         assert prefill.arrivals == []
         assert 1 <= sum(len(worker.runs) for worker in decoders) <= 2
-        for task in busy:
+        for task in hanging:
             task.cancel()
 
 
@@ -296,7 +299,7 @@
         assert (await environment.put_configuration(resumable(3, attempts=2), 2)).status == 200
         await environment.request_until_served("/advice/x")
         for worker in decoders:
-            # The second worker answers normally, thus from the first event on.
+            # The other worker responds normally: it does not resume, but starts at the first event.
             worker.answers.append(stream_and_abort_inside_an_event)
         decoders[1].answers.clear()
         for _ in range(12):
@@ -315,7 +318,7 @@
         await environment.request_until_served("/stock/")
         routes = json.loads(document(3))["routes"]
         for route in routes:
-            # No timeout of the request ends the work within this test.
+            # The timeout is so long that it does not end the work within this test.
             route["timeout_ms"] = 2000 * WAIT_SECONDS
         assert (await environment.put_configuration(document(3, routes=routes), 2)).status == 200
         worker.answers.append(hang)
@@ -403,7 +406,7 @@
     "X-Token-Usage": "73000,  080",
     "X-Prefix-Hash": "5C1E07A2:13000, e4402b7d:60000",
 }
-"""Prompt headers in forms that must not be normalized."""
+"""Prompt headers with spaces, capitals and leading zeros, which must not be normalized."""
 
 
 @pytest.mark.parametrize("headers", [MODEL, UNUSUAL_MODEL], ids=["usual", "unusual"])
@@ -422,7 +425,7 @@
 async def test_requests_open_at_the_timeout_of_their_route_get_a_final_response(
     tmp_path: Path,
 ) -> None:
-    """Their clients would wait longer, and their workers never respond."""
+    """The clients' deadlines are later than the timeout, and the workers never respond."""
     prefill, decode = pair()
     (worker,) = stock("s1")
     routes = json.loads(document(3))["routes"]
--- a/tests/adapter/test_request_mapping.py
+++ b/tests/adapter/test_request_mapping.py
@@ -1,4 +1,4 @@
-"""Headers of requests, dispatches and responses on the platform."""
+"""Headers and bodies of requests, dispatches and responses on the platform."""
 
 import pytest
 
@@ -50,13 +50,13 @@
 
 def test_response_headers_are_decoded() -> None:
     protocol_mapping = PlatformProtocolMapping()
-    request_metadata = protocol_mapping.read_response(
+    response_metadata = protocol_mapping.read_response(
         503, [(b"x-not-executed", b"1"), (b"x-server-load", b"6,2,6")]
     )
-    assert request_metadata.guarantees_not_executed
-    assert request_metadata.load == WorkerLoad(6, 2, 6)
-    assert request_metadata.load.is_full
-    assert not request_metadata.is_signed
+    assert response_metadata.guarantees_not_executed
+    assert response_metadata.load == WorkerLoad(6, 2, 6)
+    assert response_metadata.load.is_full
+    assert not response_metadata.is_signed
     assert protocol_mapping.read_response(421, []).guarantees_not_executed
     assert not protocol_mapping.read_response(
         503, [(b"x-server-load", b"many")]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""One fixed set of random examples for every run; a longer hunt draws new ones.
+"""Profiles of Hypothesis: ``fixed``, the default, and ``hunt``.
 
-``HYPOTHESIS_PROFILE=hunt pytest ...`` draws new examples, ten times as many, and prints with each
-failure the line that repeats it.
+With ``fixed``, every run tests the same examples. ``HYPOTHESIS_PROFILE=hunt pytest ...`` generates
+new examples, ten times as many, and prints with each failure the decorator that reproduces it.
 """
 
 import os
--- a/tests/guards/left_out_guards.py
+++ b/tests/guards/left_out_guards.py
@@ -1,4 +1,7 @@
-"""Reads the table of guards and leaves one out of a copy of the sources."""
+"""Reads the table of guards, and makes copies of the sources from which a guard is left out.
+
+A guard is the lines of the source that enforce a safety rule.
+"""
 
 import shutil
 import tomllib
@@ -47,27 +50,29 @@
     ]
 
 
-def without(edit: Edit, root: Path = ROOT) -> str:
+def text_without_guard(edit: Edit, root: Path = ROOT) -> str:
     """Return the text of an edit's file with the guard left out.
 
     Raises
     ------
     GuardTextError
-        The text does not occur there exactly once.
+        The text of the edit does not occur exactly once in its file.
     """
     source = (root / edit.file).read_text()
     found = source.count(edit.text)
     if found != 1:
-        raise GuardTextError(f"{edit.file}: {found} times, not once: {edit.text!r}")
+        raise GuardTextError(
+            f"{edit.file}: text occurs {found} times, expected once: {edit.text!r}"
+        )
     return source.replace(edit.text, edit.instead)
 
 
 def copy_with(edits: Sequence[Edit], folder: Path) -> None:
-    """Write a copy of the sources and tests, with edits made, into an empty folder."""
+    """Copy the sources and tests into an empty folder and apply edits to the copy."""
     skipped = shutil.ignore_patterns("__pycache__", "*.egg-info")
     for name in COPIED_FOLDERS:
         shutil.copytree(ROOT / name, folder / name, ignore=skipped)
     for name in COPIED_FILES:
         shutil.copyfile(ROOT / name, folder / name)
     for edit in edits:
-        (folder / edit.file).write_text(without(edit, folder))
+        (folder / edit.file).write_text(text_without_guard(edit, folder))
--- a/tests/guards/test_left_out.py
+++ b/tests/guards/test_left_out.py
@@ -4,7 +4,14 @@
 from pathlib import Path
 
 import pytest
-from left_out_guards import ROOT, Edit, GuardTextError, LeftOutGuard, read_guards, without
+from left_out_guards import (
+    ROOT,
+    Edit,
+    GuardTextError,
+    LeftOutGuard,
+    read_guards,
+    text_without_guard,
+)
 
 GUARDS = read_guards()
 
@@ -22,7 +29,7 @@
     assert guard.edits
     assert guard.tests
     for edit in guard.edits:
-        changed = without(edit)
+        changed = text_without_guard(edit)
         ast.parse(changed)
         assert changed != (ROOT / edit.file).read_text()
     for test in guard.tests:
@@ -33,5 +40,5 @@
 
 def test_a_text_absent_from_its_file_is_reported() -> None:
     edit = Edit("src/orchidpath/__init__.py", "never stood here", "")
-    with pytest.raises(GuardTextError, match=r"orchidpath/__init__\.py: 0 times"):
-        without(edit)
+    with pytest.raises(GuardTextError, match=r"orchidpath/__init__\.py: text occurs 0 times"):
+        text_without_guard(edit)
--- a/tests/processes/test_real_processes.py
+++ b/tests/processes/test_real_processes.py
@@ -1,8 +1,8 @@
 """Responses to callers while real processes are killed, frozen, partitioned, or lose their disk.
 
-Each run is the local fleet with a fault script. The assertions do not depend on the speed of the
-machine: no request ran twice, no response had wrong content, no aborted stream looked complete,
-and no request that was rejected as not executed was executed.
+Each run starts the local fleet with a fault script. The assertions do not depend on the speed of
+the machine: no request ran twice, no response had wrong content, no aborted stream looked complete,
+and no request that was rejected as not executed had been executed.
 """
 
 import json
@@ -139,7 +139,7 @@
     "one_machine_partitioned": fault(2, "cut", "a", 6),
 }
 
-SECONDS = {"leader_frozen_for_over_20_seconds": 26, "disk_lost_twice": 24}
+SECONDS_BY_SCRIPT = {"leader_frozen_for_over_20_seconds": 26, "disk_lost_twice": 24}
 DEFAULT_SECONDS = 14
 
 
@@ -147,7 +147,7 @@
 def test_callers_get_correct_responses_under_faults(name: str, tmp_path: Path) -> None:
     file = tmp_path / "fleet.toml"
     file.write_text(FLEET + SCRIPTS[name])
-    summary = run_fleet(file, SECONDS.get(name, DEFAULT_SECONDS))
+    summary = run_fleet(file, SECONDS_BY_SCRIPT.get(name, DEFAULT_SECONDS))
     assert summary["requests"] > 0
     assert summary["answered"] > 0
     assert summary["executions_twice"] == 0
@@ -161,8 +161,8 @@
 def run_fleet(file: Path, seconds: int) -> dict[str, Any]:
     command = [sys.executable, "-m", "orchidpath", "fleet", "run", str(file)]
     command += ["--for", str(seconds), "--json"]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=240, check=False)
-    lines = [line for line in done.stdout.splitlines() if line.startswith("{")]
-    assert lines, done.stdout + done.stderr
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=240, check=False)
+    lines = [line for line in completed.stdout.splitlines() if line.startswith("{")]
+    assert lines, completed.stdout + completed.stderr
     summary: dict[str, Any] = json.loads(lines[-1])
     return summary
