--- a/tests/adapter/platform_environment.py
+++ b/tests/adapter/platform_environment.py
@@ -352,13 +352,13 @@
     async def put_configuration(
         self, document: bytes, match: int, number: int = 0
     ) -> aiohttp.ClientResponse:
-        """Send a configuration, again after each 503, whose outcome is unknown."""
+        """Send a configuration; repeat it after status 503, which leaves the outcome unknown."""
         return await self._submit_update("PUT", document, match, number)
 
     async def patch_configuration(
         self, change: bytes, match: int, number: int = 0
     ) -> aiohttp.ClientResponse:
-        """Send a change of the configuration, again after each 503, whose outcome is unknown."""
+        """Send a change; repeat it after status 503, which leaves the outcome unknown."""
         return await self._submit_update("PATCH", change, match, number)
 
     async def _submit_update(
--- a/tests/adapter/test_control_calls.py
+++ b/tests/adapter/test_control_calls.py
@@ -197,7 +197,10 @@
 async def test_acknowledgements_to_workers_are_short_and_contain_no_address(
     tmp_path: Path,
 ) -> None:
-    """The platform rejects acknowledgements over 4 KiB, and the process at an address may fail."""
+    """The platform rejects acknowledgements over 4 KiB.
+
+    They contain no address, because the process at that address may fail later.
+    """
     (worker,) = stock("s1")
     async with running(tmp_path, worker) as environment:
         await environment.request_until_served("/stock/")
--- a/tests/adapter/test_platform_path.py
+++ b/tests/adapter/test_platform_path.py
@@ -34,7 +34,7 @@
     "X-Token-Usage": "73000,80",
     "X-Prefix-Hash": "5c1e07a2:13000,e4402b7d:60000",
 }
-"""Headers of a prompt that is too long for decode-side prefill while a prefill worker is free."""
+"""Headers of a prompt too long for decode-side prefill while a pair of workers is free."""
 EVENTS = b"".join(f"id: {number}\ndata: word\n\n".encode() for number in range(3))
 
 
@@ -158,7 +158,7 @@
 
 
 async def test_a_request_without_a_prompt_never_visits_a_prefill_worker(tmp_path: Path) -> None:
-    """In a bench run, it ran on a prefill worker after a loaded decode worker had failed."""
+    """In a bench run, this happened after a loaded decode worker had failed."""
     prefill = EmulatedWorker("p", "wine-llm", "prefill")
     decoders = [EmulatedWorker(name, "wine-llm", "decode") for name in ("d1", "d2")]
     routes = json.loads(document(1))["routes"]
