--- a/tests/adapter/test_platform_path.py
+++ b/tests/adapter/test_platform_path.py
@@ -158,7 +158,10 @@
 
 
 async def test_a_request_without_a_prompt_never_visits_a_prefill_worker(tmp_path: Path) -> None:
-    """In a bench run, this happened after a loaded decode worker had failed."""
+    """A retry selects another decode worker.
+
+    In a bench run, such a request ran on a prefill worker after a loaded decode worker failed.
+    """
     prefill = EmulatedWorker("p", "wine-llm", "prefill")
     decoders = [EmulatedWorker(name, "wine-llm", "decode") for name in ("d1", "d2")]
     routes = json.loads(document(1))["routes"]
