--- a/src/orchidpath/cli/__init__.py
+++ b/src/orchidpath/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line: one module a command group."""
+"""Command-line interface, with one module for each command or command group."""
--- a/src/orchidpath/cli/check.py
+++ b/src/orchidpath/cli/check.py
@@ -1,4 +1,4 @@
-"""``orchidpath check``: checks files of any kind and prints every problem at once."""
+"""``orchidpath check``: checks settings, fleet and configuration files for every problem."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -27,11 +27,11 @@
     (FileKind.CONTROL, frozenset({"data_folder", "formation_members", "target_voters"})),
     (FileKind.ROUTER, frozenset({"node_id", "wire_address", "http_address", "seeds"})),
 )
-"""Top-level keys that tell the kinds apart, in the order in which they are looked for."""
+"""Top-level keys that identify each kind of file; the first kind with a matching key applies."""
 
 
 def recognise(table: dict[str, Any]) -> FileKind | None:
-    """Return the kind of a decoded file by its top-level keys."""
+    """Return the kind that a decoded file's top-level keys identify, or None."""
     for kind, keys in _DISTINGUISHING_KEYS:
         if keys & table.keys():
             return kind
@@ -46,17 +46,17 @@
     path
         File to check.
     kind
-        Its kind; None recognises it by its content.
+        Kind of the file; None recognises the kind by the file's top-level keys.
 
     Returns
     -------
     FileKind
-        The kind of the file, which is valid.
+        The kind of the valid file.
 
     Raises
     ------
     SettingsError
-        Holds every problem of the file.
+        The file is invalid; the error holds every problem found.
     """
     table = read_table(path)
     kind = kind or recognise(table)
@@ -71,7 +71,7 @@
         case FileKind.FLEET:
             _check_fleet(table, file)
         case None:
-            message = f"kind not recognised; say it with --kind {'|'.join(FileKind)}"
+            message = f"kind of file not recognised; specify --kind {'|'.join(FileKind)}"
             raise SettingsError([SettingProblem(file=file, path="", message=message)])
     return kind
 
@@ -104,18 +104,18 @@
     is_eager=True,
     expose_value=False,
     callback=_print_reference,
-    help="Print the reference of every setting, as docs/settings-reference.md, and exit.",
+    help="Print the settings reference (the content of docs/settings-reference.md) and exit.",
 )
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option(
     "--kind",
     "kind_name",
     type=click.Choice([kind.value for kind in FileKind]),
-    help="Kind of all the files; recognised by their content without it.",
+    help="Kind of all files; by default each file's kind is recognised by its content.",
 )
 @click.pass_context
 def check(ctx: click.Context, files: tuple[Path, ...], kind_name: str | None) -> None:
-    """Check settings files, fleet files and configurations; print every problem at once."""
+    """Check settings files, fleet files and configurations; print every problem found."""
     kind = FileKind(kind_name) if kind_name else None
     problems: list[SettingProblem] = []
     for path in files:
--- a/src/orchidpath/cli/config.py
+++ b/src/orchidpath/cli/config.py
@@ -35,14 +35,14 @@
 @config.command()
 @control_option
 def history(control_addresses: tuple[str, ...]) -> None:
-    """Print the newest configurations taken, oldest first."""
+    """Print the most recently accepted configurations, oldest first."""
     echo_json(run_with_client(control_addresses, OperatorClient.history))
 
 
 @config.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--base", type=int, required=True, help="Version that the file was built on.")
-@click.option("--order-id", help="Identifier of this order; by default a new one.")
+@click.option("--base", type=int, required=True, help="Version on which the file is based.")
+@click.option("--order-id", help="Identifier of this update; new by default.")
 @control_option
 @click.pass_context
 def put(
@@ -52,10 +52,10 @@
     order_id: str | None,
     control_addresses: tuple[str, ...],
 ) -> None:
-    """Submit a whole configuration built on version BASE.
+    """Submit a complete configuration based on version BASE.
 
-    The order id is printed first. After a lost answer, send the same order again with the same
-    id: it takes effect once, and any control process answers its first outcome.
+    The order id is printed first. If the answer is lost, send the same update again with the same
+    id: it takes effect only once, and any control process returns the outcome of the first attempt.
     """
     configuration = load_configuration(file)
     order_id = order_id or str(uuid.uuid4())
@@ -68,11 +68,11 @@
     except UpdateRefusedError as error:
         _fail_refused(ctx, error.body)
     except UpdateRejectedError as error:
-        click.echo(f"not taken, nothing changed: {error}", err=True)
+        click.echo(f"not accepted, nothing changed: {error}", err=True)
         ctx.exit(ExitCode.FAILED)
     except UpdateOutcomeUnknownError as error:
-        click.echo(f"no answer, the order may have been taken: {error}", err=True)
-        click.echo(f"send the same order again: {repeat}", err=True)
+        click.echo(f"no answer, the update may have been accepted: {error}", err=True)
+        click.echo(f"send the same update again: {repeat}", err=True)
         ctx.exit(ExitCode.FAILED)
     _report(reply, repeat)
 
@@ -81,8 +81,8 @@
     if reply.confirmed:
         click.echo(f"confirmed as version {reply.version}")
         return
-    click.echo(f"taken as version {reply.version}, not confirmed yet")
-    click.echo(f"ask for the confirmation by sending the same order again: {repeat}")
+    click.echo(f"accepted as version {reply.version}, not confirmed yet")
+    click.echo(f"query the confirmation by sending the same update again: {repeat}")
 
 
 def _fail_refused(ctx: click.Context, body: OperatorErrorBody) -> NoReturn:
--- a/src/orchidpath/cli/configuration_file.py
+++ b/src/orchidpath/cli/configuration_file.py
@@ -18,13 +18,26 @@
     Raises
     ------
     SettingsError
-        Holds every problem.
+        The file cannot be read or is invalid; the error holds every problem found.
     """
     return convert_configuration(read_table(path), str(path))
 
 
 def convert_configuration(table: dict[str, Any], file: str) -> Configuration:
-    """Convert and check a decoded configuration; see :func:`load_configuration`."""
+    """Convert and check a decoded configuration.
+
+    Parameters
+    ----------
+    table
+        Decoded content of the file.
+    file
+        Name of the file, reported with each problem.
+
+    Raises
+    ------
+    SettingsError
+        The configuration is invalid; the error holds every problem found.
+    """
     try:
         return parse_configuration(msgspec.json.encode(table))
     except InvalidConfigurationError as error:
--- a/src/orchidpath/cli/emulator.py
+++ b/src/orchidpath/cli/emulator.py
@@ -1,7 +1,6 @@
-"""Commands that run emulators: emulated model workers, plain services and callers.
+"""``orchidpath emulator``: runs emulated model workers, plain services and callers.
 
-An option that sets one field of a settings struct bears the field's name, and its default is the
-struct's own.
+An option that sets one field of a settings struct has the name and the default of that field.
 """
 
 import asyncio
@@ -34,7 +33,7 @@
 INCARNATION_BYTES = 8
 
 VIOLATION_STATUS = 1
-"""Exit status of callers that saw a violation."""
+"""Exit status of the caller command if any answer was wrong."""
 
 POSITIVE = click.FloatRange(min=0, min_open=True)
 NOT_NEGATIVE = click.FloatRange(min=0)
@@ -42,7 +41,7 @@
 
 
 class InputError(click.ClickException):
-    """Input that cannot be used; reported in one line."""
+    """Unusable input, reported in one line with exit code 2."""
 
     exit_code = 2
 
@@ -55,18 +54,18 @@
     Parameters
     ----------
     kind : type
-        The struct.
+        Settings struct that holds the field.
     field : str
         Name of the field.
     value_type : ValueType
-        Checks the value.
+        Type and bounds that the value is checked against.
     help_text : str
-        Shown by ``--help``.
+        Text shown by ``--help``.
 
     Returns
     -------
     callable
-        The decorator.
+        Decorator that adds the option to a command.
     """
     default = next(found.default for found in msgspec.structs.fields(kind) if found.name == field)
     name = "--" + field.replace("_", "-")
@@ -74,18 +73,18 @@
 
 
 def make_struct(kind: type[T], options: dict[str, object]) -> T:
-    """Make a struct of the options that bear its fields' names."""
+    """Build a struct from the options that have the names of its fields."""
     names = {name for name in kind.__struct_fields__ if name in options}  # type: ignore[attr-defined]
     return msgspec.convert({name: options[name] for name in names}, type=kind)
 
 
 def backend_options(command: Command) -> Command:
-    """Add the options that every back end has."""
+    """Add the options that all emulated back ends share."""
     options = [
-        click.option("--id", "worker_id", required=True, help="Name, unique in the fleet."),
+        click.option("--id", "worker_id", required=True, help="Worker id, unique in the fleet."),
         click.option("--service", required=True, help="Service that the worker belongs to."),
         click.option("--host", default="127.0.0.1", show_default=True, help="IP address."),
-        field_option(BackendSettings, "port", click.IntRange(0, 65535), "0: the system chooses."),
+        field_option(BackendSettings, "port", click.IntRange(0, 65535), "0: any free port."),
         click.option("--zone", default="", help="Zone that is announced."),
         click.option("--failure-domain", default="", help="Failure domain that is announced."),
         click.option(
@@ -95,7 +94,7 @@
             callback=read_addresses,
             help="HTTP address of a router or control process; several allowed.",
         ),
-        field_option(BackendSettings, "drain_seconds", NOT_NEGATIVE, "Longest wait at SIGTERM."),
+        field_option(BackendSettings, "drain_seconds", NOT_NEGATIVE, "Longest drain at SIGTERM."),
         click.option(
             "--execution-log",
             default="",
@@ -109,19 +108,19 @@
 
 
 def timing_options(command: Command) -> Command:
-    """Add the options of a model worker's speeds and capacities."""
+    """Add the options for the speeds and capacities of a model worker."""
     described: list[tuple[str, ValueType, str]] = [
         (
             "prefill_tokens_per_second",
             POSITIVE,
-            "Uncached prompt tokens prefilled a second.",
+            "Uncached prompt tokens prefilled per second.",
         ),
         ("prefill_overhead_seconds", NOT_NEGATIVE, "Fixed time of every prefill, in seconds."),
-        ("decode_tokens_per_second", POSITIVE, "Speed of a stream that is alone."),
-        ("batch_slowdown", NOT_NEGATIVE, "Share by which a further stream slows all."),
-        ("kv_bytes_per_token", COUNT, "Size of the KV cache of a prompt token."),
+        ("decode_tokens_per_second", POSITIVE, "Decode speed of a single stream."),
+        ("batch_slowdown", NOT_NEGATIVE, "Share by which each further stream slows all."),
+        ("kv_bytes_per_token", COUNT, "Size of the KV cache per prompt token."),
         ("link_bytes_per_second", POSITIVE, "Bandwidth of the KV transfer."),
-        ("max_in_flight", COUNT, "Attempts at once; more are refused as overloaded."),
+        ("max_in_flight", COUNT, "Concurrent attempts; more are refused as overloaded."),
         ("cache_capacity_tokens", COUNT, "Capacity of the prefix cache."),
         (
             "handle_lifetime_seconds",
@@ -129,7 +128,7 @@
             "Seconds after which an unused handle expires.",
         ),
         ("transfer_timeout_seconds", POSITIVE, "Longest wait for a KV transfer, in seconds."),
-        ("tokens_per_frame", COUNT, "Tokens of one frame of a stream."),
+        ("tokens_per_frame", COUNT, "Tokens in each frame of a stream."),
     ]
     for field, value_type, help_text in reversed(described):
         command = field_option(WorkerTiming, field, value_type, help_text)(command)
@@ -147,15 +146,15 @@
     "--stage",
     type=click.Choice([Stage.PREFILL.value, Stage.DECODE.value]),
     required=True,
-    help="Stage at the start; commands of the leader change it.",
+    help="Initial stage; the leader can change it by command.",
 )
 @click.option("--model", "models", multiple=True, required=True, help="Model; several allowed.")
 @timing_options
 def worker(**options: object) -> None:
     """Run an emulated model worker.
 
-    Prints one JSON line with its address once it listens. POST a fault to /v1/faults to break it,
-    for example {"kind": "go_dark", "seconds": 5}.
+    Prints one JSON line with its address once it listens. POST a fault to /v1/faults to inject
+    it, for example {"kind": "go_dark", "seconds": 5}.
     """
     record = _make_record(options)
     settings = make_struct(BackendSettings, options)
@@ -168,7 +167,7 @@
 @field_option(ServiceTiming, "median_seconds", POSITIVE, "Median latency.")
 @field_option(ServiceTiming, "sigma", NOT_NEGATIVE, "Spread of the log-normal latency.")
 @field_option(ServiceTiming, "maximum_seconds", POSITIVE, "Longest latency.")
-@field_option(ServiceTiming, "max_in_flight", COUNT, "Calls at once; more are refused.")
+@field_option(ServiceTiming, "max_in_flight", COUNT, "Concurrent calls; more are refused.")
 def service(**options: object) -> None:
     """Run an emulated worker of a plain service."""
     record = _make_record({**options, "stage": Stage.PLAIN.value})
@@ -194,18 +193,23 @@
     required=True,
     help="Traffic mix, .toml or .json.",
 )
-@click.option("--for", "for_seconds", type=POSITIVE, required=True, help="Seconds of sending.")
+@click.option("--for", "for_seconds", type=POSITIVE, required=True, help="Seconds of traffic.")
 @field_option(CallerSettings, "seed", click.IntRange(), "Seed of the traffic.")
-@click.option("--run-id", default="", help="Begins every request id; random by default.")
-@field_option(CallerSettings, "timeout_seconds", POSITIVE, "Longest wait for one answer.")
-@field_option(CallerSettings, "drain_seconds", NOT_NEGATIVE, "Longest wait at the end.")
-@field_option(ReturnPolicy, "max_returns", click.IntRange(min=0), "Returns of a refused caller.")
+@click.option("--run-id", default="", help="Prefix of every request id; random by default.")
+@field_option(CallerSettings, "timeout_seconds", POSITIVE, "Longest wait for an answer.")
+@field_option(CallerSettings, "drain_seconds", NOT_NEGATIVE, "Longest drain at the end.")
+@field_option(
+    ReturnPolicy,
+    "max_returns",
+    click.IntRange(min=0),
+    "Retries of a refused or unanswered request.",
+)
 @click.option("--history", default="", metavar="FILE", help="Append a JSON line for each request.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON line a second and a summary.")
 def caller(mix_file: Path, run_id: str, as_json: bool, **options: object) -> None:
     """Send a traffic mix to routers and verify every answer.
 
-    Exits with 1 if any answer was wrong, or incomplete without looking so.
+    Exits with 1 if any answer had wrong content, or was incomplete but ended like a complete one.
     """
     options["mix"] = _read_mix(mix_file)
     options["run_id"] = run_id or secrets.token_hex(INCARNATION_BYTES)
--- a/src/orchidpath/cli/fleet.py
+++ b/src/orchidpath/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``orchidpath fleet``: runs a whole fleet on this machine, for development."""
+"""``orchidpath fleet``: runs a complete fleet on this machine, for development."""
 
 import asyncio
 import shutil
@@ -19,7 +19,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Run a whole fleet on this machine, for development."""
+    """Run a complete fleet on this machine, for development."""
 
 
 @fleet.command()
@@ -40,10 +40,10 @@
 def run(
     ctx: click.Context, file: Path, for_seconds: float | None, as_json: bool, folder: Path | None
 ) -> None:
-    """Run the fleet of FILE with its traffic and faults, and judge what its callers saw.
+    """Run the fleet of FILE with its traffic and faults, and check the answers of its callers.
 
-    Exits with 0 only if every request was answered, or refused with the honest word that it did
-    not run and when to come back, and nothing ran twice.
+    Exits with 0 only if every request was either answered, or refused with an accurate statement
+    that it did not run and when to retry, and no request ran twice.
     """
     fleet_file = load_fleet(file)
     run_folder = folder or Path(tempfile.mkdtemp(prefix="orchidpath-fleet-"))
--- a/src/orchidpath/cli/http_addresses.py
+++ b/src/orchidpath/cli/http_addresses.py
@@ -1,4 +1,4 @@
-"""HTTP addresses as options of several commands take them."""
+"""Validation of the HTTP addresses that several commands accept as options."""
 
 from urllib.parse import urlsplit
 
@@ -10,7 +10,13 @@
 def read_addresses(
     context: click.Context, parameter: click.Parameter, addresses: tuple[str, ...]
 ) -> tuple[str, ...]:
-    """Check HTTP addresses and return them as base addresses."""
+    """Check HTTP addresses and return them as base URLs.
+
+    Raises
+    ------
+    click.BadParameter
+        An address is not an ``http`` URL with a host and a port.
+    """
     for address in addresses:
         try:
             parts = urlsplit(base_url(address))
--- a/src/orchidpath/cli/main.py
+++ b/src/orchidpath/cli/main.py
@@ -1,4 +1,4 @@
-"""The ``orchidpath`` command; each command's module is imported only when it is used."""
+"""The ``orchidpath`` command, which imports the module of a subcommand only on use."""
 
 import copy
 import importlib
@@ -25,23 +25,23 @@
     "simulate": "orchidpath.cli.simulate",
     "status": "orchidpath.cli.status",
 }
-"""Module of each command; the command has the same name inside it."""
+"""Module of each command; the module defines the command under the command's own name."""
 
 _FORMER_NAMES = {"standin": "emulator"}
-"""Commands that were renamed: the former name still works and is not listed by ``--help``."""
+"""Current name of each renamed command; the former name still works but ``--help`` hides it."""
 
 
 class LazyGroup(click.Group):
-    """Imports a command's module on use and turns expected errors into lines on stderr."""
+    """Command group that imports commands on use and prints expected errors to stderr."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the names of the commands that this installation has."""
+        """Return the names of the commands whose modules are installed, former names included."""
         present = [name for name, module in _COMMANDS.items() if importlib.util.find_spec(module)]
         former = [name for name, current in _FORMER_NAMES.items() if current in present]
         return [*present, *former]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import and return one command."""
+        """Import and return a command, or return None if there is no such command."""
         if cmd_name not in self.list_commands(ctx):
             return None
         current_name = _FORMER_NAMES.get(cmd_name, cmd_name)
@@ -54,7 +54,7 @@
         return command
 
     def invoke(self, ctx: click.Context) -> object:
-        """Run a command; an expected error ends it with its exit code and no traceback."""
+        """Run a command; an expected error exits with its code, without a traceback."""
         try:
             return super().invoke(ctx)
         except SettingsError as error:
--- a/src/orchidpath/cli/operator_exchange.py
+++ b/src/orchidpath/cli/operator_exchange.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: where control is, and running one exchange with it."""
+"""Shared parts of the operator commands: the ``--control`` option and requests to control."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -24,19 +24,19 @@
         envvar="ORCHIDPATH_CONTROL",
         metavar="URL",
         callback=read_addresses,
-        help="HTTP address of a control process; repeat it to name several, tried in turn.",
+        help="HTTP address of a control process; repeat the option to give several, tried in turn.",
     )
     return option(function)
 
 
 def run_with_client(
-    control_addresses: tuple[str, ...], use: Callable[[OperatorClient], Awaitable[ResultT]]
+    control_addresses: tuple[str, ...], exchange: Callable[[OperatorClient], Awaitable[ResultT]]
 ) -> ResultT:
-    """Run one exchange with the control tier and return its result."""
+    """Call ``exchange`` with a client of the control processes and return its result."""
 
     async def run() -> ResultT:
         async with OperatorClient(control_addresses) as client:
-            return await use(client)
+            return await exchange(client)
 
     return asyncio.run(run())
 
--- a/src/orchidpath/cli/plan.py
+++ b/src/orchidpath/cli/plan.py
@@ -1,4 +1,4 @@
-"""``orchidpath plan``: what would move, and orders about plans."""
+"""``orchidpath plan``: previews the planned stage changes, and confirms or controls a plan."""
 
 import shlex
 import uuid
@@ -22,20 +22,20 @@
 
 _json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 _order_id_option = click.option(
-    "--order-id", help="Identifier of this order; by default a new one."
+    "--order-id", help="Identifier of this plan action; new by default."
 )
 
 
 @click.group()
 def plan() -> None:
-    """Show what would move to the desired state, and confirm or steer a plan."""
+    """Show which workers would move to the desired state; confirm or control a plan."""
 
 
 @plan.command()
 @control_option
 @_json_option
 def show(control_addresses: tuple[str, ...], as_json: bool) -> None:
-    """Print what would move now, worker by worker, and how far the newest plan is."""
+    """Print the workers that would move now, and the progress of the newest plan."""
     body = run_with_client(control_addresses, OperatorClient.plan)
     if as_json:
         echo_json(body)
@@ -45,17 +45,19 @@
     _show_preview(body.preview)
 
 
-_ORDERS = {
-    PlanAction.CONFIRM: "Let the plan PLAN_ID run; refused if it is not what would be done now.",
+_ACTION_HELP = {
+    PlanAction.CONFIRM: (
+        "Run the plan PLAN_ID; refused if it differs from the plan that would be made now."
+    ),
     PlanAction.HALT: (
-        "Begin no further step of the plan PLAN_ID; steps that are open go on to their end."
+        "Begin no further step of the plan PLAN_ID; steps in progress run to completion."
     ),
-    PlanAction.RESUME: "Let the halted plan PLAN_ID go on.",
+    PlanAction.RESUME: "Continue the halted plan PLAN_ID.",
     PlanAction.CANCEL: (
-        "End the plan PLAN_ID; workers that have not been switched keep their part."
+        "End the plan PLAN_ID; workers that have not been switched keep their stage."
     ),
 }
-"""Each order about a plan is a command of its own, with this help."""
+"""Help text of each plan action; each action is a separate command."""
 
 
 def _add_plan_command(action: PlanAction, help_text: str) -> None:
@@ -72,14 +74,14 @@
         control_addresses: tuple[str, ...],
         as_json: bool,
     ) -> None:
-        _order(ctx, action, plan_id, order_id, control_addresses, as_json)
+        _send_action(ctx, action, plan_id, order_id, control_addresses, as_json)
 
 
-for _action, _help_text in _ORDERS.items():
+for _action, _help_text in _ACTION_HELP.items():
     _add_plan_command(_action, _help_text)
 
 
-def _order(
+def _send_action(
     ctx: click.Context,
     action: PlanAction,
     plan_id: str,
@@ -87,7 +89,7 @@
     control_addresses: tuple[str, ...],
     as_json: bool,
 ) -> None:
-    """Send one order; its id makes a repetition safe."""
+    """Send a plan action; control applies an action with the same id only once."""
     order_id = order_id or str(uuid.uuid4())
     repeat = _repeat_command(action, plan_id, order_id, control_addresses)
     try:
@@ -97,11 +99,11 @@
     except PlanRefusedError as error:
         _fail_refused(ctx, error.body, as_json)
     except UpdateRejectedError as error:
-        click.echo(f"not taken, nothing changed: {error}", err=True)
+        click.echo(f"not accepted, nothing changed: {error}", err=True)
         ctx.exit(ExitCode.FAILED)
     except UpdateOutcomeUnknownError as error:
-        click.echo(f"no answer, the order may have been taken: {error}", err=True)
-        click.echo(f"send the same order again: {repeat}", err=True)
+        click.echo(f"no answer, the action may have been accepted: {error}", err=True)
+        click.echo(f"send the same action again: {repeat}", err=True)
         ctx.exit(ExitCode.FAILED)
     _report(reply, as_json)
 
@@ -119,7 +121,7 @@
         ctx.exit(ExitCode.INVALID_INPUT)
     click.echo(f"refused ({body.error.code}): {body.error.message}", err=True)
     if body.preview is not msgspec.UNSET:
-        click.echo("what would be done now:")
+        click.echo("the plan that would be made now:")
         _show_preview(body.preview)
     ctx.exit(ExitCode.INVALID_INPUT)
 
@@ -142,9 +144,9 @@
     for refusal in preview.refusals:
         click.echo(f"{refusal.service}: nothing planned, {refusal.reason}: {refusal.message}")
     if preview.not_counted:
-        click.echo(f"not counted, they serve nobody now: {', '.join(preview.not_counted)}")
+        click.echo(f"not counted, not serving now: {', '.join(preview.not_counted)}")
     if not preview.steps:
-        click.echo("nothing would move")
+        click.echo("no worker would move")
         return
     click.echo(f"plan {preview.plan.plan_id}")
     click.echo(f"  made for configuration version {preview.plan.configuration_version}")
@@ -168,8 +170,8 @@
     )
     click.echo(
         f"    {service.cordoned_at_once} cordoned at once, "
-        f"each {service.max_cordoned_seconds:.0f} s at most; "
-        f"{service.plan_seconds_at_most:.0f} s in all at most"
+        f"each for at most {service.max_cordoned_seconds:.0f} s; "
+        f"at most {service.plan_seconds_at_most:.0f} s in total"
     )
 
 
--- a/src/orchidpath/cli/replay.py
+++ b/src/orchidpath/cli/replay.py
@@ -1,4 +1,4 @@
-"""``orchidpath replay``: what a decision log would have come to under another policy."""
+"""``orchidpath replay``: replays a decision log under another policy and prints differences."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -13,7 +13,7 @@
 from orchidpath.tools.decision_replay import DifferenceKind, ReplayPolicy, ReplayResult, replay_log
 
 MAX_SHOWN = 200
-"""Differences and damaged lines that are printed; JSON holds all of them."""
+"""Number of differences, and of damaged lines, that are printed; JSON output holds all."""
 
 
 @click.command()
@@ -22,17 +22,17 @@
     "--policy",
     "policy_file",
     type=click.Path(path_type=Path),
-    help="Configuration, TOML or JSON, whose circuit figures and load bound are tried; what it "
-    "leaves out has its default.",
+    help="Configuration, TOML or JSON, whose circuit policy and load bound are tried; omitted "
+    "values have their defaults.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 @click.pass_context
 def replay(ctx: click.Context, file: Path, policy_file: Path | None, as_json: bool) -> None:
-    """Replay the decision log FILE and show what would differ under --policy.
+    """Replay the decision log FILE and show the outcomes that would differ under --policy.
 
-    Without --policy the log is checked against its own policy. Other routers' reports are not in
-    the log: their effects are taken over as recorded. Exits with 1 if a line is damaged, or if
-    the log's own policy does not lead to a decision that it records.
+    Without --policy the log is checked against its own policy. Reports of other routers are not
+    in the log; their effects on circuits are copied as recorded. Exits with 1 if a line is
+    damaged, or if the log's own policy does not reproduce a recorded decision.
     """
     policy = _read_policy(policy_file) if policy_file is not None else None
     with file.open("rb") as content:
@@ -47,7 +47,7 @@
 
 
 def read_lines(content: BinaryIO) -> Iterator[bytes]:
-    """Yield the lines of a file; of one that is too long only its beginning."""
+    """Yield the lines of a file, each truncated to ``MAX_LINE_BYTES + 1`` bytes."""
     while line := content.readline(MAX_LINE_BYTES + 1):
         rest = line
         while rest and not rest.endswith(b"\n"):
@@ -73,7 +73,7 @@
         )
     hidden = max(len(result.differences) - MAX_SHOWN, 0) + max(len(result.damaged) - MAX_SHOWN, 0)
     if hidden:
-        click.echo(f"{hidden} more are not shown; --json holds all")
+        click.echo(f"{hidden} more are not shown; --json prints all")
     click.echo(
         f"{result.decisions} decisions: {result.compared} compared, {result.agreed} as the log's "
         f"policy explains, {result.decided_by_router} decided by the router, "
--- a/src/orchidpath/cli/report.py
+++ b/src/orchidpath/cli/report.py
@@ -1,4 +1,4 @@
-"""``orchidpath report``: the path of measured figures, from the journal of the users' bench."""
+"""``orchidpath report``: prints the history of measured scores from the bench's journal."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -10,11 +10,11 @@
 from orchidpath.tools.worth_losses import loss_table
 
 COMMIT_CHARACTERS = 7
-"""Characters of a commit's hash that are printed."""
+"""Number of characters of a commit hash that are printed."""
 
 
 class PlottingMissingError(OrchidpathError):
-    """The library that draws plots is not installed."""
+    """The plotting library is not installed."""
 
 
 @click.command()
@@ -26,18 +26,18 @@
     show_default=True,
     help="Folder of the journal.",
 )
-@click.option("--site", help="Only runs of this deployment.")
-@click.option("--trials", is_flag=True, help="Also runs of sources that were not committed.")
+@click.option("--site", help="Print only runs of this deployment.")
+@click.option("--trials", is_flag=True, help="Include trial runs and runs of uncommitted sources.")
 @click.option(
     "--plot",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Draw the scores into this file; needs the extra 'plot'.",
+    help="Plot the scores into this file; requires the extra 'plot'.",
 )
-@click.option("--losses", metavar="ID", help="Print where the days of this run lose their worth.")
+@click.option("--losses", metavar="ID", help="Print the losses of worth on each day of this run.")
 def report(
     folder: Path, site: str | None, trials: bool, plot: Path | None, losses: str | None
 ) -> None:
-    """Print scores and hunts from a journal, oldest first."""
+    """Print the score runs and then the hunt runs of a journal, each oldest first."""
     if losses is not None:
         for line in losses_of(folder, losses):
             click.echo(line)
@@ -55,15 +55,15 @@
         click.echo(hunt_line(entry))
     if plot is not None:
         draw(scores, plot)
-        click.echo(f"drawn: {plot}")
+        click.echo(f"plot written: {plot}")
 
 
 class UnknownRunError(OrchidpathError):
-    """The journal has no run with that id."""
+    """The journal has no run with the given id."""
 
 
 def losses_of(folder: Path, run_id: str) -> list[str]:
-    """Return the table of where the days of a run lose their worth.
+    """Return the lines of a table of the losses of worth on each day of a run.
 
     Raises
     ------
@@ -77,7 +77,7 @@
 
 
 def score_line(entry: JournalEntry) -> str:
-    """Return the line of a score."""
+    """Return the printed line of a score run."""
     days = " ".join(f"{day.worth:.2f}" for day in entry.days if day.worth is not None)
     kind = "quick" if entry.is_quick else "full "
     gate = "passed" if entry.has_passed else "FAILED"
@@ -88,7 +88,7 @@
 
 
 def hunt_line(entry: JournalEntry) -> str:
-    """Return the line of a hunt."""
+    """Return the printed line of a hunt run."""
     return (
         f"{entry.at[0]}  hunt         {entry.site:<22} {len(entry.days)} days, "
         f"{entry.days_with_broken_rules} with a rule broken  {entry.head[:COMMIT_CHARACTERS]}"
@@ -96,7 +96,7 @@
 
 
 def draw(scores: Sequence[JournalEntry], path: Path) -> None:
-    """Draw the scores of every deployment in the order of the runs.
+    """Plot the scores of each deployment against the order of its runs.
 
     Raises
     ------
--- a/src/orchidpath/cli/router.py
+++ b/src/orchidpath/cli/router.py
@@ -15,9 +15,10 @@
 @settings_file_option
 @click.pass_context
 def router(ctx: click.Context, settings_file: Path) -> None:
-    """Run one router process; it needs no disk.
+    """Run one router process, which needs no disk.
 
-    SIGTERM stops it gracefully, a second one at once; SIGHUP reads the settings file again.
+    SIGTERM stops the process gracefully; a second SIGTERM stops it immediately. SIGHUP reloads
+    the settings file.
     """
     settings = load_settings(settings_file, RouterSettings)
     configure_logs(settings.log_level, node_id=settings.node_id, role="router")
--- a/src/orchidpath/cli/settings_option.py
+++ b/src/orchidpath/cli/settings_option.py
@@ -1,4 +1,4 @@
-"""The option that names a process's settings file."""
+"""The ``--config`` option, which gives the settings file of a process."""
 
 from pathlib import Path
 
--- a/src/orchidpath/cli/simulate.py
+++ b/src/orchidpath/cli/simulate.py
@@ -1,4 +1,4 @@
-"""``orchidpath simulate``: a fleet under faults, in virtual time."""
+"""``orchidpath simulate``: simulates a fleet under faults in virtual time."""
 
 import sys
 from concurrent.futures import ProcessPoolExecutor
@@ -27,7 +27,7 @@
 
 
 class SimulationSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of all seeds of one scenario."""
+    """Summary of the runs of one scenario over all its seeds."""
 
     scenario: Scenario
     seeds: int
@@ -40,23 +40,23 @@
 
 
 class SeedRange(click.ParamType[tuple[int, int]]):
-    """First and last seed, as ``A..B`` or one number."""
+    """Inclusive range of seeds, given as ``A..B`` or as one number."""
 
     name = "A..B"
 
     def convert(
         self, value: object, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[int, int]:
-        """Read the range."""
+        """Return the first and the last seed; fail if the value is not a valid range."""
         if isinstance(value, tuple):
             return int(value[0]), int(value[1])
         first, _, last = str(value).partition("..")
         try:
             seeds = int(first), int(last or first)
         except ValueError:
-            self.fail(f"{value!r} is no range of seeds such as 0..99", param, ctx)
+            self.fail(f"{value!r} is not a range of seeds such as 0..99", param, ctx)
         if not 0 <= seeds[0] <= seeds[1]:
-            self.fail(f"{value!r} is empty or below 0", param, ctx)
+            self.fail(f"{value!r} is an empty range or begins below 0", param, ctx)
         return seeds
 
 
@@ -73,22 +73,24 @@
     "broken",
     multiple=True,
     type=click.Choice(sorted(GUARD_NAMES)),
-    help="Leave out one guard, to see the checks catch it; may be given several times.",
+    help="Disable a guard, to verify that the checks detect its absence; several allowed.",
 )
-@click.option("--jobs", default=1, show_default=True, help="Processes to spread the seeds over.")
-@click.option("--json", "as_json", is_flag=True, help="Print one JSON object a scenario.")
+@click.option(
+    "--jobs", default=1, show_default=True, help="Number of processes that share the seeds."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per scenario.")
 def simulate(
     seeds: tuple[int, int], scenario: str, broken: tuple[str, ...], jobs: int, as_json: bool
 ) -> None:
-    """Run scenarios of faults over seeds; exit 1 if an invariant is broken.
+    """Run fault scenarios over a range of seeds; exit with 1 if an invariant is violated.
 
-    A seed gives the same run on every machine; a violation is printed with the command that
+    A seed gives the same run on every machine. Each violation is printed with the command that
     replays it.
     """
-    chosen = list(Scenario) if scenario == ALL else [Scenario(scenario)]
+    scenarios = list(Scenario) if scenario == ALL else [Scenario(scenario)]
     failed = False
-    for one in chosen:
-        summary = _run_seeds(one, seeds, broken, jobs)
+    for selected in scenarios:
+        summary = _run_seeds(selected, seeds, broken, jobs)
         failed = failed or bool(summary.violations)
         if as_json:
             click.echo(msgspec.json.encode(summary).decode())
@@ -114,13 +116,13 @@
         confirmed_updates=sum(result.confirmed_updates for result in results),
         fresh_checks=sum(result.fresh_checks for result in results),
         virtual_seconds=sum(result.virtual_seconds for result in results),
-        requests=sum(one.requests.submitted for one in results if one.requests),
-        requests_completed=sum(one.requests.completed for one in results if one.requests),
+        requests=sum(result.requests.submitted for result in results if result.requests),
+        requests_completed=sum(result.requests.completed for result in results if result.requests),
     )
 
 
 def disabled_guards(names: tuple[str, ...]) -> DisabledGuards:
-    """Return the guards that go by these names on the command line."""
+    """Return the guards with the given command-line names, grouped by component."""
     guards = [GUARD_NAMES[name] for name in names]
     return DisabledGuards(
         raft=frozenset(guard for guard in guards if isinstance(guard, Guard)),
@@ -144,6 +146,6 @@
         requests = f", {summary.requests_completed} of {summary.requests} requests completed"
     click.echo(
         f"{summary.scenario.value}: {summary.seeds} seeds, {len(summary.violations)} violated, "
-        f"{summary.confirmed_updates} orders confirmed, {summary.fresh_checks} router checks, "
+        f"{summary.confirmed_updates} updates confirmed, {summary.fresh_checks} router checks, "
         f"{summary.virtual_seconds:.0f} virtual seconds{requests}"
     )
--- a/src/orchidpath/cli/status.py
+++ b/src/orchidpath/cli/status.py
@@ -1,4 +1,4 @@
-"""``orchidpath status``: the state of the control tier as each of its processes tells it."""
+"""``orchidpath status``: prints the status that each control process reports."""
 
 import click
 
@@ -13,7 +13,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.pass_context
 def status(ctx: click.Context, control_addresses: tuple[str, ...], as_json: bool) -> None:
-    """Print what each control process says of itself; exit 1 when none answers."""
+    """Print the status reported by each control process; exit with 1 if none answers."""
     statuses = run_with_client(control_addresses, OperatorClient.statuses)
     if as_json:
         echo_json(statuses)
--- a/tests/cli/test_cli_config.py
+++ b/tests/cli/test_cli_config.py
@@ -122,11 +122,13 @@
     controls[0].aborts = True
     result = await put(tmp_path, controls[0].url)
     assert result.exit_code == 1
-    assert "may have been taken" in result.stderr
+    assert "may have been accepted" in result.stderr
     assert "--base 4 --order-id order-1" in result.stderr
 
 
-@pytest.mark.parametrize(("accepted", "word"), [("no", "not taken"), ("unknown", "may have been")])
+@pytest.mark.parametrize(
+    ("accepted", "word"), [("no", "not accepted"), ("unknown", "may have been")]
+)
 async def test_without_a_leader_the_message_says_whether_the_update_was_accepted(
     tmp_path: Path, controls: list[FakeControl], accepted: str, word: str
 ) -> None:
--- a/tests/cli/test_cli_plan.py
+++ b/tests/cli/test_cli_plan.py
@@ -125,4 +125,4 @@
     assert result.exit_code == 1
     assert "orchidpath plan confirm p --order-id o" in result.output
     control.body = {"error": {"code": "no_leader", "message": "none", "taken": "no"}}
-    assert "not taken, nothing changed" in (await run(control, "halt", "p")).output
+    assert "not accepted, nothing changed" in (await run(control, "halt", "p")).output
