--- a/src/orchidpath/tools/__init__.py
+++ b/src/orchidpath/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Checker, replay, bench and reports."""
+"""Offline tools: decision replay, settings reference, journal reports and measurement helpers."""
--- a/src/orchidpath/tools/decision_replay.py
+++ b/src/orchidpath/tools/decision_replay.py
@@ -1,26 +1,27 @@
-"""Replays a decision log and shows where an outcome would differ under another policy; pure.
-
-Two replays run side by side in the log's own time: the *reference* under the policy of the log,
-and the *alternative* under the policy given.
-
-What the log determines: the leader's decisions, since each line holds every candidate's state as
-it was read. The reference must therefore choose what the leader chose; where it does not, the
-decision is reported as unexplained.
-
-What the log does not determine, and how it is treated:
-
-- Other routers' reports and the transitions that they cause. Where a recorded status is not what
-  the reference has come to, the recorded one is taken over; the alternative takes it over too
-  while its circuit of that worker is the same as the reference's, and keeps its own otherwise.
-- Attempts in flight, health, eligibility and capacity circuits: as recorded, in both replays.
-  Throttle figures therefore make no difference here.
-- Jitter of cooldowns: the middle of its range, until a recorded wait tells.
-- What a worker would have answered that only the alternative chose: counted as neutral. Reports
-  on a worker that the alternative did not choose are not counted there.
-- A repeated answer to a repeated question, which carries no states: not compared.
-- Decisions that the router made from its last known state: not compared; their reports count.
-- A worker whose circuit and whose domain's capacity circuit are open at once: the log has one wait
-  for both, and it is taken as the circuit's, so that the kind of a rejection may differ.
+"""Replays a decision log and reports the outcomes that would differ under another policy.
+
+The module is pure. Two replays run in parallel on the timestamps of the log: the *reference*
+under the recorded policy, and the *alternative* under the given policy.
+
+The log determines the leader's decisions, because each line holds the state of every candidate as
+the leader read it. The reference must therefore choose the workers that the leader chose; if it
+does not, the decision is reported as unexplained.
+
+The log does not determine the following, which the replay treats as described:
+
+- Reports of other routers and the transitions that they cause. Where a recorded status differs
+  from the reference's, the reference adopts the recorded status. The alternative adopts it too if
+  its circuit of that worker is the same as the reference's; otherwise it keeps its own.
+- Attempts in flight, health, eligibility and capacity circuits are as recorded, in both replays.
+  The throttle settings of a policy therefore have no effect on a replay.
+- The jitter of a cooldown is the middle of its range until a recorded wait gives the actual value.
+- The answer of a worker that only the alternative chose counts as neutral. Reports on a worker
+  that the alternative did not choose are not counted in the alternative.
+- A repeated reply to a repeated request carries no states and is not compared.
+- Decisions that the router made from its last known state are not compared; their reports count.
+- If a worker's circuit and the capacity circuit of its failure domain are open at the same time,
+  the log has one wait for both. The replay uses it as the wait of the worker's circuit, so the
+  kind of a rejection may differ.
 """
 
 from collections import OrderedDict
@@ -51,22 +52,22 @@
 from orchidpath.wire.records import CircuitStatus
 
 TIMER_TOLERANCE_SECONDS = 0.001
-"""Waits that differ by less are the same: they were read at slightly different times."""
+"""Waits that differ by at most this count as equal: they were read at slightly different times."""
 
 
-MAX_REMEMBERED_ATTEMPTS = 65_536
-"""Attempts whose choice is remembered until their reports come."""
+MAX_RETAINED_ATTEMPTS = 65_536
+"""Maximum number of attempts whose choices are retained until their reports are replayed."""
 
 
 class ReplayPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """The figures that a replay runs under."""
+    """The circuit policy and the load bound factor of a replay."""
 
     circuit: CircuitPolicy
     load_bound_factor: float
 
 
 class DifferenceKind(StrEnum):
-    """In what way an outcome differs."""
+    """How a replayed outcome differs from the recorded one."""
 
     OTHER_WORKER = "other_worker"
     DENIED = "denied"
@@ -74,11 +75,11 @@
     OTHER_DENIAL = "other_denial"
     CIRCUIT = "circuit"
     UNEXPLAINED = "unexplained"
-    """The replay under the log's own policy did not come to the leader's decision."""
+    """The replay under the log's own policy did not reproduce the leader's decision."""
 
 
 class Difference(msgspec.Struct, frozen=True, kw_only=True):
-    """One outcome that differs: what the log says, and what the replay came to."""
+    """An outcome that differs: the recorded value and the replayed value."""
 
     line: int
     time: str
@@ -89,14 +90,14 @@
 
 
 class DamagedLine(msgspec.Struct, frozen=True, kw_only=True):
-    """A line that could not be read."""
+    """A line of the log that could not be decoded."""
 
     line: int
     problem: str
 
 
 class ReplayResult(msgspec.Struct, kw_only=True):
-    """What a replay found."""
+    """Counts, damaged lines and differences of a replay."""
 
     lines: int = 0
     decisions: int = 0
@@ -136,46 +137,46 @@
         except DamagedLineError as error:
             run.result.damaged.append(DamagedLine(line=number, problem=str(error)))
             continue
-        run.take(number, line)
+        run.apply_line(number, line)
     return run.result
 
 
 class _Replay:
-    """State of one run over a log."""
+    """State of the replay of one log."""
 
     def __init__(self, policy: ReplayPolicy | None) -> None:
         self.result = ReplayResult()
         self._policy = policy
         self._incarnation: str | None = None
-        self._shown: dict[str, tuple[CircuitStatus, CircuitStatus]] = {}
-        self._alternative_chose: OrderedDict[str, frozenset[str]] = OrderedDict()
-        first = ReplayPolicy(circuit=CircuitPolicy(), load_bound_factor=1.25)
-        self._start(first)
+        self._reported_circuits: dict[str, tuple[CircuitStatus, CircuitStatus]] = {}
+        self._alternative_choices: OrderedDict[str, frozenset[str]] = OrderedDict()
+        initial = ReplayPolicy(circuit=CircuitPolicy(), load_bound_factor=1.25)
+        self._reset_tables(initial)
 
-    def take(self, number: int, line: LogLine) -> None:
-        """Take the next line."""
+    def apply_line(self, number: int, line: LogLine) -> None:
+        """Apply the next line of the log to both replays."""
         match line:
             case PolicyLine():
                 self._apply_policy(line)
             case DecisionLine():
-                self._take_decision(number, line)
+                self._apply_decision(number, line)
             case ReportLine():
-                self._take_report(number, line)
+                self._apply_report(number, line)
             case DroppedLine():
                 self.result.dropped_lines += line.count
 
-    def _start(self, recorded: ReplayPolicy) -> None:
+    def _reset_tables(self, recorded: ReplayPolicy) -> None:
         alternative = self._policy or recorded
         self._reference = ReplayTable(recorded.circuit, recorded.load_bound_factor)
         self._alternative = ReplayTable(alternative.circuit, alternative.load_bound_factor)
-        self._shown.clear()
-        self._alternative_chose.clear()
+        self._reported_circuits.clear()
+        self._alternative_choices.clear()
 
     def _apply_policy(self, line: PolicyLine) -> None:
         if line.incarnation != self._incarnation:
-            # Another process, whose clock has nothing to do with that of the one before.
+            # The clocks of different router processes are unrelated, so the state so far is void.
             self._incarnation = line.incarnation
-            self._start(
+            self._reset_tables(
                 ReplayPolicy(circuit=line.circuit, load_bound_factor=line.load_bound_factor)
             )
             return
@@ -183,7 +184,7 @@
         if self._policy is None:
             self._alternative.set_policy(line.circuit, line.load_bound_factor)
 
-    def _take_decision(self, number: int, line: DecisionLine) -> None:
+    def _apply_decision(self, number: int, line: DecisionLine) -> None:
         self.result.decisions += 1
         if line.decided_by is DecidedBy.ROUTER:
             self.result.decided_by_router += 1
@@ -193,22 +194,22 @@
             return
         self.result.compared += 1
         for state in line.states:
-            self._take_over(state, line)
+            self._adopt_recorded_circuit(state, line)
         reference = self._reference.decide_line(line)
         if _outcome(reference) == _outcome(line):
             self.result.agreed += 1
         else:
-            self._add(number, line, DifferenceKind.UNEXPLAINED, reference)
+            self._add_difference(number, line, DifferenceKind.UNEXPLAINED, reference)
         if self._policy is None:
             return
         alternative = self._alternative.decide_line(line)
         self._record_choices(line, alternative)
-        kind = _kind(line, alternative)
+        kind = _difference_kind(line, alternative)
         if kind is not None:
-            self._add(number, line, kind, alternative)
+            self._add_difference(number, line, kind, alternative)
         self._compare_circuits(number, line, [state.worker_id for state in line.states])
 
-    def _take_report(self, number: int, line: ReportLine) -> None:
+    def _apply_report(self, number: int, line: ReportLine) -> None:
         self.result.reports += 1
         report = AttemptReport(
             request_id=line.request_id,
@@ -217,16 +218,16 @@
             effect=line.effect,
             probe_generation=line.probe_generation,
         )
-        self._count(self._reference, report, line.at_seconds)
+        self._count_report(self._reference, report, line.at_seconds)
         if self._policy is None:
             return
-        chosen = self._alternative_chose.get(line.attempt_id)
+        chosen = self._alternative_choices.get(line.attempt_id)
         if chosen is None or line.worker_id in chosen:
-            self._count(self._alternative, report, line.at_seconds)
+            self._count_report(self._alternative, report, line.at_seconds)
         self._compare_circuits(number, line, [line.worker_id])
 
-    def _count(self, table: ReplayTable, report: AttemptReport, now: float) -> None:
-        """Count a report under the replay's own fencing number of the probe."""
+    def _count_report(self, table: ReplayTable, report: AttemptReport, now: float) -> None:
+        """Count a report, fenced by the probe generation of this replay, not the recorded one."""
         record = table.record(report.worker_id)
         is_probe = record.probe_owner == report.attempt_id
         generation = record.generation if is_probe else None
@@ -234,12 +235,12 @@
         table.report_all((fenced,), now)
 
     def _record_choices(self, line: DecisionLine, reply: DecisionReply) -> None:
-        """Remember what the alternative chose; what the log has no answer of is neutral."""
+        """Store the alternative's choices; count those without a recorded answer as neutral."""
         chosen = frozenset(choice.worker_id for choice in reply.choices)
         recorded = {choice.worker_id for choice in line.choices}
-        self._alternative_chose[line.attempt_id] = chosen
-        if len(self._alternative_chose) > MAX_REMEMBERED_ATTEMPTS:
-            self._alternative_chose.popitem(last=False)
+        self._alternative_choices[line.attempt_id] = chosen
+        if len(self._alternative_choices) > MAX_RETAINED_ATTEMPTS:
+            self._alternative_choices.popitem(last=False)
         for choice in reply.choices:
             if choice.worker_id in recorded:
                 continue
@@ -249,39 +250,40 @@
                 worker_id=choice.worker_id,
                 effect=AttemptEffect.GATEWAY,
             )
-            self._count(self._alternative, report, line.at_seconds)
+            self._count_report(self._alternative, report, line.at_seconds)
 
-    def _take_over(self, state: CandidateState, line: DecisionLine) -> None:
-        """Make the reference's circuit what was recorded, and the alternative's if it is alike."""
+    def _adopt_recorded_circuit(self, state: CandidateState, line: DecisionLine) -> None:
+        """Set the reference's circuit as recorded, and the alternative's if it is the same."""
         now = line.at_seconds
         worker_id = state.worker_id
         status, wait_seconds = _recorded_circuit(state)
         if _is_probe_of_line(worker_id, line):
-            # Read after its probe was granted: before that it was open, its cooldown over.
+            # The state was read after the probe was granted. Before that, the circuit was open
+            # and its cooldown had elapsed.
             status, wait_seconds = CircuitStatus.COOLDOWN, 0.0
         own_wait_seconds = self._reference.wait_seconds(worker_id, now)
         is_same_wait = abs(own_wait_seconds - wait_seconds) <= TIMER_TOLERANCE_SECONDS
         if _same_status(self._reference.status(worker_id, now), status) and is_same_wait:
             return
         self.result.inherited += 1
-        is_alike = _is_alike(self._reference, self._alternative, worker_id, now)
-        self._reference.force(worker_id, status, wait_seconds, now)
-        if is_alike:
-            self._alternative.force(worker_id, status, wait_seconds, now)
+        is_same_circuit = _is_same_circuit(self._reference, self._alternative, worker_id, now)
+        self._reference.force_circuit(worker_id, status, wait_seconds, now)
+        if is_same_circuit:
+            self._alternative.force_circuit(worker_id, status, wait_seconds, now)
 
     def _compare_circuits(
         self, number: int, line: DecisionLine | ReportLine, worker_ids: Iterable[str]
     ) -> None:
-        """Show a circuit that has come to differ, once until it changes again."""
+        """Report a circuit whose status differs between the replays, once per pair of statuses."""
         for worker_id in worker_ids:
             recorded = self._reference.status(worker_id, line.at_seconds)
             replayed = self._alternative.status(worker_id, line.at_seconds)
             if recorded is replayed:
-                self._shown.pop(worker_id, None)
+                self._reported_circuits.pop(worker_id, None)
                 continue
-            if self._shown.get(worker_id) == (recorded, replayed):
+            if self._reported_circuits.get(worker_id) == (recorded, replayed):
                 continue
-            self._shown[worker_id] = (recorded, replayed)
+            self._reported_circuits[worker_id] = (recorded, replayed)
             difference = Difference(
                 line=number,
                 time=line.time,
@@ -292,7 +294,7 @@
             )
             self.result.differences.append(difference)
 
-    def _add(
+    def _add_difference(
         self,
         number: int,
         line: DecisionLine,
@@ -312,7 +314,7 @@
 
 
 def _recorded_circuit(state: CandidateState) -> tuple[CircuitStatus, float]:
-    """Return the circuit's part of a recorded state: its status and what is left of its timer."""
+    """Return the circuit status of a recorded state and the remaining wait in seconds."""
     status = _status_of(state.status)
     if status in {CircuitStatus.RATE_LIMITED, CircuitStatus.AVAILABLE}:
         return CircuitStatus.AVAILABLE, 0.0
@@ -323,17 +325,17 @@
     try:
         return CircuitStatus(text)
     except ValueError:
-        # A status of a later version: nothing is known of its circuit.
+        # The status was written by a later version, so the state of its circuit is unknown.
         return CircuitStatus.AVAILABLE
 
 
 def _same_status(own: CircuitStatus, recorded: CircuitStatus) -> bool:
-    # A cooldown that is over reads as half-open, whoever asks.
+    # An elapsed cooldown is reported as half-open, so the two statuses are equivalent here.
     return own is recorded or {own, recorded} == {CircuitStatus.COOLDOWN, CircuitStatus.HALF_OPEN}
 
 
 def _is_determined(line: DecisionLine) -> bool:
-    """Return whether the line holds the states of what was chosen."""
+    """Return whether the line holds the state of every chosen worker."""
     known = {state.worker_id for state in line.states}
     return all(choice.worker_id in known for choice in line.choices)
 
@@ -345,18 +347,22 @@
     )
 
 
-def _is_alike(one: ReplayTable, other: ReplayTable, worker_id: str, now: float) -> bool:
-    """Return whether a worker's circuit means the same in both replays."""
-    if one.status(worker_id, now) is not other.status(worker_id, now):
+def _is_same_circuit(
+    reference: ReplayTable, alternative: ReplayTable, worker_id: str, now: float
+) -> bool:
+    """Return whether a worker's circuit has the same status and wait in both replays."""
+    if reference.status(worker_id, now) is not alternative.status(worker_id, now):
         return False
-    difference_seconds = one.wait_seconds(worker_id, now) - other.wait_seconds(worker_id, now)
+    difference_seconds = reference.wait_seconds(worker_id, now) - alternative.wait_seconds(
+        worker_id, now
+    )
     return abs(difference_seconds) <= TIMER_TOLERANCE_SECONDS
 
 
-def _outcome(decided: DecisionLine | DecisionReply) -> str:
-    if decided.choices:
-        return " ".join(map(_choice_text, decided.choices))
-    return f"denied: {decided.rejection.value}"
+def _outcome(decision: DecisionLine | DecisionReply) -> str:
+    if decision.choices:
+        return " ".join(map(_choice_text, decision.choices))
+    return f"denied: {decision.rejection.value}"
 
 
 def _choice_text(choice: Choice) -> str:
@@ -364,13 +370,13 @@
     return f"{choice.stage.value}={choice.worker_id}{probe}"
 
 
-def _workers(decided: DecisionLine | DecisionReply) -> Iterator[str]:
-    return (f"{choice.stage.value}={choice.worker_id}" for choice in decided.choices)
+def _chosen_workers(decision: DecisionLine | DecisionReply) -> Iterator[str]:
+    return (f"{choice.stage.value}={choice.worker_id}" for choice in decision.choices)
 
 
-def _kind(line: DecisionLine, replayed: DecisionReply) -> DifferenceKind | None:
+def _difference_kind(line: DecisionLine, replayed: DecisionReply) -> DifferenceKind | None:
     if line.choices and replayed.choices:
-        is_same = list(_workers(line)) == list(_workers(replayed))
+        is_same = list(_chosen_workers(line)) == list(_chosen_workers(replayed))
         return None if is_same else DifferenceKind.OTHER_WORKER
     if line.choices:
         return DifferenceKind.DENIED
--- a/src/orchidpath/tools/journal.py
+++ b/src/orchidpath/tools/journal.py
@@ -1,4 +1,4 @@
-"""Reads the journal of measured runs: one JSON file a run, as the users' bench writes it."""
+"""Reads the journal of measured runs, in which the users' bench writes one JSON file per run."""
 
 from pathlib import Path
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class JournalPart(msgspec.Struct, frozen=True, array_like=True):
-    """One part of a day's worth: its weight, and its value between 0 and 1."""
+    """One part of a day's worth: its weight and its value between 0 and 1."""
 
     name: str
     weight: float
@@ -17,9 +17,9 @@
 
 
 class JournalPrice(msgspec.Struct, frozen=True, array_like=True):
-    """One price of a day: how much of it there was, and what it costs in worth.
+    """One price of a day: the amount used and its cost in worth.
 
-    Both are None where the day was not counted.
+    Both are None if the day was not counted.
     """
 
     name: str
@@ -28,24 +28,24 @@
 
 
 class JournalDay(msgspec.Struct, frozen=True, kw_only=True):
-    """One played day.
+    """One simulated day of a run.
 
     Attributes
     ----------
     name
         Name of the day.
     worth
-        Credit earned over credit owed, less prices.
+        Credit earned divided by credit owed, minus the costs of the prices.
     score
-        Where the worth lies between the day's marks, 0 to 1; None for a day without marks.
+        Position of the worth between the day's marks, 0 to 1; None for a day without marks.
     rules
-        Broken rules, with how often.
+        Broken rules by name, each with the number of times it was broken.
     parts
         Parts of the worth.
     prices
-        What is taken from it.
+        Prices whose costs are subtracted from the worth.
     by_class
-        Share of the worth that each kind of request earned; None where nothing is owed.
+        Share of the worth that each kind of request earned; None if nothing is owed for the kind.
     """
 
     name: str = ""
@@ -65,13 +65,13 @@
     id
         Random part of the file's name.
     at
-        When it began and ended, ISO 8601.
+        Start and end of the run, ISO 8601.
     command
-        What was run: ``score``, ``run``, ``hunt`` and others.
+        Command that was run, such as ``score``, ``run`` or ``hunt``.
     arguments
-        Its arguments.
+        Arguments of the command.
     why
-        What the run was for.
+        Purpose of the run.
     head
         Commit that was measured.
     dirty
@@ -79,11 +79,11 @@
     site
         Deployment; empty for a run that was interrupted.
     figures
-        Figures by name; ``gate`` is 1 where a deployment passed.
+        Figures by name; ``gate`` is 1 if the deployment passed.
     score
         Score of the deployment; None for other commands.
     days
-        The days that were played.
+        Simulated days of the run.
     """
 
     id: str
@@ -100,27 +100,27 @@
 
     @property
     def is_trial(self) -> bool:
-        """Whether the run was one of a scratch copy or of sources that were not committed."""
+        """Whether the run measured a scratch copy or uncommitted sources."""
         return self.dirty or self.why.startswith("trial")
 
     @property
     def has_passed(self) -> bool:
-        """Whether the deployment passed its gate."""
+        """Whether the deployment passed the gate."""
         return self.figures.get("gate", 0.0) >= 1.0
 
     @property
     def is_quick(self) -> bool:
-        """Whether only the light days were played."""
+        """Whether the run was limited to the light days."""
         return "--quick" in self.arguments
 
     @property
     def days_with_broken_rules(self) -> int:
-        """Days on which a rule was broken."""
+        """Number of days on which a rule was broken."""
         return sum(1 for day in self.days if day.rules)
 
 
 class DamagedJournalError(OrchidpathError):
-    """A file of the journal is no entry."""
+    """A file of the journal cannot be read or decoded as an entry."""
 
 
 def read_journal(folder: Path) -> list[JournalEntry]:
@@ -134,7 +134,7 @@
     Raises
     ------
     DamagedJournalError
-        A file cannot be read as an entry.
+        A file cannot be read or decoded as an entry.
     """
     decoder = msgspec.json.Decoder(JournalEntry)
     entries = []
--- a/src/orchidpath/tools/measuring.py
+++ b/src/orchidpath/tools/measuring.py
@@ -1,4 +1,4 @@
-"""Pure parts of the capacity measurements: straight lines through measured points, quantiles."""
+"""Line fits and quantiles of measured figures, for the capacity measurements; pure."""
 
 import math
 from collections.abc import Sequence
@@ -7,17 +7,17 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measured figure at one size."""
+    """A figure measured at one size."""
 
     size: float
     figure: float
 
 
 class LinearFit(msgspec.Struct, frozen=True, kw_only=True):
-    """A straight line through measured points.
+    """A straight line fitted to measured points.
 
-    ``residual`` is the root mean square of the distances to the line, in the figure's own unit;
-    ``relative_residual`` is that over the mean figure.
+    ``residual`` is the root mean square of the distances to the line, in the unit of the figure;
+    ``relative_residual`` is ``residual`` divided by the absolute mean figure.
     """
 
     slope: float
@@ -31,7 +31,7 @@
 
 
 class Quantiles(msgspec.Struct, frozen=True, kw_only=True):
-    """What is told of a set of measured figures."""
+    """Count, quantiles and maximum of a set of measured figures."""
 
     count: int
     p50: float
@@ -46,16 +46,17 @@
     Parameters
     ----------
     points
-        At least two, of at least two sizes.
+        At least two points, of at least two different sizes.
 
     Returns
     -------
     LinearFit
+        The line and its residuals.
 
     Raises
     ------
     ValueError
-        There are not two sizes.
+        The points do not have at least two different sizes.
     """
     if len({point.size for point in points}) < 2:
         raise ValueError("a line needs points of at least two sizes")
@@ -76,7 +77,7 @@
 
 
 def quantile(ordered: Sequence[float], share: float) -> float:
-    """Return the smallest figure that at least this share of the figures does not exceed.
+    """Return the smallest figure that at least the given share of the figures does not exceed.
 
     Parameters
     ----------
@@ -95,10 +96,10 @@
     Raises
     ------
     ValueError
-        There are none.
+        There are no figures.
     """
     if not figures:
-        raise ValueError("nothing was measured")
+        raise ValueError("no quantiles: nothing was measured")
     ordered = sorted(figures)
     return Quantiles(
         count=len(ordered),
--- a/src/orchidpath/tools/process_usage.py
+++ b/src/orchidpath/tools/process_usage.py
@@ -1,4 +1,4 @@
-"""Processor time and resident memory of a process, read from the system by process id."""
+"""Processor time and resident memory of a process, read from ``/proc`` by process id."""
 
 import os
 import time
@@ -14,7 +14,7 @@
 
 
 class ProcessUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """What a process has used so far, at one moment."""
+    """Processor time that a process has used, and its resident memory, at one time."""
 
     at_seconds: float
     cpu_seconds: float
@@ -26,16 +26,17 @@
 
 
 def parse_cpu_seconds(stat: str, ticks_per_second: float) -> float:
-    """Return user and system time out of the text of ``/proc/PID/stat``.
+    """Return the sum of user and system time in the text of ``/proc/PID/stat``.
 
-    The name of the process stands in parentheses and may hold anything, spaces included.
+    The name of the process is in parentheses and may contain any character, spaces and
+    parentheses included.
     """
     fields = stat.rpartition(")")[2].split()
     return (int(fields[_USER_TICKS_FIELD]) + int(fields[_SYSTEM_TICKS_FIELD])) / ticks_per_second
 
 
 def read_usage(process_id: int) -> ProcessUsage:
-    """Return what a process has used so far.
+    """Read the current usage of a process.
 
     Raises
     ------
--- a/src/orchidpath/tools/replay_table.py
+++ b/src/orchidpath/tools/replay_table.py
@@ -1,8 +1,8 @@
-"""A leader's circuits replayed from a decision log under a policy given; pure.
+"""A leader's circuits, replayed from a decision log under a given policy; pure.
 
-The rules are those of :class:`~orchidpath.circuit.circuit_table.CircuitTable`. What one
-router's log does not hold is taken as it was recorded: attempts in flight, waits of capacity
-circuits, and which candidates were eligible.
+The rules are those of :class:`~orchidpath.circuit.circuit_table.CircuitTable`. State that cannot
+be derived from the log of a single router is used as recorded: attempts in flight, waits of
+capacity circuits, and the eligibility of candidates.
 """
 
 import random
@@ -31,10 +31,10 @@
 
 
 class MiddleRandom(random.Random):
-    """Gives the middle of every range: jitter is not in the log."""
+    """Returns the middle of every range, because the log does not hold the jitter."""
 
     def uniform(self, a: float, b: float) -> float:
-        """Return the middle."""
+        """Return the middle of the range from ``a`` to ``b``."""
         return (a + b) / 2
 
 
@@ -48,7 +48,7 @@
     def read_stage_candidates(
         self, stage_candidates: StageCandidates, attempt_id: str, now: float
     ) -> StageCircuits:
-        """Read the candidates of one stage; one without a recorded state was not eligible."""
+        """Read the candidates of one stage; a candidate without recorded state is not eligible."""
         read = super().read_stage_candidates(stage_candidates, attempt_id, now)
         candidates = tuple(
             self._as_recorded(candidate)
@@ -68,12 +68,12 @@
 
 
 class ReplayTable(CircuitTable):
-    """Circuits of one replay, whose transitions are agreed at once.
+    """Circuits of one replay, whose transitions are applied immediately, without a Raft commit.
 
     Parameters
     ----------
     policy
-        Figures of the circuits.
+        Circuit policy of the replay.
     load_bound_factor
         Factor of the load bound.
     """
@@ -84,25 +84,25 @@
         self._counters = self._recorded
 
     def record(self, worker_id: str) -> CircuitRecord:
-        """Return a worker's circuit as agreed in this replay."""
+        """Return the current circuit record of a worker in this replay."""
         return self._counters.registry.circuit(worker_id).record
 
     def status(self, worker_id: str, now: float) -> CircuitStatus:
-        """Return a worker's circuit as operators would see it."""
+        """Return the circuit status of a worker, as shown to operators."""
         return self._counters.registry.circuit(worker_id).status(now)
 
     def wait_seconds(self, worker_id: str, now: float) -> float:
-        """Return the time until a worker may be tried, as far as its circuit goes."""
+        """Return the seconds until the worker's circuit allows an attempt."""
         return self._counters.registry.circuit(worker_id).wait_seconds(now)
 
-    def force(
+    def force_circuit(
         self,
         worker_id: str,
         status: CircuitStatus,
         duration_seconds: float,
         now: float,
     ) -> None:
-        """Take over a transition that the log's own reports do not explain."""
+        """Set a circuit to a recorded status that the reports in the log do not explain."""
         before = self.record(worker_id)
         record = msgspec.structs.replace(
             initial_circuit(worker_id),
@@ -114,17 +114,17 @@
         self.apply_circuit(record, now)
 
     def decide_line(self, line: DecisionLine) -> DecisionReply:
-        """Decide a recorded attempt on the recorded candidates.
+        """Decide a recorded attempt from the recorded states of its candidates.
 
         Parameters
         ----------
         line
-            The recorded decision.
+            Recorded decision.
 
         Returns
         -------
         DecisionReply
-            What this replay decides.
+            Decision of this replay.
         """
         self._recorded.recorded = {state.worker_id: state for state in line.states}
         request = DecisionRequest(
@@ -138,14 +138,14 @@
             decided = self.decide(request, line.at_seconds)
             if isinstance(decided, Decided):
                 return decided.reply
-            # Each transition grants or returns a probe, so that the loop ends.
-            self._agree(decided.transition, line.at_seconds)
+            # Each transition grants or returns a probe, so the loop terminates.
+            self._apply_transition(decided.transition, line.at_seconds)
 
     def report_all(self, reports: Sequence[AttemptReport], now: float) -> None:
-        """Count reports and agree on what they cause."""
+        """Count reports and apply the transitions that they cause."""
         for transition in self.report(reports, now):
-            self._agree(transition, now)
+            self._apply_transition(transition, now)
 
-    def _agree(self, transition: CircuitTransition, now: float) -> None:
+    def _apply_transition(self, transition: CircuitTransition, now: float) -> None:
         record = apply_circuit_transition(self.record(transition.worker_id), transition)
         self.apply_circuit(record, now)
--- a/src/orchidpath/tools/synthetic_fleet.py
+++ b/src/orchidpath/tools/synthetic_fleet.py
@@ -1,10 +1,10 @@
-"""Synthetic routers, workers and callers: the real control protocol without anything behind it.
+"""Synthetic routers, workers and callers, which use the real control protocol to load control.
 
-Hundreds share a process. A synthetic router is the real
-:class:`~orchidpath.router.fleet_link.control_link.ControlLink` without an HTTP edge; synthetic
-workers are announced through it as often as real ones; synthetic callers ask for decisions and
-report how the attempts ended, open loop. Against real control processes that shows what
-control costs at sizes for which one machine has no room (docs/CAPACITY.md).
+Hundreds of them run in one process. A synthetic router is the real
+:class:`~orchidpath.router.fleet_link.control_link.ControlLink` without an HTTP edge. Synthetic
+workers are announced through it as often as real ones. Synthetic callers request decisions and
+report the outcomes of the attempts, open loop. Run against real control processes, they measure
+the cost of control for fleets too large to run on one machine (docs/CAPACITY.md).
 """
 
 import asyncio
@@ -32,10 +32,10 @@
 from orchidpath.wire.records import FleetView, RouterRecord, Stage, WorkerRecord
 
 ANNOUNCE_TURN_SECONDS = 0.01
-"""Synthetic workers that are due are announced this often."""
+"""Interval at which the synthetic workers that are due are announced."""
 
 CALLER_TURN_SECONDS = 0.005
-"""Synthetic callers that are due are sent this often."""
+"""Interval at which the decision requests that are due are sent."""
 
 DECISION_TIMEOUT_SECONDS = 0.25
 """The default of the routers' ``decision_timeout_seconds``."""
@@ -43,28 +43,29 @@
 READY_POLL_SECONDS = 0.1
 
 ROUTER_GROUP = 20
-"""Routers that are started together unless all are."""
+"""Number of routers that are started together, unless all start at once."""
 
 WORKER_GROUP = 20
-"""Workers that are started together unless all are."""
+"""Number of workers that are started together, unless all start at once."""
 
 Condition = Callable[[], bool]
-"""Is looked at again and again until it holds."""
+"""Condition that is polled until it holds."""
 
 MODEL = "hollow"
 SERVICE = "hollow"
 
 
 class SyntheticFleetNotReadyError(OrchidpathError):
-    """Not every synthetic router holds a lease in time."""
+    """The synthetic fleet did not reach the required state in time."""
 
 
 class SyntheticSize(msgspec.Struct, frozen=True, kw_only=True):
     """Largest size of a synthetic fleet.
 
-    ``candidates`` is how many workers each stage of a decision names; ``attempt_seconds`` how long
-    an attempt counts as running before it is reported. With ``at_once`` everything starts together;
-    otherwise in groups, each when the one before is in service.
+    ``candidates`` is the number of candidate workers for each stage of a decision.
+    ``attempt_seconds`` is the time between the decision on an attempt and the report of its end.
+    With ``at_once`` all routers, and then all workers, start together; otherwise they start in
+    groups, each after the previous group is in service.
     """
 
     routers: int
@@ -77,14 +78,14 @@
 
 
 class Adoption(msgspec.Struct, frozen=True):
-    """When a router adopted a configuration version."""
+    """Time at which a router adopted a configuration version."""
 
     version: int
     at: float
 
 
 class SyntheticListener(FleetListener):
-    """Notes what a link learns, with its time."""
+    """Records when a link adopts configuration versions and reports counters to new leaders."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -97,15 +98,15 @@
             self.adoptions.append(Adoption(view.configuration_version, self._clock()))
 
     def circuits_received(self, circuits: CircuitsView) -> None:
-        """Do nothing."""
+        """Ignore the circuits, which a synthetic router does not use."""
 
     def counter_report(self, term: int, unacknowledged: tuple[AttemptReport, ...]) -> CounterReport:
-        """Note when a new leader was first heard and report no counters."""
+        """Record the time of contact with the leader of this term; report no counters."""
         self.leader_contact_at[term] = self._clock()
         return CounterReport(term=term, in_flight=(), tallies=())
 
     def adopted_at(self, version: int) -> float | None:
-        """Return when this version, or the first one above it, was adopted; None if not yet."""
+        """Return when this version or the first later one was adopted; None if not yet."""
         for adoption in self.adoptions:
             if adoption.version >= version:
                 return adoption.at
@@ -113,18 +114,18 @@
 
 
 class SyntheticRouter:
-    """One synthetic router.
+    """Synthetic router: a control link without an HTTP edge.
 
     Parameters
     ----------
     number
-        Number in the fleet.
+        Number of the router in the fleet.
     fleet
         Name of the fleet.
     zone
-        Its zone.
+        Zone of the router.
     address
-        Wire address to listen at.
+        Wire address to listen on.
     seeds
         Wire addresses of the control processes.
     clock
@@ -151,7 +152,7 @@
 
 
 class DecisionCounts(msgspec.Struct):
-    """How the synthetic callers' decisions went."""
+    """Outcomes of the synthetic callers' decision requests, and the latency of each in seconds."""
 
     sent: int = 0
     chosen: int = 0
@@ -166,11 +167,11 @@
     Parameters
     ----------
     size
-        How many.
+        Number and properties of the routers, workers and decisions.
     fleet
         Name of the fleet.
     addresses
-        A wire address for each router.
+        Wire address of each router.
     seeds
         Wire addresses of control processes.
     clock
@@ -207,14 +208,14 @@
         Parameters
         ----------
         routers, workers
-            How many there are to be afterwards, of those that the size names.
+            Total numbers to have running afterwards, at most those of the size.
         timeout_seconds
-            Bound on each group that is started.
+            Longest wait for each group.
 
         Raises
         ------
         SyntheticFleetNotReadyError
-            A group did not come into service in time.
+            A group did not enter service in time.
         """
         router_group = len(self.routers) if self._size.at_once else ROUTER_GROUP
         worker_group = len(self.workers) if self._size.at_once else WORKER_GROUP
@@ -227,10 +228,14 @@
             self._announcements = asyncio.create_task(self._announce_forever())
         while self._announcing < workers:
             await self._announce_first(min(workers, self._announcing + worker_group))
-            await self._wait(self._all_workers_known, timeout_seconds, "not every worker is known")
+            await self._wait(
+                self._all_workers_visible,
+                timeout_seconds,
+                "not every router's view holds all announced workers",
+            )
 
     async def call(self, decisions_per_second: float) -> None:
-        """Ask for so many decisions a second from now on, open loop."""
+        """Start to request decisions at this rate, open loop, in place of any previous rate."""
         if self._caller is not None:
             self._caller.cancel()
             await asyncio.wait([self._caller])
@@ -238,7 +243,7 @@
         self._caller = asyncio.create_task(self._call_forever(decisions_per_second))
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop the callers, the announcements and the routers."""
         tasks = [task for task in (self._announcements, self._caller) if task is not None]
         tasks += self._calls
         for task in tasks:
@@ -247,20 +252,34 @@
         await asyncio.gather(*(router.link.stop() for router in self.started()))
 
     def started(self) -> list[SyntheticRouter]:
-        """Return the routers that were started."""
+        """Return the routers that have been started."""
         return self.routers[: self._started]
 
     async def wait_until_fresh(self, timeout_seconds: float) -> None:
-        """Wait until every router holds a lease; see :meth:`start`."""
+        """Wait until every started router holds a lease.
+
+        Raises
+        ------
+        SyntheticFleetNotReadyError
+            A router did not get a lease in time.
+        """
         await self._wait(self._all_fresh, timeout_seconds, "not every router holds a lease")
 
     async def wait_until_adopted(self, version: int, timeout_seconds: float) -> None:
-        """Wait until every router applies a configuration version; see :meth:`start`."""
+        """Wait until every started router has adopted this configuration version or a later one.
+
+        Raises
+        ------
+        SyntheticFleetNotReadyError
+            A router did not adopt the version in time.
+        """
 
         def adopted() -> bool:
             return all(router.listener.adopted_at(version) for router in self.started())
 
-        await self._wait(adopted, timeout_seconds, f"not every router obeys version {version}")
+        await self._wait(
+            adopted, timeout_seconds, f"not every router adopted configuration version {version}"
+        )
 
     async def _wait(self, condition: Condition, timeout_seconds: float, failure: str) -> None:
         deadline = self._clock() + timeout_seconds
@@ -273,7 +292,7 @@
         now = self._clock()
         return all(router.link.is_fresh(now) for router in self.started())
 
-    def _all_workers_known(self) -> bool:
+    def _all_workers_visible(self) -> bool:
         views = [router.link.view() for router in self.started()]
         return all(view and len(view.workers) >= self._announcing for view in views)
 
@@ -287,13 +306,14 @@
         await self.routers[index % self._started].link.announce(announcement)
 
     async def _announce_forever(self) -> None:
-        """Announce each worker once in its period, spread evenly over it."""
+        """Announce each worker once per announcement period, spread evenly over the period."""
         started_at = self._clock()
         sent = 0
         while True:
             elapsed = self._clock() - started_at
             due = int(elapsed / ANNOUNCE_PERIOD_SECONDS * len(self.workers))
-            # A process that was held up for long does not send what is overdue many times over.
+            # After a long stall of this process, each worker is announced at most once instead
+            # of once for every period that was missed.
             sent = max(sent, due - len(self.workers))
             for turn in range(sent, due):
                 sequence, index = divmod(turn, len(self.workers))
@@ -303,7 +323,7 @@
             await asyncio.sleep(ANNOUNCE_TURN_SECONDS)
 
     async def _call_forever(self, decisions_per_second: float) -> None:
-        """Send decisions open loop: what is due is sent, however slow the answers are."""
+        """Send decision requests open loop: the rate does not depend on the answers' latency."""
         started_at = self._clock()
         sent = 0
         while True:
@@ -354,7 +374,7 @@
 def _sample(
     random: random_module.Random, workers: Sequence[WorkerRecord], stage: Stage, count: int
 ) -> tuple[str, ...]:
-    """Return so many consecutive workers of a stage, beginning anywhere."""
+    """Return ``count`` consecutive workers of a stage, from a random start, or all if fewer."""
     start = random.randrange(len(workers))
     found: list[str] = []
     for offset in range(len(workers)):
@@ -367,7 +387,7 @@
 
 
 def worker_record(number: int, size: SyntheticSize) -> WorkerRecord:
-    """Return a synthetic worker's record, with fields as long as a real one's."""
+    """Return the record of a synthetic worker, with fields as long as those of a real worker."""
     return WorkerRecord(
         worker_id=f"hollow-worker-{number:03d}",
         incarnation=f"{number:016x}",
--- a/src/orchidpath/tools/traffic_count.py
+++ b/src/orchidpath/tools/traffic_count.py
@@ -1,7 +1,7 @@
-"""Counts the bytes and messages of every connection of this process, for measurements.
+"""Counts the bytes and messages of all connections of this process, for measurements.
 
-The counting wraps the methods of :class:`~orchidpath.wire.connection.Connection`, so that the code
-that is measured stays as it is.
+The counter wraps methods of :class:`~orchidpath.wire.connection.Connection`, so that the measured
+code contains no counting of its own.
 """
 
 from collections import Counter
@@ -15,7 +15,7 @@
 
 
 class TrafficCount(msgspec.Struct):
-    """Bytes and messages of all connections since the counting began."""
+    """Bytes and messages of all connections since the start of the count."""
 
     bytes_sent: int = 0
     bytes_received: int = 0
@@ -24,7 +24,7 @@
     received_by_kind: Counter[str] = msgspec.field(default_factory=Counter)
 
     def copy(self) -> "TrafficCount":
-        """Return the counts as they are now."""
+        """Return a copy of the current counts."""
         return TrafficCount(
             self.bytes_sent,
             self.bytes_received,
@@ -36,7 +36,7 @@
 
 @contextmanager
 def count_traffic() -> Iterator[TrafficCount]:
-    """Count until the context ends; only one count at a time."""
+    """Count traffic until the context ends; only one count may run at a time."""
     count = TrafficCount()
     enqueue = Connection._enqueue
     data_received = Connection.data_received
--- a/src/orchidpath/tools/worth_losses.py
+++ b/src/orchidpath/tools/worth_losses.py
@@ -1,18 +1,18 @@
-"""Where the days of a measured run lose their worth, as a table."""
+"""Table of the losses of worth on each day of a measured run, by reason."""
 
 from collections.abc import Sequence
 
 from orchidpath.tools.journal import JournalDay, JournalEntry
 
 LEAST_SHOWN = 0.0005
-"""A reason that costs less on every day is left out."""
+"""Smallest cost in worth that is shown; a reason below this on every day is omitted."""
 
 
 def loss_by_reason(day: JournalDay) -> dict[str, float]:
-    """Return what each part and each price costs a day, in worth.
+    """Return the cost in worth of each part and each price of a day, by name.
 
-    A part costs its weight times what it lacks of 1; together with the prices that is all that the
-    day's worth lacks of 1.
+    A part costs its weight times the difference of its value from 1. The costs of all parts and
+    prices add up to the difference of the day's worth from 1.
     """
     losses = {
         part.name: part.weight * (1.0 - part.value) for part in day.parts if part.value is not None
@@ -23,16 +23,16 @@
 
 
 def loss_table(entry: JournalEntry) -> list[str]:
-    """Return the lines of a table: a row a reason, a column a day, the dearest reason first."""
+    """Return the lines of a table: a row per reason, most costly first, and a column per day."""
     days = [day for day in entry.days if day.worth is not None]
     losses = [loss_by_reason(day) for day in days]
     reasons = sorted(
-        {reason for one in losses for reason in one},
-        key=lambda reason: -sum(one.get(reason, 0.0) for one in losses),
+        {reason for day_losses in losses for reason in day_losses},
+        key=lambda reason: -sum(day_losses.get(reason, 0.0) for day_losses in losses),
     )
     rows = [_row("worth", [day.worth or 0.0 for day in days])]
     for reason in reasons:
-        costs = [one.get(reason, 0.0) for one in losses]
+        costs = [day_losses.get(reason, 0.0) for day_losses in losses]
         if max(costs, default=0.0) >= LEAST_SHOWN:
             rows.append(_row(reason, costs))
     for position in range(max((len(day.by_class) for day in days), default=0)):
--- a/tests/tools/test_decision_replay.py
+++ b/tests/tools/test_decision_replay.py
@@ -1,4 +1,7 @@
-"""Replay of logs written with the leader's table; a second router's attempts are not logged."""
+"""Replay of logs written with the leader's circuit table.
+
+The attempts of a second router reach the leader but are not in the log.
+"""
 
 import random
 
@@ -34,7 +37,7 @@
 
 
 class LoggedLeader:
-    """A leader whose transitions are committed at once, and the log of one of its routers."""
+    """A leader that commits transitions immediately, and the decision log of one router."""
 
     def __init__(self, policy: CircuitPolicy = POLICY, seed: int = 0) -> None:
         self.table = CircuitTable(policy, random.Random(seed), load_bound_factor=LOAD_BOUND)
@@ -56,7 +59,7 @@
         order: tuple[str, ...] = WORKERS,
         log: bool = True,
     ) -> str:
-        """Run one attempt; return the worker that it was sent to."""
+        """Run one attempt; return the id of the chosen worker, or an empty string if rejected."""
         self.count += 1
         attempt_id = f"a{self.count}"
         request = DecisionRequest(
@@ -80,11 +83,11 @@
             if log:
                 self.lines.append(report_line(report, now))
             for transition in self.table.report([report], now):
-                self._agree(transition, now)
+                self._apply_transition(transition, now)
         return reply.choices[0].worker_id if reply.choices else ""
 
     def hold(self, worker_id: str, now: float) -> None:
-        """Begin an attempt of another router on a worker, without an end."""
+        """Start an attempt of another router on a worker and leave it in flight."""
         self.count += 1
         request = DecisionRequest(
             correlation=0,
@@ -100,9 +103,9 @@
             decided = self.table.decide(request, now)
             if isinstance(decided, Decided):
                 return decided.reply
-            self._agree(decided.transition, now)
+            self._apply_transition(decided.transition, now)
 
-    def _agree(self, transition, now: float) -> None:  # type: ignore[no-untyped-def]
+    def _apply_transition(self, transition, now: float) -> None:  # type: ignore[no-untyped-def]
         record = apply_circuit_transition(self.circuits.get(transition.worker_id), transition)
         self.circuits[transition.worker_id] = record
         self.table.apply_circuit(record, now)
@@ -224,7 +227,7 @@
     result = leader.replay(CircuitPolicy(cooldown_seconds=1.0))
     allowed = [each for each in result.differences if each.kind is DifferenceKind.ALLOWED]
     assert [each.replayed for each in allowed] == ["plain=s1 (probe)"]
-    # Opened at 2.0: at 5.0 a cooldown of 8 s runs as one of 10 s does.
+    # The circuit opened at 2.0 s, so cooldowns of 8 s and of 10 s are both running at 5.0 s.
     assert leader.replay(CircuitPolicy(cooldown_seconds=8.0)).differences == []
 
 
@@ -250,12 +253,13 @@
 def test_a_transition_by_others_leaves_a_circuit_alone_that_has_its_own_history() -> None:
     leader = LoggedLeader()
     fail_then_succeed(leader, failures=3)
-    # Another router's probe fails; with more allowed failures s1 had never been opened.
+    # A probe of another router fails. With more allowed failures, the circuit of s1 had never
+    # opened.
     leader.attempt(AttemptEffect.TRANSIENT, 12.5, order=("s1",), log=False)
     assert leader.attempt(AttemptEffect.SUCCESS, 13.0) == "s2"
     result = leader.replay(CircuitPolicy(allowed_fails=9))
     assert result.inherited == 1
-    # Five before that probe and the one after it.
+    # Five attempts before that probe and one attempt after it go to another worker.
     assert kinds(result).count(DifferenceKind.OTHER_WORKER) == 6
     assert result.differences[-1].replayed == "plain=s1"
 
--- a/tests/tools/test_settings_reference.py
+++ b/tests/tools/test_settings_reference.py
@@ -16,17 +16,17 @@
 PAGE = Path(__file__).parents[2] / "docs" / "settings-reference.md"
 
 
-class Half(msgspec.Struct):
-    """Has a field without a meaning.
+class PartlyDescribedSettings(msgspec.Struct):
+    """Settings with a field that the docstring does not describe.
 
     Attributes
     ----------
-    told
-        It is told.
+    with_meaning
+        Meaning of the field.
     """
 
-    told: int = 0
-    untold: int = 0
+    with_meaning: int = 0
+    without_meaning: int = 0
 
 
 def test_the_page_is_current() -> None:
@@ -47,6 +47,6 @@
 
 
 def test_a_field_without_a_meaning_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(reference, "_SECTIONS", (("Half", Half),))
-    with pytest.raises(UndocumentedSettingError, match="untold"):
+    monkeypatch.setattr(reference, "_SECTIONS", (("Half", PartlyDescribedSettings),))
+    with pytest.raises(UndocumentedSettingError, match="without_meaning"):
         settings_reference()
