--- a/tests/cli/test_cli_bad_input.py
+++ b/tests/cli/test_cli_bad_input.py
@@ -1,4 +1,4 @@
-"""Every command: --help, and bad input, which is one clear line on stderr and exit code 2."""
+"""Every command: ``--help``, and invalid input, which gives one line on stderr and exit code 2."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -13,7 +13,7 @@
 def all_commands(
     group: click.Group, path: tuple[str, ...] = ()
 ) -> Iterator[tuple[tuple[str, ...], click.Command]]:
-    """Yield every command and group with its words on the command line."""
+    """Yield every command and group with the words that call it on the command line."""
     context = click.Context(group)
     for name in group.list_commands(context):
         command = group.get_command(context, name)
@@ -32,7 +32,7 @@
 
 
 def assert_refused(result: Result, *mentioned: str) -> None:
-    """Check for exit code 2 and one line with the error, besides a usage hint."""
+    """Check for exit code 2 and one error line, apart from usage hints, with the given texts."""
     assert result.exit_code == 2, (result.exit_code, result.output, result.exception)
     assert result.exception is None or isinstance(result.exception, SystemExit)
     assert "Traceback" not in result.output
--- a/tests/cli/test_cli_config.py
+++ b/tests/cli/test_cli_config.py
@@ -16,7 +16,7 @@
 
 
 class FakeControl:
-    """Answers with a scripted reply or aborts the connection; records the updates."""
+    """Fake control process that gives a scripted reply or aborts, and records the updates."""
 
     def __init__(self) -> None:
         self.status = 200
@@ -109,7 +109,7 @@
     controls[1].body = {"order_id": "order-1", "version": 5, "confirmed": True}
     result = await put(tmp_path, unused_url(), controls[0].url, controls[1].url)
     assert result.exit_code == 0, result.output
-    # The HTTP client may repeat an idempotent request by itself, so the first may see it twice.
+    # The HTTP client may retry an idempotent request, so the first process may receive it twice.
     (update,) = controls[1].updates
     assert update["order_id"] == "order-1"
     assert controls[0].updates
--- a/tests/cli/test_cli_plan.py
+++ b/tests/cli/test_cli_plan.py
@@ -48,7 +48,7 @@
 
 
 class FakeControl:
-    """Answers with a scripted reply and records the plan actions."""
+    """Fake control process that gives a scripted reply and records the plan actions."""
 
     def __init__(self) -> None:
         self.status = 200
--- a/tests/cli/test_cli_replay.py
+++ b/tests/cli/test_cli_replay.py
@@ -31,7 +31,7 @@
 
 
 def attempt(number: int) -> list[LogLine]:
-    """One attempt on s1, the first of two candidates, that fails."""
+    """Return the lines of a failed attempt on s1, the first of two candidates."""
     states = tuple(
         CandidateState(worker_id=name, status="available", health=0.5, in_flight=0)
         for name in ("s1", "s2")
--- a/tests/tools/build_packages.py
+++ b/tests/tools/build_packages.py
@@ -1,4 +1,4 @@
-"""Debian packages that the build and the run lines of `deploy/` need, derived from their text."""
+"""Derives the Debian packages that the build and the run lines of `deploy/` need."""
 
 import re
 import shlex
@@ -16,17 +16,17 @@
     "cp": "coreutils",
     "cmp": "diffutils",
 }
-"""Programs of packages that every Debian system has (`Essential: yes`)."""
+"""Package of each program that every Debian system has (`Essential: yes`)."""
 
 PROGRAM_PACKAGES = {"python3": ("python3",)}
-"""Packages that provide a program which is not essential."""
+"""Packages that each program needs which is not essential."""
 
 PYTHON_MODULE_PACKAGES = {
     "pip": ("python3-pip", "ca-certificates"),
     "venv": ("python3-venv",),
     "compileall": ("python3",),
 }
-"""Packages that `python3 -m NAME` needs; pip fetches over TLS, so it needs certificates."""
+"""Packages that `python3 -m NAME` needs; pip downloads over TLS, so it needs certificates."""
 
 KNOWN_PACKAGES = frozenset(
     package
@@ -77,7 +77,7 @@
 
 
 def _without_builtins(words: list[str]) -> list[str]:
-    """Drop leading keywords; a test in brackets and `set` are the shell's own."""
+    """Return a command without leading keywords; empty for a builtin, such as `[` or `set`."""
     while words and words[0] in {"if", "then", "!", "exec"}:
         words = words[1:]
     return [] if words and words[0] in SHELL_BUILTINS else words
@@ -89,7 +89,7 @@
     Raises
     ------
     UnknownProgramError
-        No known package brings its program or module.
+        No known package provides the command's program or module.
     """
     program = command[0]
     if program in ESSENTIAL_PROGRAMS:
@@ -108,12 +108,12 @@
 
 
 def check_packages(deploy: DeployFile, build_script: str) -> set[str]:
-    """Return the packages that are needed and not listed.
+    """Return the packages that are needed but not listed.
 
     Raises
     ------
     UnknownPackageError
-        A listed package is none of the known ones.
+        A listed package is not a known package.
     """
     for package in deploy.packages:
         if package not in KNOWN_PACKAGES:
--- a/tests/tools/operations_page.py
+++ b/tests/tools/operations_page.py
@@ -1,4 +1,4 @@
-"""Log events, metrics and commands, in the code and on the page `docs/operations.md`."""
+"""Reads log events, metrics and commands from the code and from `docs/operations.md`."""
 
 import ast
 import re
@@ -32,48 +32,48 @@
 OTHER_LOGGING_METHODS = frozenset({"log", "msg", "warn", "fatal", "err", "failure"}) | {
     f"a{method}" for method in LEVEL_BY_METHOD
 }
-"""Methods that would write a line as well; the source uses none of them."""
+"""Other methods that write a log line; the source must not use them."""
 
 NAMESPACE = "orchidpath"
 SUFFIX_BY_METHOD = {"counter": "_total", "gauge": "", "latency": ""}
-"""What the exposition adds to a metric's name, by the method of `Metrics` that makes it."""
+"""Suffix that the exposition adds to a metric's name, by the `Metrics` method that creates it."""
 
 
 class UnreadableEventError(Exception):
-    """A line is logged whose event or level can't be read from the source."""
+    """The event or level of a log call cannot be determined from the source."""
 
 
 class UnreadableMetricError(Exception):
-    """A metric is made whose name can't be read from the source."""
+    """The name of a metric cannot be determined from the source."""
 
 
 class MissingSectionError(Exception):
-    """The page has no section of this heading."""
+    """The page has no section with this heading."""
 
 
 class LogEvent(NamedTuple):
-    """One event at one level."""
+    """A log event and the level at which it is logged."""
 
     name: str
     level: str
 
 
 class PageRow(NamedTuple):
-    """One row of a table: what its first cell names, and the other cells."""
+    """One row of a table: the names in its first cell, and the text of the other cells."""
 
     names: tuple[str, ...]
     cells: tuple[str, ...]
 
 
 class Differences(NamedTuple):
-    """What the code has and the page lacks, and the reverse."""
+    """Names of the code without a row on the page, and rows without a name in the code."""
 
     missing_rows: frozenset[str]
     surplus_rows: frozenset[str]
 
 
 def source_trees() -> Iterator[ast.Module]:
-    """Return the syntax trees of every module of `src/` and `platform/`."""
+    """Yield the syntax tree of each module of `src/` and `platform/`."""
     for folder in SOURCE_FOLDERS:
         for path in sorted((ROOT / folder).rglob("*.py")):
             yield ast.parse(path.read_text(), filename=str(path))
@@ -85,7 +85,7 @@
     Raises
     ------
     UnreadableEventError
-        An event is not a literal, or a method is used whose level isn't known here.
+        An event is not a literal, or the level of a logging method is not known here.
     """
     return {
         _log_event(call, method)
@@ -95,7 +95,7 @@
 
 
 def metric_names(trees: Iterable[ast.Module]) -> set[str]:
-    """Return every metric that the modules make, by the name that `/metrics` shows.
+    """Return every metric that the modules create, by the name that `/metrics` shows.
 
     Raises
     ------
@@ -146,20 +146,20 @@
 
 
 def compare(in_code: Iterable[str], rows: Iterable[PageRow]) -> Differences:
-    """Return which names of the code have no row, and which rows have no name in the code."""
+    """Return the names of the code that have no row, and the rows without a name in the code."""
     on_page = frozenset(name for row in rows for name in row.names)
     code = frozenset(in_code)
     return Differences(missing_rows=code - on_page, surplus_rows=on_page - code)
 
 
 def page_commands(page: str) -> set[tuple[str, ...]]:
-    """Return the words of each command of `orchidpath` that the page names, with what follows."""
+    """Return each `orchidpath` command on the page as its words, arguments included."""
     found = re.findall(r"(?:`|^ *|/)orchidpath((?: [^\s`|]+)+)", page, re.MULTILINE)
     return {tuple(words.split()) for words in found}
 
 
 def unknown_words(root: click.Group, words: Iterable[str]) -> list[str]:
-    """Return the words that name no command, and the options that the command doesn't have."""
+    """Return the words that are not commands, and the options that the command does not have."""
     command: click.Command = root
     context = click.Context(root)
     unknown = []
--- a/tests/tools/page_references.py
+++ b/tests/tools/page_references.py
@@ -1,8 +1,8 @@
-"""What the pages name: links, paths and code identifiers, and whether each exists.
+"""Finds links, paths and code identifiers in the pages that refer to nothing.
 
-A page is Markdown. In its text every relative link must resolve; in its code (spans in backticks
-and fenced blocks) every path of the repository must exist, and every span that looks like an
-identifier of this project must be defined in its code.
+The pages are Markdown. Every relative link in the text must resolve. In code (spans in backticks
+and fenced blocks), every path of the repository must exist, and every span that looks like an
+identifier of this project must be defined in the project's code.
 """
 
 import ast
@@ -44,7 +44,7 @@
     ".venv/": "made by `make setup`, not kept in the repository",
     "KNOWN-RED.txt": "exists only while a test is red for a known fault",
 }
-"""Paths that a page may name though the repository does not hold them, by prefix."""
+"""Prefixes of paths that a page may name although they are not in the repository, with reasons."""
 
 FOREIGN_NAMES: Mapping[str, str] = {
     "Allow": "HTTP header",
@@ -52,14 +52,14 @@
     "_seconds": "suffix of names, not a name",
     "_bytes": "suffix of names, not a name",
 }
-"""Words of the form of an identifier that are none of this project's."""
+"""Words that look like identifiers but are not identifiers of this project, with reasons."""
 
 LANGUAGE_NAMES = frozenset(dir(builtins)) | frozenset(dir(signal)) | frozenset(HTTPMethod)
 """Built-in names, signals and HTTP methods."""
 
 
 class UnresolvedReference(NamedTuple):
-    """A reference of a page to something that does not exist."""
+    """A reference on a page to something that does not exist."""
 
     page: str
     kind: str
@@ -67,14 +67,14 @@
 
 
 class CodeNames(NamedTuple):
-    """What the project's code defines.
+    """Names that the project's code defines.
 
     Attributes
     ----------
     names
         Classes, functions, methods, enum members, fields and assigned names.
     members
-        For each class the names in its body, with those of its bases by name.
+        Names in the body of each class and of its bases; classes are identified by name only.
     """
 
     names: frozenset[str]
@@ -82,7 +82,7 @@
 
 
 def pages() -> list[Path]:
-    """Return every page of the project, in a stable order."""
+    """Return the paths of all pages of the project, in a stable order."""
     return [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").rglob("*.md"))]
 
 
@@ -111,21 +111,21 @@
 
 @cache
 def former_names() -> frozenset[str]:
-    """Return the first column of the glossary's table of former names, span by span."""
+    """Return the code spans in the first column of the glossary's table of former names."""
     table = GLOSSARY.read_text().partition("## Former names")[2]
     rows = (line.split("|") for line in table.splitlines() if line.startswith("|"))
     return frozenset(span for row in rows for span in _SPAN.findall(row[1]))
 
 
 def unresolved(page: Path, text: str | None = None) -> list[UnresolvedReference]:
-    """Return what a page names and does not exist.
+    """Return the references of a page to things that do not exist.
 
     Parameters
     ----------
     page
-        The page; links are relative to its folder.
+        Path of the page; links are relative to its folder.
     text
-        Its text; read from the page when not given.
+        Text of the page; read from ``page`` if not given.
     """
     text = page.read_text() if text is None else text
     name = str(page.relative_to(ROOT))
@@ -143,7 +143,7 @@
 
 
 def code_spans(text: str) -> set[str]:
-    """Return the spans in backticks of a page's text, without those of its fenced blocks."""
+    """Return the spans in backticks of a page's text, excluding its fenced blocks."""
     return set(_SPAN.findall(_FENCE.sub("", text)))
 
 
@@ -257,7 +257,7 @@
 
 @cache
 def guard_values() -> frozenset[str]:
-    """Return the strings assigned in the classes of guards, which commands and pages name."""
+    """Return the strings in the guard classes, which commands and pages use as names."""
     values: set[str] = set()
     for path in PACKAGE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/tools/test_build_packages.py
+++ b/tests/tools/test_build_packages.py
@@ -1,4 +1,4 @@
-"""The deploy file lists every package that a clean build and the run lines need."""
+"""The deploy file lists every package that a clean build and its run lines need."""
 
 import pytest
 from build_packages import (
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize("package", read_deploy_file().packages)
 def test_an_omitted_package_is_detected(package: str) -> None:
     deploy = read_deploy_file()
-    remaining = tuple(one for one in deploy.packages if one != package)
+    remaining = tuple(listed for listed in deploy.packages if listed != package)
     assert check_packages(deploy._replace(packages=remaining), BUILD_SCRIPT) == {package}
 
 
--- a/tests/tools/test_measuring.py
+++ b/tests/tools/test_measuring.py
@@ -1,4 +1,4 @@
-"""Line fits, quantiles and processor time."""
+"""Line fits, quantiles and the processor time of a process."""
 
 import pytest
 
--- a/tests/tools/test_operations_page.py
+++ b/tests/tools/test_operations_page.py
@@ -1,4 +1,4 @@
-"""The on-call tables of `docs/operations.md` hold what the code logs and measures, and no more."""
+"""The on-call tables of `docs/operations.md` list exactly the code's log events and metrics."""
 
 import ast
 import json
@@ -55,7 +55,7 @@
     assert compare(metric_names(TREES), METRIC_ROWS) == (frozenset(), frozenset())
 
 
-def test_each_event_stands_with_its_level() -> None:
+def test_each_event_row_has_the_level_of_the_event() -> None:
     levels = levels_on_page()
     assert {event: levels[event.name] for event in log_events(TREES)} == {
         event: event.level for event in log_events(TREES)
@@ -121,12 +121,12 @@
         'await self._logger.ainfo("event")',
     ],
 )
-def test_an_event_that_is_not_a_literal_is_refused(source: str) -> None:
+def test_an_event_that_is_not_a_literal_is_rejected(source: str) -> None:
     with pytest.raises(UnreadableEventError):
         log_events(parsed(source))
 
 
-def test_a_metric_name_that_is_not_a_literal_is_refused() -> None:
+def test_a_metric_name_that_is_not_a_literal_is_rejected() -> None:
     with pytest.raises(UnreadableMetricError):
         metric_names(parsed("self.metrics.gauge(name, 'Documentation.')"))
 
@@ -145,7 +145,7 @@
     assert metric_names(TREES) == exposed
 
 
-def test_a_section_that_is_gone_is_refused() -> None:
+def test_a_missing_section_is_rejected() -> None:
     with pytest.raises(MissingSectionError):
         page_rows(TEXT.replace(EVENTS_HEADING, "### Other"), EVENTS_HEADING)
 
--- a/tests/tools/test_page_references.py
+++ b/tests/tools/test_page_references.py
@@ -1,4 +1,4 @@
-"""Every link, path and identifier that a page names exists."""
+"""Every link, path and identifier on the pages refers to something that exists."""
 
 from pathlib import Path
 
--- a/tests/tools/test_synthetic_fleet.py
+++ b/tests/tools/test_synthetic_fleet.py
@@ -1,4 +1,4 @@
-"""Synthetic routers over real connections, counted, against a scripted leader."""
+"""Synthetic routers and the traffic count, over real connections to a scripted leader."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
 
 class ScriptedLeader:
-    """Answers as a leader whose only configuration has version 5."""
+    """Replies like a leader whose only configuration has version 5."""
 
     def __init__(self) -> None:
         hello = Hello(
@@ -83,7 +83,7 @@
     assert Connection.data_received is before
 
 
-def test_only_the_first_view_of_a_version_is_noted() -> None:
+def test_only_the_first_view_of_a_version_is_recorded() -> None:
     now = 1.0
     listener = SyntheticListener(lambda: now)
     for revision, version in ((1, 1), (2, 1), (3, 4)):
--- a/tests/tools/test_write_shapes.py
+++ b/tests/tools/test_write_shapes.py
@@ -1,4 +1,4 @@
-"""Site files derived from a given one, for deployments without a file of their own."""
+"""Site files derived from an existing site file, and the scripts of `deploy/` that write files."""
 
 import importlib.util
 import tomllib
@@ -15,7 +15,7 @@
 
 
 def tool(name: str) -> ModuleType:
-    """Load a script of `deploy/`, which is no package."""
+    """Load a script from `deploy/`, which is not a package."""
     spec = importlib.util.spec_from_file_location(name, ROOT / "deploy" / f"{name}.py")
     assert spec is not None
     assert spec.loader is not None
@@ -52,7 +52,7 @@
 
 
 def test_days_are_written_by_the_interpreter_alone() -> None:
-    """`python3 deploy/write_days.py` is run without the packages of this project."""
+    """`python3 deploy/write_days.py` runs without the packages that this project depends on."""
     days = tool("write_days")
     trouble = days.Trouble("core_cut", False, {"count": 1, "how": "leader race"})
     day = tomllib.loads(days.day_text("a-day", 7, [trouble]))
