--- a/tests/cli/test_cli_config.py
+++ b/tests/cli/test_cli_config.py
@@ -16,7 +16,7 @@
 
 
 class FakeControl:
-    """Answers with a scripted reply or aborts the connection; records the updates."""
+    """Fake control process that gives a scripted reply or aborts, and records the updates."""
 
     def __init__(self) -> None:
         self.status = 200
@@ -109,7 +109,7 @@
     controls[1].body = {"order_id": "order-1", "version": 5, "confirmed": True}
     result = await put(tmp_path, unused_url(), controls[0].url, controls[1].url)
     assert result.exit_code == 0, result.output
-    # The HTTP client may repeat an idempotent request by itself, so the first may see it twice.
+    # The HTTP client may retry an idempotent request, so the first process may receive it twice.
     (update,) = controls[1].updates
     assert update["order_id"] == "order-1"
     assert controls[0].updates
@@ -122,11 +122,13 @@
     controls[0].aborts = True
     result = await put(tmp_path, controls[0].url)
     assert result.exit_code == 1
-    assert "may have been taken" in result.stderr
+    assert "may have been accepted" in result.stderr
     assert "--base 4 --order-id order-1" in result.stderr
 
 
-@pytest.mark.parametrize(("accepted", "word"), [("no", "not taken"), ("unknown", "may have been")])
+@pytest.mark.parametrize(
+    ("accepted", "word"), [("no", "not accepted"), ("unknown", "may have been")]
+)
 async def test_without_a_leader_the_message_says_whether_the_update_was_accepted(
     tmp_path: Path, controls: list[FakeControl], accepted: str, word: str
 ) -> None:
