--- a/src/orchidpath/simulation/control_node.py
+++ b/src/orchidpath/simulation/control_node.py
@@ -1,4 +1,4 @@
-"""A simulated control process: the real core and storage on a simulated disk."""
+"""A simulated control process: the real replica and log storage on a simulated disk."""
 
 from collections.abc import Callable
 
@@ -42,24 +42,24 @@
 SETTINGS = RaftSettings(snapshot_threshold_entries=60, snapshot_chunk_bytes=4096)
 POLICY = MemberPolicy(target_voters=3, replace_after_seconds=3.0, router_removal_seconds=10.0)
 
-AnswerHandler = Callable[[UpdateStatus, int], None]
+ReplyHandler = Callable[[UpdateStatus, int], None]
 
 
 class ControlNode(SimulatedProcess):
-    """One control process with its disk.
+    """One simulated control process and its disk.
 
     Parameters
     ----------
     environment
-        Where it runs.
+        The environment that the process runs in.
     address
-        Its address.
+        Network address of the process.
     seeds
-        Addresses that it asks who the control members are.
+        Addresses that the process queries for the control members until it has joined.
     raft_guards, confirmation_guards
-        Guards to leave out.
+        Guards to disable.
     voters
-        How many voters its fleet wants.
+        Target number of voters of the fleet.
     """
 
     def __init__(
@@ -83,20 +83,23 @@
         self._id = address
         self._bootstrap: Membership | None = None
         self._pending: list[Callable[[ControlReplica], list[ControlEffect]]] = []
-        self._busy = False
+        self._syncing = False
         self._tick_at = float("inf")
-        self._answers: dict[int, AnswerHandler] = {}
+        self._reply_handlers: dict[int, ReplyHandler] = {}
         self._next_key = 0
         self.on_turn: Callable[[ControlNode], None] = lambda _node: None
         self.on_worker_command: Callable[[ControlNode, WorkerCommand], None] = lambda *_: None
 
     @property
     def node_id(self) -> str:
-        """Identity of the replica on the present disk."""
+        """Identity of the replica that is stored on the current disk."""
         return self._id
 
     def load_identity(self) -> str:
-        """Create the disk's identity before the first start, so that a fleet can be formed."""
+        """Create and return the identity of the disk, before the first start.
+
+        The initial membership of a fleet is made of these identities.
+        """
         storage = FileLogStorage(FOLDER, self.files, self._new_identity)
         storage.load()
         self._id = f"{self.address}.{storage.identity}"
@@ -104,16 +107,16 @@
         return self._id
 
     def bootstrap_with(self, membership: Membership) -> None:
-        """Form a new fleet at the next start, if the disk holds nothing."""
+        """Bootstrap a new fleet at the next start with this membership, if the disk is empty."""
         self._bootstrap = membership
 
     def on_start(self) -> None:
-        """Read the disk and take part."""
+        """Restore the state from the disk and start the replica."""
         self._storage = FileLogStorage(FOLDER, self.files, self._new_identity)
         try:
             restored = self._storage.load()
         except StorageError:
-            self.kill()  # the process ends at once, as the real one does, and is started again
+            self.kill()  # the real process exits in this case too, and is started again later
             return
         self._id = f"{self.address}.{self._storage.identity}"
         bootstrap = self._bootstrap if restored == RestoredState() else None
@@ -131,50 +134,59 @@
         self.core = ControlReplica(
             member, raft, self._policy, 1, self.environment.random, self._confirmation_guards
         )
-        self._busy = False
+        self._syncing = False
         self._tick_at = float("inf")
         self._pending = []
         self._post(lambda core: core.tick(self.now))
         self.every(JOIN_PERIOD_SECONDS, self._join)
 
     def on_kill(self) -> None:
-        """Lose what was not synced."""
+        """Discard the process state and all writes that were not synced."""
         self.core = None
         self._storage = None
-        self._answers.clear()
+        self._reply_handlers.clear()
         self.files.crash(self.environment.random)
 
     def lose_disk(self) -> None:
-        """Kill the process and empty its disk: it comes back as another replica."""
+        """Kill the process and erase its disk; it restarts as a replica with a new identity."""
         self.kill()
         self.files = SimulatedFiles()
 
     def on_message(self, sender_id: str, message: Message) -> None:
-        """Take a message as the real shell does."""
+        """Process a message in the same way as the shell of the real process."""
         if isinstance(message, ConfigurationUpdateReply):
-            handler = self._answers.pop(message.correlation, None)
+            handler = self._reply_handlers.pop(message.correlation, None)
             if handler is not None:
                 handler(message.answer, message.version)
             return
         if isinstance(message, ControlMembers):
-            self._members_answered(message)
+            self._receive_members(message)
             return
         self._post(lambda core: core.receive(sender_id, message, self.now))
 
-    def submit(self, order: SubmitConfiguration, handler: AnswerHandler) -> None:
-        """Take a configuration update, here or forwarded to the leader."""
+    def submit(self, order: SubmitConfiguration, handler: ReplyHandler) -> None:
+        """Submit a configuration update, or forward it if another process is the leader.
+
+        Parameters
+        ----------
+        order
+            The update.
+        handler
+            Called with the outcome and the version. It is not called if the process is not running
+            or frozen, or if it is killed before the reply arrives.
+        """
         core = self.core
         if core is None or self.frozen:
             return
         self._next_key += 1
         key = self._next_key
-        self._answers[key] = handler
+        self._reply_handlers[key] = handler
         if core.is_leader:
-            self._post(lambda one: one.submit(key, order, self.now))
+            self._post(lambda leader: leader.submit(key, order, self.now))
             return
         address = core.raft.membership.addresses.get(core.raft.leader_id or "", "")
         if not address:
-            self._answers.pop(key)(UpdateStatus.REJECTED, 0)
+            self._reply_handlers.pop(key)(UpdateStatus.REJECTED, 0)
             return
         request = ConfigurationUpdateRequest(
             correlation=key,
@@ -185,32 +197,38 @@
         )
         self.send(address, request)
 
-    def request_plan_action(self, order: PlanActionRequest) -> None:
-        """Take an order about a plan, here or forwarded to the leader; nobody waits for it."""
+    def request_plan_action(self, request: PlanActionRequest) -> None:
+        """Submit a plan action, or forward it to the leader; the outcome is not reported."""
         core = self.core
         if core is None or self.frozen:
             return
         if core.is_leader:
-            self._post(lambda one: one.request_plan_action(order.correlation, order, self.now))
+            self._post(
+                lambda leader: leader.request_plan_action(request.correlation, request, self.now)
+            )
             return
         address = core.raft.membership.addresses.get(core.raft.leader_id or "", "")
         if address:
-            self.send(address, order)
+            self.send(address, request)
 
-    def worker_command_answered(self, order: WorkerCommand, reply: WorkerCommandReply) -> None:
-        """Take a worker's answer to an order that this process sent."""
-        self._post(lambda core: core.worker_command_answered(order, reply, self.now))
+    def worker_command_answered(self, command: WorkerCommand, reply: WorkerCommandReply) -> None:
+        """Process the reply of a worker to a command that this process sent."""
+        self._post(lambda core: core.worker_command_answered(command, reply, self.now))
 
     def _new_identity(self) -> str:
         return f"{self.environment.random.getrandbits(48):012x}"
 
     def _post(self, event: Callable[[ControlReplica], list[ControlEffect]]) -> None:
         self._pending.append(event)
-        if not self._busy:
+        if not self._syncing:
             self._turn()
 
     def _turn(self) -> None:
-        """Take what waits, sync its records, then let its effects out, as the real runner does."""
+        """Process all pending events, sync their records, then execute their effects.
+
+        This is the order of the real runner: no effect leaves the process before the records of
+        the same turn are synced.
+        """
         core = self.core
         assert core is not None
         events, self._pending = self._pending, []
@@ -219,14 +237,14 @@
             effects.extend(event(core))
         records = merge_records(effect for effect in effects if is_record(effect))
         if records and self.sync_seconds > 0:
-            self._busy = True
+            self._syncing = True
             delay_seconds = self.environment.random.uniform(0.0, self.sync_seconds)
             self.after(delay_seconds, lambda: self._finish_turn(records, effects))
             return
         self._finish_turn(records, effects)
 
     def _finish_turn(self, records: list[PersistEffect], effects: list[ControlEffect]) -> None:
-        self._busy = False
+        self._syncing = False
         try:
             for record in records:
                 self._write(record)
@@ -238,7 +256,7 @@
                 self._execute(effect)
         self.on_turn(self)
         self._schedule_tick()
-        if self._pending and not self._busy:
+        if self._pending and not self._syncing:
             self._turn()
 
     def _write(self, record: PersistEffect) -> None:
@@ -254,14 +272,15 @@
     def _execute(self, effect: ControlEffect) -> None:
         match effect:
             case SendToMember():
-                # A new learner knows no address yet; it answers where it was spoken to.
+                # A new learner has no addresses of members yet; the node id of the sender contains
+                # the address to reply to.
                 address = effect.address or effect.node_id.partition(".")[0]
                 self.send(address, effect.message, effect.node_id)
             case SendToNode():
                 address = effect.node_id.partition(".")[0]
                 self.send(address, effect.message, effect.node_id)
             case UpdateAnswered():
-                handler = self._answers.pop(effect.key, None)
+                handler = self._reply_handlers.pop(effect.key, None)
                 if handler is not None:
                     handler(effect.answer, effect.version)
             case SendWorkerCommand():
@@ -291,9 +310,9 @@
             if seed != self.address:
                 self.send(seed, WhoIsControl())
 
-    def _members_answered(self, answer: ControlMembers) -> None:
+    def _receive_members(self, answer: ControlMembers) -> None:
         core = self.core
-        if core is None or any(one.node_id == self._id for one in answer.members):
+        if core is None or any(member.node_id == self._id for member in answer.members):
             return
         for member in answer.members:
             if member.node_id == answer.leader_id:
--- a/src/orchidpath/simulation/environment.py
+++ b/src/orchidpath/simulation/environment.py
@@ -1,7 +1,7 @@
 """Virtual time, the network and processes that can be killed, frozen and partitioned.
 
-Everything that happens in a run follows from its seed: one generator, one event queue ordered by
-time and then by the order in which events were made.
+A run is determined by its seed. It uses a single random number generator and a single event queue,
+which is ordered by time and then by the order in which the events were scheduled.
 """
 
 import heapq
@@ -16,14 +16,18 @@
 from orchidpath.wire.messages import Message
 
 MAX_CLOCK_RATE_ERROR = 0.01
-"""Processes' clocks run this much faster or slower than true time at most."""
+"""Largest deviation of the clock rate of a process from virtual time, in either direction."""
 
 LATE_MESSAGE_SECONDS = 2.5
-"""A late message is up to this old when it arrives."""
+"""Upper bound of the delay of a late message."""
 
 
 class NetworkFaults(msgspec.Struct):
-    """How badly the network behaves at present."""
+    """Current faults of the network.
+
+    ``loss``, ``duplication`` and ``late`` are probabilities of each message; ``delay_seconds`` is
+    the upper bound of the delay of a message that is not late.
+    """
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -32,12 +36,12 @@
 
 
 class SimulatedEnvironment:
-    """Event queue, network and all processes.
+    """Event queue, network and processes of one simulation run.
 
     Parameters
     ----------
     seed
-        Determines everything that happens.
+        Seed of the only random number generator; determines the whole run.
     """
 
     def __init__(self, seed: int) -> None:
@@ -51,11 +55,11 @@
         self._sequence = itertools.count()
 
     def schedule(self, delay_seconds: float, action: Callable[[], None]) -> None:
-        """Run an action later."""
+        """Schedule an action to run once, after a delay."""
         heapq.heappush(self._events, (self.time + delay_seconds, next(self._sequence), action))
 
     def repeat(self, interval_seconds: float, action: Callable[[], None]) -> None:
-        """Run an action for ever, about once an interval."""
+        """Run an action repeatedly, on average once per interval, until the end of the run."""
 
         def run() -> None:
             action()
@@ -64,7 +68,7 @@
         self.schedule(self.random.uniform(0.0, interval_seconds), run)
 
     def run_until(self, end: float) -> None:
-        """Run every event up to ``end``."""
+        """Run all events that are due up to the virtual time ``end``, in seconds."""
         while self._events and self._events[0][0] <= end:
             self.time, _, action = heapq.heappop(self._events)
             self.events_run += 1
@@ -74,18 +78,18 @@
     def transmit(
         self, sender: "SimulatedProcess", receiver_address: str, message: Message, node_id: str = ""
     ) -> None:
-        """Carry a message, or lose it, late, or twice.
+        """Transmit a message; depending on the network faults it is lost, late or duplicated.
 
         Parameters
         ----------
         sender
-            The process that sends.
+            The sending process.
         receiver_address
             Address of the receiver.
         message
             The message.
         node_id
-            When given, only a process that runs under this id takes it.
+            If not empty, the message is delivered only to a process that has this node id.
         """
         faults = self.network
         if receiver_address not in self.processes or self.random.random() < faults.loss:
@@ -106,14 +110,14 @@
 
             self.schedule(delay_seconds, deliver)
 
-    def cut(self, one: str, other: str, both_ways: bool = True) -> None:
-        """Lose every message from one address to another."""
-        self.partitioned_links.add((one, other))
+    def cut(self, sender: str, receiver: str, both_ways: bool = True) -> None:
+        """Drop all messages between two addresses, or only those from sender to receiver."""
+        self.partitioned_links.add((sender, receiver))
         if both_ways:
-            self.partitioned_links.add((other, one))
+            self.partitioned_links.add((receiver, sender))
 
     def split(self, side: set[str], both_ways: bool = True) -> None:
-        """Cut every link between a side and the rest."""
+        """Partition the network: cut all links between ``side`` and all other processes."""
         for address in self.processes:
             if address not in side:
                 for member in sorted(side):
@@ -121,14 +125,17 @@
 
 
 class SimulatedProcess(ABC):
-    """One process: its clock, whether it runs, and what waits for it while it is frozen.
+    """One simulated process, which can be killed, restarted and frozen.
+
+    Its clock has a random offset and runs slightly fast or slow. While the process is frozen, its
+    actions and received messages are deferred; they run when it resumes.
 
     Parameters
     ----------
     environment
-        Where it runs.
+        The environment that the process runs in.
     address
-        Its network address, the same over restarts.
+        Network address of the process; it stays the same across restarts.
     """
 
     def __init__(self, environment: SimulatedEnvironment, address: str) -> None:
@@ -137,7 +144,7 @@
         self.alive = False
         self.frozen = False
         self.epoch = 0
-        self._waiting: deque[Callable[[], None]] = deque()
+        self._deferred_actions: deque[Callable[[], None]] = deque()
         self._clock_offset = environment.random.uniform(0.0, 10_000.0)
         self._clock_rate = 1.0 + environment.random.uniform(
             -MAX_CLOCK_RATE_ERROR, MAX_CLOCK_RATE_ERROR
@@ -147,58 +154,58 @@
     @property
     @abstractmethod
     def node_id(self) -> str:
-        """The id that this process sends under."""
+        """Node id that this process uses as sender."""
 
     @property
     def now(self) -> float:
-        """Monotonic clock of this process."""
+        """Reading of the monotonic clock of this process, in seconds."""
         return self._clock_offset + self.environment.time * self._clock_rate
 
     @abstractmethod
     def on_start(self) -> None:
-        """Begin from nothing but what is on disk."""
+        """Initialize the process from its disk; no other state survives a restart."""
 
     @abstractmethod
     def on_kill(self) -> None:
-        """Lose everything that was not synced."""
+        """Discard all state that was not synced to disk."""
 
     @abstractmethod
     def on_message(self, sender_id: str, message: Message) -> None:
-        """Take a message."""
+        """Process a received message."""
 
     def start(self) -> None:
-        """Start the process unless it runs."""
+        """Start the process if it is not running."""
         if self.alive:
             return
         self.alive = True
         self.frozen = False
         self.epoch += 1
-        self._waiting.clear()
+        self._deferred_actions.clear()
         self.on_start()
 
     def kill(self) -> None:
-        """Kill the process."""
+        """Kill the process, if it is running, and discard its deferred actions."""
         if self.alive:
             self.alive = False
             self.epoch += 1
-            self._waiting.clear()
+            self._deferred_actions.clear()
             self.on_kill()
 
     def freeze(self, duration_seconds: float) -> None:
-        """Stop the process; what comes in waits until it wakes."""
+        """Freeze the process; its actions and received messages are deferred until it resumes."""
         if not self.alive or self.frozen:
             return
         self.frozen = True
         epoch = self.epoch
-        self.environment.schedule(duration_seconds, lambda: self._wake(epoch))
+        self.environment.schedule(duration_seconds, lambda: self._resume(epoch))
 
     def after(self, delay_seconds: float, action: Callable[[], None]) -> None:
-        """Run an action of this process later, unless it is killed first."""
+        """Run an action of this process after a delay, unless the process is killed before."""
         epoch = self.epoch
         self.environment.schedule(delay_seconds, lambda: self._run(epoch, action))
 
     def every(self, interval_seconds: float, action: Callable[[], None]) -> None:
-        """Run an action of this process for ever, until it is killed."""
+        """Run an action of this process once per interval until the process is killed."""
 
         def run() -> None:
             action()
@@ -207,25 +214,25 @@
         self.after(self.environment.random.uniform(0.0, interval_seconds), run)
 
     def deliver(self, sender_id: str, message: Message) -> None:
-        """Take a message from the network."""
+        """Receive a message from the network; it is dropped if the process is not running."""
         if self.alive:
             self._run(self.epoch, lambda: self.on_message(sender_id, message))
 
     def send(self, address: str, message: Message, node_id: str = "") -> None:
-        """Send a message; loss is allowed."""
+        """Send a message; the network may lose it."""
         self.environment.transmit(self, address, message, node_id)
 
     def _run(self, epoch: int, action: Callable[[], None]) -> None:
         if not self.alive or epoch != self.epoch:
             return
         if self.frozen:
-            self._waiting.append(action)
+            self._deferred_actions.append(action)
             return
         action()
 
-    def _wake(self, epoch: int) -> None:
+    def _resume(self, epoch: int) -> None:
         if not self.alive or epoch != self.epoch:
             return
         self.frozen = False
-        while self._waiting and not self.frozen and epoch == self.epoch:
-            self._waiting.popleft()()
+        while self._deferred_actions and not self.frozen and epoch == self.epoch:
+            self._deferred_actions.popleft()()
--- a/src/orchidpath/simulation/fault_driver.py
+++ b/src/orchidpath/simulation/fault_driver.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario into the control part of a simulated fleet."""
+"""Injects the faults of a scenario into the control plane of a simulated fleet."""
 
 from collections.abc import Callable
 
@@ -10,17 +10,24 @@
 FAULT_PERIOD_SECONDS = 1.5
 LONG_FREEZE_SECONDS = 21.0
 POWER_FAILURES_AT_SECONDS = (4.0, 14.0, 25.0, 36.0)
-HEALING_SHARE = 0.5
-"""Share of the halvings of control that heal before the next one."""
-FREEZE_SHARE = 0.25
-"""Share of the halvings of control at which the leader freezes."""
-LONGEST_BEHIND_SECONDS = 2.0
-LONGEST_REPLACEMENT_SECONDS = 4.5
-"""A voter whose disk was lost is replaced within about this time."""
+HEALING_PROBABILITY = 0.5
+"""Probability that a partition of the control processes is healed before the next one."""
+FREEZE_PROBABILITY = 0.25
+"""Probability that the leader freezes when the control processes are partitioned."""
+MAX_LAG_SECONDS = 2.0
+"""Longest time for which a voter is partitioned before the power failure."""
+MAX_REPLACEMENT_SECONDS = 4.5
+"""A voter that lost its disk is replaced within about this time."""
 
 
 class FaultDriver:
-    """Injects the faults of a scenario into a simulated fleet."""
+    """Injects the faults of a scenario into a simulated fleet.
+
+    Parameters
+    ----------
+    fleet
+        The fleet that the faults are injected into.
+    """
 
     def __init__(self, fleet: FleetSimulation) -> None:
         self._fleet = fleet
@@ -36,7 +43,7 @@
 
     def begin(self, scenario: Scenario) -> None:
         """Schedule the faults of a scenario."""
-        strikes: dict[Scenario, list[Callable[[], None]]] = {
+        recurring_faults: dict[Scenario, list[Callable[[], None]]] = {
             Scenario.FAULT_FREE: [],
             Scenario.KILLS: [self._kill_control, self._kill_router],
             Scenario.FREEZES: [self._freeze_control, self._freeze_router],
@@ -52,21 +59,21 @@
             Scenario.SECOND_LOSS: [],
             Scenario.DISK_LOST_IN_POWER_FAILURE: [],
             Scenario.TWO_DISKS_LOST_IN_POWER_FAILURE: [],
-            Scenario.CONTROL_HALVED: [self._halve_control],
+            Scenario.CONTROL_HALVED: [self._partition_control_in_halves],
             Scenario.SLOW_DISKS: [self._slow_disk, self._full_disk],
             Scenario.RESTARTS: [],
             Scenario.BAD_NETWORK: [self._kill_router],
             Scenario.WITNESSES_RESTARTED: [],
-            Scenario.MIXED: self._mixed(),
+            Scenario.MIXED: self._mixed_faults(),
         }
-        self._begin_single(scenario)
-        choices = strikes.get(scenario, [])
+        self._schedule_timed_faults(scenario)
+        choices = recurring_faults.get(scenario, [])
         if scenario is Scenario.MIXED_WITH_REQUESTS:
-            choices = self._mixed()
+            choices = self._mixed_faults()
         if choices:
-            self._environment.repeat(FAULT_PERIOD_SECONDS, lambda: self._strike(choices))
+            self._environment.repeat(FAULT_PERIOD_SECONDS, lambda: self._inject_fault(choices))
 
-    def _mixed(self) -> list[Callable[[], None]]:
+    def _mixed_faults(self) -> list[Callable[[], None]]:
         return [
             self._kill_control,
             self._kill_router,
@@ -83,15 +90,15 @@
             self._worsen_network,
         ]
 
-    def _begin_single(self, scenario: Scenario) -> None:
-        """Schedule the faults that come once, or a few times, at a known time."""
-        moments: dict[Scenario, list[tuple[float, Callable[[], None]]]] = {
+    def _schedule_timed_faults(self, scenario: Scenario) -> None:
+        """Schedule the faults that occur once, or a few times, at fixed times."""
+        timed_faults: dict[Scenario, list[tuple[float, Callable[[], None]]]] = {
             Scenario.LONG_FREEZE: [(2.0, self._freeze_leader_long)],
-            Scenario.CONTROL_LOST: [(3.0, self._lose_control_tier)],
-            Scenario.SECOND_LOSS: [(3.0, self._lose_and_repair)],
+            Scenario.CONTROL_LOST: [(3.0, self._kill_all_controls)],
+            Scenario.SECOND_LOSS: [(3.0, self._lose_disk_twice)],
             Scenario.RESTARTS: [(5.0, self._restart_in_turn), (22.0, self._restart_at_once)],
             Scenario.WITNESSES_RESTARTED: [(2.0, self._partition_seed_routers)],
-            Scenario.ROUTERS_UNHEARD: [(2.0, self._hide_routers_from_control)],
+            Scenario.ROUTERS_UNHEARD: [(2.0, self._partition_routers_from_control)],
             Scenario.DISK_LOST_IN_POWER_FAILURE: [
                 (seconds, self._lose_disk_in_power_failure) for seconds in POWER_FAILURES_AT_SECONDS
             ],
@@ -100,14 +107,14 @@
                 for seconds in POWER_FAILURES_AT_SECONDS
             ],
         }
-        for seconds, strike in moments.get(scenario, []):
-            self._environment.schedule(seconds, strike)
+        for seconds, inject_fault in timed_faults.get(scenario, []):
+            self._environment.schedule(seconds, inject_fault)
         if scenario is Scenario.BAD_NETWORK:
             self._worsen_network()
         if scenario is Scenario.LATE_ANSWERS:
             self._environment.network = NetworkFaults(late=0.3, delay_seconds=0.05)
 
-    def _strike(self, choices: list[Callable[[], None]]) -> None:
+    def _inject_fault(self, choices: list[Callable[[], None]]) -> None:
         if self._active:
             self._random.choice(choices)()
 
@@ -138,29 +145,34 @@
         if leader is not None:
             leader.freeze(LONG_FREEZE_SECONDS)
 
-    def _lose_control_tier(self) -> None:
+    def _kill_all_controls(self) -> None:
         for control in self._fleet.controls:
             control.kill()
             self._environment.schedule(15.0, control.start)
 
-    def _hide_routers_from_control(self) -> None:
-        """Let some routers be heard by other routers only, until they are off the roster."""
+    def _partition_routers_from_control(self) -> None:
+        """Partition four routers from all control processes; their links to other routers stay up.
+
+        The partition lasts long enough for the leader to remove these routers from the fleet.
+        """
         for router in self._fleet.routers[:4]:
             for control in self._fleet.controls:
                 self._environment.cut(router.address, control.address)
 
     def _partition_seed_routers(self) -> None:
-        """Let a few routers, seeds among them, fall behind; then lose all that know better.
+        """Partition four routers, among them the seed routers, and later restart all others.
 
-        The restarted routers can only learn the old view, from those few: together they would be a
-        majority of witnesses that has forgotten what was confirmed.
+        The partitioned routers keep an old view. After 8 s the links are healed, all control
+        processes are killed for 10 s, and all other routers are restarted. The restarted routers
+        can receive only the old view, from the partitioned ones. Without a guard, all these routers
+        together would be a majority of witnesses that has lost the confirmed view.
         """
         behind = {router.address for router in self._fleet.routers[:3]}
         behind.add(self._fleet.routers[-1].address)
         self._environment.split(behind)
-        self._environment.schedule(8.0, lambda: self._restart_the_others(behind))
+        self._environment.schedule(8.0, lambda: self._restart_all_except(behind))
 
-    def _restart_the_others(self, behind: set[str]) -> None:
+    def _restart_all_except(self, behind: set[str]) -> None:
         for control in self._fleet.controls:
             control.kill()
             self._environment.schedule(10.0, control.start)
@@ -176,8 +188,8 @@
         self._environment.split(side)
 
     def _partition_one_way(self) -> None:
-        one, other = self._random.sample(sorted(self._environment.processes), 2)
-        self._environment.cut(one, other, both_ways=False)
+        sender, receiver = self._random.sample(sorted(self._environment.processes), 2)
+        self._environment.cut(sender, receiver, both_ways=False)
 
     def _isolate(self) -> None:
         self._environment.split({self._random.choice(sorted(self._environment.processes))})
@@ -200,48 +212,51 @@
         control = self._pick_control()
         control.files.capacity_bytes = 0
         self._environment.schedule(
-            self._random.uniform(0.5, 2.0), lambda: self._empty_disk(control)
+            self._random.uniform(0.5, 2.0), lambda: self._free_disk_space(control)
         )
 
-    def _empty_disk(self, control: ControlNode) -> None:
+    def _free_disk_space(self, control: ControlNode) -> None:
         control.files.capacity_bytes = None
         control.start()
 
     def _lose_disk(self) -> None:
-        """Empty one disk, if the fleet is whole: all voters hold everything and run."""
+        """Erase one disk, if all voters run and store all committed entries."""
         leader = self._fleet.leader()
-        if leader is None or not self._is_complete(leader):
+        if leader is None or not self._is_fully_replicated(leader):
             return
         control = self._pick_control()
         control.lose_disk()
         self._environment.schedule(self._random.uniform(0.01, 3.0), control.start)
 
-    def _is_complete(self, leader: ControlNode) -> bool:
-        """Whether all voters are there, run on their own disks and hold all that is committed."""
+    def _is_fully_replicated(self, leader: ControlNode) -> bool:
+        """Return whether the set of voters is complete and fully replicated.
+
+        All voters must run with their own disks and store all committed entries.
+        """
         core = leader.core
         if core is None or not core.raft.membership_committed:
             return False
         voters = core.raft.membership.voters
         running = {control.node_id for control in self._fleet.controls if control.alive}
-        complete = all(core.raft.match_index(one) >= core.raft.commit_index for one in voters)
+        complete = all(core.raft.match_index(voter) >= core.raft.commit_index for voter in voters)
         return len(voters) == self._fleet.shape.voters and set(voters) <= running and complete
 
-    def _lose_and_repair(self) -> None:
-        """Empty the leader's disk right away, and another as soon as the repair is done."""
+    def _lose_disk_twice(self) -> None:
+        """Erase the leader's disk, and a second disk as soon as the first voter is replaced."""
         leader = self._fleet.leader()
         if leader is None:
-            self._environment.schedule(0.5, self._lose_and_repair)
+            self._environment.schedule(0.5, self._lose_disk_twice)
             return
         leader.lose_disk()
         self._environment.schedule(1.0, leader.start)
-        self._environment.schedule(0.1, lambda: self._lose_when_repaired(leader.node_id))
+        self._environment.schedule(0.1, lambda: self._lose_second_disk(leader.node_id))
 
-    def _lose_when_repaired(self, lost_id: str) -> None:
+    def _lose_second_disk(self, lost_id: str) -> None:
         leader = self._fleet.leader()
         core = leader.core if leader is not None else None
         repaired = core is not None and lost_id not in core.raft.membership.voters
-        if leader is None or not repaired or not self._is_complete(leader):
-            self._environment.schedule(0.02, lambda: self._lose_when_repaired(lost_id))
+        if leader is None or not repaired or not self._is_fully_replicated(leader):
+            self._environment.schedule(0.02, lambda: self._lose_second_disk(lost_id))
             return
         second = self._pick_control()
         second.lose_disk()
@@ -249,59 +264,68 @@
         self._environment.schedule(1.0, second.start)
 
     def _lose_disk_in_power_failure(self) -> None:
-        """Empty one disk while every process loses power, with another voter behind.
+        """Erase one disk while every process loses power and another voter lags behind.
 
-        What was confirmed is then held by those voters only that had synced it and still have their
-        disks: of three voters, by a single one if the third was partitioned at that moment.
+        Afterwards a confirmed update is stored only by the voters that had synced it and still have
+        their disks. Of three voters this is a single one if another voter was partitioned.
         """
         leader = self._fleet.leader()
-        if leader is None or not self._is_complete(leader):
+        if leader is None or not self._is_fully_replicated(leader):
             self._environment.schedule(0.05, self._lose_disk_in_power_failure)
             return
-        behind = self._random.choice(self._voting(but=leader))
-        self._partition_from_control(behind)
+        lagging = self._random.choice(self._voters_except(excluded=leader))
+        self._partition_from_control(lagging)
         self._environment.schedule(
-            self._random.uniform(0.0, LONGEST_BEHIND_SECONDS),
-            lambda: self._fail_power([self._random.choice(self._voting(but=behind))]),
+            self._random.uniform(0.0, MAX_LAG_SECONDS),
+            lambda: self._fail_power([self._random.choice(self._voters_except(excluded=lagging))]),
         )
 
     def _lose_two_disks_in_power_failure(self) -> None:
-        """Empty two of five disks, the second while every process loses power.
+        """Erase two of five disks, the second one while every process loses power.
 
-        The first one's voter is being replaced at that moment, and a third voter is behind, being
-        partitioned: of five voters two are left that hold what was confirmed.
+        At that time the voter of the first disk is being replaced, and a third voter lags behind
+        since it is partitioned. Two of five voters are left that store the confirmed updates.
         """
         leader = self._fleet.leader()
-        if leader is None or not self._is_complete(leader):
+        if leader is None or not self._is_fully_replicated(leader):
             self._environment.schedule(0.05, self._lose_two_disks_in_power_failure)
             return
-        behind = self._random.choice(self._voting(but=leader))
-        self._partition_from_control(behind)
-        first = self._random.choice(self._voting(but=behind))
-        second = self._random.choice([one for one in self._voting(but=behind) if one is not first])
+        lagging = self._random.choice(self._voters_except(excluded=leader))
+        self._partition_from_control(lagging)
+        first = self._random.choice(self._voters_except(excluded=lagging))
+        second = self._random.choice(
+            [voter for voter in self._voters_except(excluded=lagging) if voter is not first]
+        )
         first.lose_disk()
         self._environment.schedule(self._random.uniform(0.1, 1.0), first.start)
         self._environment.schedule(
-            self._random.uniform(0.0, LONGEST_REPLACEMENT_SECONDS),
+            self._random.uniform(0.0, MAX_REPLACEMENT_SECONDS),
             lambda: self._fail_power([second]),
         )
 
-    def _voting(self, but: ControlNode) -> list[ControlNode]:
-        """Return the control processes that vote, without one of them."""
+    def _voters_except(self, excluded: ControlNode) -> list[ControlNode]:
+        """Return the voters except one; without a voter, all control processes except it."""
         leader = self._fleet.leader()
         core = leader.core if leader is not None else None
         voters = core.raft.membership.voters if core is not None else ()
-        voting = [one for one in self._fleet.controls if one.node_id in voters and one is not but]
-        return voting or [one for one in self._fleet.controls if one is not but]
+        remaining = [
+            control
+            for control in self._fleet.controls
+            if control.node_id in voters and control is not excluded
+        ]
+        return remaining or [control for control in self._fleet.controls if control is not excluded]
 
     def _partition_from_control(self, control: ControlNode) -> None:
-        """Cut one control process off from the others; it falls behind."""
+        """Partition one control process from the others, so that it lags behind."""
         for other in self._fleet.controls:
             if other is not control:
                 self._environment.cut(control.address, other.address)
 
     def _fail_power(self, lost: list[ControlNode]) -> None:
-        """Have every process lose power, and some their disks; links heal with the power."""
+        """Kill all control processes and routers, erase the disks of some, and heal all links.
+
+        The processes are started again after a random delay.
+        """
         for process in [*self._fleet.controls, *self._fleet.routers]:
             process.kill()
             self._environment.schedule(self._random.uniform(0.3, 1.5), process.start)
@@ -310,30 +334,31 @@
         self._heal_links()
         self.power_failures += 1
 
-    def _halve_control(self) -> None:
-        """Cut the control processes into two halves that everybody else still reaches.
+    def _partition_control_in_halves(self) -> None:
+        """Partition the control processes into two halves; routers still reach both halves.
 
-        The halves change from one moment to the next: whoever was alone wants an election, and is
-        joined by a process that has just heard the leader, which is alone now and still has its
-        lease. The leader may also freeze, and wake in the smaller half.
+        The halves change with each call. A process that was isolated starts an election, and may
+        now be in one half with a process that has just received a heartbeat of the leader, while
+        the leader is isolated and still holds its lease. The leader may also freeze, and resume in
+        the smaller half.
         """
         self._heal_links()
         leader = self._fleet.leader()
-        if leader is not None and self._random.random() < FREEZE_SHARE:
+        if leader is not None and self._random.random() < FREEZE_PROBABILITY:
             leader.freeze(self._random.uniform(0.1, 3.0))
         names = [control.address for control in self._fleet.controls]
         self._random.shuffle(names)
         half = len(names) // 2
-        for one in names[:half]:
+        for name in names[:half]:
             for other in names[half:]:
-                self._environment.cut(one, other)
-        if self._random.random() < HEALING_SHARE:
+                self._environment.cut(name, other)
+        if self._random.random() < HEALING_PROBABILITY:
             self._environment.schedule(self._random.uniform(0.1, 1.4), self._heal_links)
 
     def _restart_in_turn(self) -> None:
-        everything = [*self._fleet.controls, *self._fleet.routers]
-        self._random.shuffle(everything)
-        for number, process in enumerate(everything):
+        processes = [*self._fleet.controls, *self._fleet.routers]
+        self._random.shuffle(processes)
+        for number, process in enumerate(processes):
             self._environment.schedule(number * 1.0, process.kill)
             self._environment.schedule(number * 1.0 + 0.7, process.start)
 
--- a/src/orchidpath/simulation/fault_period.py
+++ b/src/orchidpath/simulation/fault_period.py
@@ -1,15 +1,15 @@
-"""What operators and workers do while faults strike."""
+"""Changes that operators and workers make while faults are injected."""
 
 from orchidpath.simulation.fleet_simulation import FleetSimulation
 
 
 class FaultPeriod:
-    """Orders and workers' changes, until it is stopped.
+    """Submits configuration updates and changes workers until it is stopped.
 
     Parameters
     ----------
     fleet
-        The fleet.
+        The simulated fleet.
     """
 
     def __init__(self, fleet: FleetSimulation) -> None:
@@ -17,16 +17,16 @@
         self._active = True
 
     def stop(self) -> None:
-        """Do nothing more."""
+        """Make no further changes."""
         self._active = False
 
     def submit(self) -> None:
-        """Let an operator send an order, with a bound on how many wait."""
+        """Let an operator submit a configuration update, unless four are pending."""
         if self._active and self._fleet.operators.pending < 4:
             self._fleet.operators.submit_new()
 
     def change_worker(self) -> None:
-        """Let a worker drain, die or come back."""
+        """Start, drain or crash a random worker."""
         if not self._active:
             return
         worker = self._fleet.environment.random.choice(self._fleet.workers)
@@ -35,4 +35,4 @@
         elif self._fleet.environment.random.random() < 0.5:
             worker.drain()
         else:
-            worker.die()
+            worker.crash()
--- a/src/orchidpath/simulation/fleet_simulation.py
+++ b/src/orchidpath/simulation/fleet_simulation.py
@@ -1,7 +1,8 @@
-"""A whole fleet's control part under faults, in virtual time, from one seed.
+"""Simulation of the control plane of a complete fleet under faults, in virtual time.
 
-Control processes, routers and workers run the very cores of the real processes. What is left out
-is said in docs/PROOFS.md.
+A seed determines the run. Control processes and routers use the same cores as the real processes,
+and so do workers in the simulations where they execute requests or commands. docs/PROOFS.md lists
+what the simulation leaves out.
 """
 
 import msgspec
@@ -19,14 +20,14 @@
 from orchidpath.simulation.worker_node import WorkerNode
 
 START_SECONDS = 8.0
-"""Time for the fleet to form before faults begin."""
+"""Time in which the fleet forms, before the first fault is injected."""
 
 RECOVERY_SECONDS = 12.0
-"""Service must be back within this long after the last fault ended (brief)."""
+"""All routers must serve again within this time after the last fault ended (a requirement)."""
 
 
 class FleetShape(msgspec.Struct, frozen=True, kw_only=True):
-    """How many of each the fleet has; ``voters`` of the control processes vote."""
+    """Number of processes of each role and of zones; ``voters`` control processes are voters."""
 
     controls: int
     routers: int
@@ -38,11 +39,11 @@
 VINBRUG = FleetShape(controls=4, routers=10, zones=4, workers=9)
 AGENCY = FleetShape(controls=3, routers=11, zones=3, workers=12)
 FIVE_VOTERS = FleetShape(controls=7, routers=10, zones=5, workers=9, voters=5)
-"""Two disks may be lost at once."""
+"""With five voters, two disks may be lost at the same time."""
 
 
 class DisabledGuards(msgspec.Struct, frozen=True):
-    """Guards to leave out of each core, to see that the checks notice."""
+    """Guards to disable in each core, to verify that the checks detect their absence."""
 
     raft: frozenset[Guard] = frozenset()
     freshness: frozenset[FreshnessGuard] = frozenset()
@@ -52,16 +53,16 @@
 
 
 class FleetSimulation:
-    """One fleet.
+    """One simulated fleet with its operators and its history.
 
     Parameters
     ----------
     seed
-        Determines everything that happens.
+        Determines the whole run.
     shape
-        How many processes of each role.
+        Number of processes of each role.
     disabled
-        Guards to leave out.
+        Guards to disable.
     """
 
     def __init__(self, seed: int, shape: FleetShape, disabled: DisabledGuards) -> None:
@@ -96,23 +97,26 @@
             router.on_observed = self._router_observed
 
     def prepare(self, disabled: DisabledGuards) -> None:
-        """Make what the processes of a fleet share, before any of them; here nothing."""
+        """Create the objects that the processes share, before any process is created.
+
+        The base class has no such objects. Subclasses override this method.
+        """
 
     def make_router(
         self, name: str, zone: str, seeds: list[str], disabled: DisabledGuards
     ) -> RouterNode:
-        """Make a router."""
+        """Return a new router that handles no requests."""
         return RouterNode(self.environment, name, zone, seeds, disabled.freshness)
 
     def make_workers(self, shape: FleetShape) -> None:
-        """Make workers that only announce themselves."""
+        """Create workers that announce themselves but handle no requests."""
         self.workers = [
             WorkerNode(self.environment, f"w{number}", self.routers)
             for number in range(shape.workers)
         ]
 
     def start(self) -> None:
-        """Start everything and let the fleet form."""
+        """Start all processes and run until the fleet has formed (`START_SECONDS`)."""
         voters = [control.load_identity() for control in self.controls[: self.shape.voters]]
         addresses = {node_id: node_id.partition(".")[0] for node_id in voters}
         membership = Membership(tuple(voters), (), addresses)
@@ -127,7 +131,7 @@
         self.environment.run_until(START_SECONDS)
 
     def heal(self) -> None:
-        """End every fault and start what is down."""
+        """End all faults and start all processes that are not running."""
         self.environment.network = NetworkFaults()
         self.environment.partitioned_links.clear()
         self.operators.answers_get_lost = False
@@ -143,24 +147,29 @@
                 worker.start()
 
     def leader(self) -> ControlNode | None:
-        """Return the control process that may speak for the fleet now."""
+        """Return the control process that currently has authority over the fleet, if any."""
         for control in self.controls:
             if self._has_authority(control):
                 return control
         return None
 
     def check_recovered(self) -> None:
-        """Check, after `RECOVERY_SECONDS` without faults, that the fleet serves and lost nothing.
+        """Check that the fleet serves again and has lost no confirmed configuration update.
+
+        The caller must have run `RECOVERY_SECONDS` of virtual time without faults.
 
         Raises
         ------
         InvariantError
-            It does not.
+            There is no leader, the set of voters is incomplete, a router has no fresh view, a new
+            configuration update is not confirmed, or the final state contradicts the history.
         """
         self._check_final_state()
         unready = [router.address for router in self.routers if not router.is_fresh()]
         if unready:
-            raise InvariantError(f"not serving again: {', '.join(unready)}")
+            raise InvariantError(
+                f"routers not serving after the faults ended: {', '.join(unready)}"
+            )
         before = self.history.confirmed_updates
         leader = self.leader()
         assert leader is not None
@@ -169,7 +178,7 @@
         self.operators.submit(order)
         self.environment.run_until(self.environment.time + RECOVERY_SECONDS)
         if self.history.confirmed_updates == before:
-            raise InvariantError("no order is confirmed after the faults ended")
+            raise InvariantError("no configuration update was confirmed after the faults ended")
         self._check_final_state()
 
     def _check_final_state(self) -> None:
@@ -180,7 +189,7 @@
         membership = leader.core.raft.membership
         desired = {control.node_id for control in self.controls}
         if len(membership.voters) != self.shape.voters or not set(membership.voters) <= desired:
-            raise InvariantError(f"the voters are not whole again: {membership.voters}")
+            raise InvariantError(f"the set of voters was not restored: {membership.voters}")
         order_by_version = {entry.version: entry.order_id for entry in state.history()}
         self.history.check_final_state(state.configuration_version, order_by_version)
 
@@ -190,11 +199,15 @@
         return running and core is not None and core.has_authority(control.now)
 
     def _control_turned(self, control: ControlNode) -> None:
-        """Check after each turn of a control process what only the whole fleet shows."""
+        """Check the invariants that span several processes, after a turn of a control process.
+
+        At most one control process has authority. When the leader confirms a newer revision, all
+        routers are checked against it.
+        """
         core = control.core
         if core is None or not core.has_authority(control.now):
             return
-        leaders = [one.node_id for one in self.controls if self._has_authority(one)]
+        leaders = [node.node_id for node in self.controls if self._has_authority(node)]
         self.history.leaders_observed(leaders)
         if core.duties is None:
             return
--- a/src/orchidpath/simulation/operators.py
+++ b/src/orchidpath/simulation/operators.py
@@ -1,4 +1,8 @@
-"""Simulated operators: they build on what they read, race, lose answers and send orders again."""
+"""Simulated operators, who submit configuration updates.
+
+Operators base an update on the version that they read, submit concurrent updates on the same
+version, lose replies, and send updates again.
+"""
 
 import itertools
 
@@ -9,26 +13,26 @@
 from orchidpath.wire.configuration import Configuration, Service, ServiceKind
 from orchidpath.wire.messages import UpdateStatus
 
-ANSWER_TIMEOUT_SECONDS = 8.0
-"""An operator who hears nothing for this long sends the same order again."""
+REPLY_TIMEOUT_SECONDS = 8.0
+"""An operator who receives no reply within this time sends the same update again."""
 
-LOST_ANSWER_SHARE = 0.15
-"""Share of answers that never reach the operator while faults strike."""
+LOST_REPLY_PROBABILITY = 0.15
+"""Probability that a reply is lost while faults are injected."""
 
 FINAL_ANSWERS = {UpdateStatus.CONFIRMED, UpdateStatus.CONFLICT}
 
 
 class Operators:
-    """All operators of a run.
+    """All operators of one run.
 
     Parameters
     ----------
     environment
-        Virtual time and chance.
+        Source of virtual time and random numbers.
     controls
-        Control processes that they speak to, each picked at random.
+        Control processes that operators connect to; each time one is selected at random.
     history
-        Where they write down what they sent and were told.
+        Records the updates and their replies.
     """
 
     def __init__(
@@ -42,14 +46,17 @@
         self._numbers = itertools.count(1)
 
     def submit_new(self) -> None:
-        """Read a version at any control process and send an order built on it."""
+        """Read the version at a random control process and submit an update based on it.
+
+        With a probability of 0.3, two updates compete for the same version.
+        """
         base_version = self._read_version()
-        rivals = 2 if self._environment.random.random() < 0.3 else 1
-        for _ in range(rivals):
+        competing_updates = 2 if self._environment.random.random() < 0.3 else 1
+        for _ in range(competing_updates):
             self.submit(self.new_order(base_version))
 
     def new_order(self, base_version: int) -> SubmitConfiguration:
-        """Make an order with content of its own."""
+        """Return a new update whose content differs from all others of the run."""
         number = next(self._numbers)
         service = Service(name=f"service-{number}", kind=ServiceKind.PLAIN)
         configuration = Configuration(services=[service])
@@ -61,21 +68,23 @@
         )
 
     def submit(self, order: SubmitConfiguration) -> None:
-        """Send an order until its outcome is known."""
+        """Submit an update; it is sent again until it is confirmed or in conflict."""
         self.pending += 1
         self._send(order)
 
     def _send(self, order: SubmitConfiguration) -> None:
-        self._history.sent(order.order_id, order.base_version)
+        self._history.record_sent(order.order_id, order.base_version)
         answered = False
 
         def on_answer(answer: UpdateStatus, version: int) -> None:
             nonlocal answered
-            lost = self.answers_get_lost and self._environment.random.random() < LOST_ANSWER_SHARE
+            lost = (
+                self.answers_get_lost and self._environment.random.random() < LOST_REPLY_PROBABILITY
+            )
             if answered or lost:
                 return
             answered = True
-            self._history.answered(order.order_id, answer, version)
+            self._history.record_reply(order.order_id, answer, version)
             if answer in FINAL_ANSWERS:
                 self.pending -= 1
                 return
@@ -89,12 +98,16 @@
                 answered = True
                 self._send(order)
 
-        self._environment.schedule(ANSWER_TIMEOUT_SECONDS, on_timeout)
+        self._environment.schedule(REPLY_TIMEOUT_SECONDS, on_timeout)
         self._environment.random.choice(self._controls).submit(order, on_answer)
 
     def _read_version(self) -> int:
-        """Read at any process, also one that lags: an old version must only conflict."""
-        running = [one.core for one in self._controls if one.core is not None]
+        """Read the configuration version at any running process.
+
+        The process may lag behind; an update that is based on an old version must be rejected as a
+        conflict, and have no other effect.
+        """
+        running = [control.core for control in self._controls if control.core is not None]
         if not running:
             return 0
         return self._environment.random.choice(running).state.configuration_version
--- a/src/orchidpath/simulation/plan_simulation.py
+++ b/src/orchidpath/simulation/plan_simulation.py
@@ -1,11 +1,13 @@
-"""Plans on a simulated fleet under faults: real control cores, routers' leases, workers' fences.
+"""Simulation of plans on a fleet under faults.
 
-Operators change the desired split and confirm, halt, resume and cancel plans while control
-processes are killed, frozen and partitioned, workers fall silent or restart, and commands to
-workers are lost, late and doubled. What must hold (docs/design/plans.md): a worker changes its
-stage only while no router that serves would give it a request; a plan cordons no more workers than
-it may; and once the faults are over, nobody is left cordoned or draining, and the next plan reaches
-the desired split.
+It uses the real control cores, the leases of the routers and the command fences of the workers.
+Operators change the desired split and confirm, halt, resume and cancel plans. At the same time,
+control processes are killed, frozen and partitioned, workers freeze or restart, and commands to
+workers are lost, delayed and duplicated.
+
+Invariants (docs/design/plans.md): a worker changes its stage only while no router that serves would
+send it a request; a plan never cordons more workers than its limit; and after the faults no worker
+is left cordoned or draining, and the next plan reaches the desired split.
 
 Run ``python -m orchidpath.simulation.plan_simulation --seeds 0..99``.
 """
@@ -48,38 +50,38 @@
 MAX_CORDONED = 2
 SERVICE = "chat"
 
-LOST_ORDER_SHARE = 0.15
-"""Share of orders, and of answers, that get lost."""
+LOST_COMMAND_PROBABILITY = 0.15
+"""Probability that a command to a worker, or its reply, is lost."""
 
-LATE_ORDER_SHARE = 0.1
-"""Share of orders that come a second time, much later."""
+DUPLICATED_COMMAND_PROBABILITY = 0.1
+"""Probability that a command is delivered a second time, after a long delay."""
 
-LATEST_ORDER_SECONDS = 20.0
-"""A late order is up to this old when it arrives."""
+MAX_COMMAND_DELAY_SECONDS = 20.0
+"""Upper bound of the delay of a duplicated command."""
 
 SPLIT_PERIOD_SECONDS = 9.0
-"""Time between two changes of the desired split."""
+"""Average time between two changes of the desired split."""
 
 PLAN_ACTION_PERIOD_SECONDS = 1.5
-"""Time between two orders about plans."""
+"""Average time between two plan actions."""
 
 WORKER_FAULT_PERIOD_SECONDS = 6.0
-"""Time between two workers that fall silent or restart."""
+"""Average time between two faults of workers; in each, a worker freezes or restarts."""
 
-MAX_SILENCE_SECONDS = 8.0
-"""A worker that falls silent wakes within this long; after 2 s it counts as lost."""
+MAX_WORKER_FREEZE_SECONDS = 8.0
+"""Longest time for which a worker freezes; without announcements for 2 s it counts as lost."""
 
 MAX_CONFIRM_ATTEMPTS = 5
-"""After the faults an operator confirms this many times at most, a second apart."""
+"""Largest number of confirmations of a plan after the faults, one per second."""
 
 NO_GUARD_DISABLED = DisabledGuards()
 
 CONVERGENCE_SECONDS = 120.0
-"""A plan is over, whatever happened to it, within this long after the last fault."""
+"""Every plan must have ended, with any status, within this time after the last fault."""
 
 
 class PlanScenarioResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What came of one seed."""
+    """Result of one scenario with plans under one seed."""
 
     scenario: Scenario
     seed: int
@@ -89,32 +91,34 @@
 
 
 class PlanWorker:
-    """One worker: announces itself through random routers and applies orders as the emulator does.
+    """One worker, which announces itself through random routers.
+
+    It executes commands with the core of the worker emulator.
 
     Parameters
     ----------
     simulation
-        The fleet that it belongs to.
+        The simulation that the worker belongs to.
     record
-        How it announces itself at first.
+        Record in the first announcements of the worker.
     """
 
     def __init__(self, simulation: "PlanSimulation", record: WorkerRecord) -> None:
         self._simulation = simulation
         self._sequence = 0
         self._restarts = 0
-        self._silent = False
-        self._waiting: list[WorkerCommand] = []
+        self._frozen = False
+        self._deferred_commands: list[WorkerCommand] = []
         self.core = BackendCore(record, max_in_flight=8)
-        simulation.fleet.environment.schedule(0.0, self._announce_forever)
+        simulation.fleet.environment.schedule(0.0, self._announce_periodically)
 
-    def fall_silent(self, duration_seconds: float) -> None:
-        """Freeze the process: it announces nothing, and orders wait until it wakes."""
-        self._silent = True
-        self._simulation.fleet.environment.schedule(duration_seconds, self._wake)
+    def freeze(self, duration_seconds: float) -> None:
+        """Freeze the worker: it announces nothing, and commands are deferred until it resumes."""
+        self._frozen = True
+        self._simulation.fleet.environment.schedule(duration_seconds, self._resume)
 
     def restart(self) -> None:
-        """Begin again as another incarnation in the part that it had."""
+        """Restart as a new incarnation that keeps its stage."""
         self._restarts += 1
         record = msgspec.structs.replace(
             self.core.record,
@@ -122,34 +126,42 @@
             status=WorkerStatus.READY,
         )
         self._sequence = 0
-        self._waiting.clear()
+        self._deferred_commands.clear()
         self.core = BackendCore(record, max_in_flight=8)
 
-    def execute(self, order: WorkerCommand) -> WorkerCommandReply | None:
-        """Take an order and announce what has changed; no answer from a frozen process."""
-        if self._silent:
-            self._waiting.append(order)
+    def execute(self, command: WorkerCommand) -> WorkerCommandReply | None:
+        """Execute a command and announce the record if it changed.
+
+        Returns
+        -------
+        WorkerCommandReply or None
+            The reply, or None if the worker is frozen; the command is then deferred.
+        """
+        if self._frozen:
+            self._deferred_commands.append(command)
             return None
         before = self.core.record
-        reply = self.core.execute(order, handles_outstanding=0)
-        if reply.accepted and order.kind is WorkerCommandKind.SET_STAGE:
-            self._simulation.worker_switched(order.worker_id)
+        reply = self.core.execute(command, handles_outstanding=0)
+        if reply.accepted and command.kind is WorkerCommandKind.SET_STAGE:
+            self._simulation.worker_switched(command.worker_id)
         if self.core.record != before:
             self._announce()
         return reply
 
-    def _wake(self) -> None:
-        self._silent = False
-        waiting, self._waiting = self._waiting, []
-        for order in waiting:
-            self.execute(order)
+    def _resume(self) -> None:
+        self._frozen = False
+        commands, self._deferred_commands = self._deferred_commands, []
+        for command in commands:
+            self.execute(command)
 
-    def _announce_forever(self) -> None:
+    def _announce_periodically(self) -> None:
         self._announce()
-        self._simulation.fleet.environment.schedule(ANNOUNCE_PERIOD_SECONDS, self._announce_forever)
+        self._simulation.fleet.environment.schedule(
+            ANNOUNCE_PERIOD_SECONDS, self._announce_periodically
+        )
 
     def _announce(self) -> None:
-        if self._silent:
+        if self._frozen:
             return
         self._sequence += 1
         router = self._simulation.fleet.environment.random.choice(self._simulation.fleet.routers)
@@ -157,14 +169,14 @@
 
 
 class PlanSimulation:
-    """One fleet with plan workers.
+    """One simulated fleet whose workers execute the commands of plans.
 
     Parameters
     ----------
     seed
-        Determines everything that happens.
+        Determines the whole run.
     disabled
-        Guards to leave out.
+        Guards to disable.
     """
 
     def __init__(self, seed: int, disabled: DisabledGuards) -> None:
@@ -175,30 +187,36 @@
         self._numbers = itertools.count(1)
         self._random = self.fleet.environment.random
         for control in self.fleet.controls:
-            control.on_worker_command = self._carry_order
+            control.on_worker_command = self._deliver_command
         self.workers = {
-            f"w{number}": PlanWorker(self, _first_record(number)) for number in range(WORKERS)
+            f"w{number}": PlanWorker(self, _initial_record(number)) for number in range(WORKERS)
         }
 
     def run(self, scenario: Scenario) -> None:
-        """Run a scenario of faults with operators at work, then check that all is well again."""
+        """Run a fault scenario while operators act on plans, then check the final state.
+
+        Raises
+        ------
+        InvariantError
+            An invariant of plans was violated during the faults or after them.
+        """
         environment = self.fleet.environment
         self.fleet.start()
         driver = FaultDriver(self.fleet)
         driver.begin(scenario)
         environment.repeat(SPLIT_PERIOD_SECONDS, self._change_split)
-        environment.repeat(PLAN_ACTION_PERIOD_SECONDS, self._order_about_plan)
-        environment.repeat(WORKER_FAULT_PERIOD_SECONDS, self._disturb_worker)
+        environment.repeat(PLAN_ACTION_PERIOD_SECONDS, self._act_on_plan)
+        environment.repeat(WORKER_FAULT_PERIOD_SECONDS, self._inject_worker_fault)
         environment.repeat(0.05, self._check_cordoned)
         environment.run_until(environment.time + FAULT_TIME_SECONDS)
         driver.stop()
         self.active = False
         self.fleet.heal()
         environment.run_until(environment.time + RECOVERY_SECONDS)
-        self._finish()
+        self._check_recovered()
 
     def worker_switched(self, worker_id: str) -> None:
-        """Check that no router that serves would give the worker a request now."""
+        """Check that no router that serves would currently send a request to the worker."""
         self.switches += 1
         for router in self.fleet.routers:
             if not router.is_fresh() or router.view is None:
@@ -207,19 +225,25 @@
                 if worker.worker_id == worker_id and is_serving(worker):
                     raise InvariantError(f"{worker_id} switched while {router.address} uses it")
 
-    def _finish(self) -> None:
-        """Let what runs end, then one undisturbed plan reach the desired split."""
+    def _check_recovered(self) -> None:
+        """Wait for the current plan to end, then check that plans without faults reach their split.
+
+        Two plans are run, one for each of two desired splits.
+        """
         environment = self.fleet.environment
-        self._wait_until_over()
+        self._wait_until_plan_ended()
         for desired_prefill in (2, 6):
             self._submit_split(desired_prefill)
             environment.run_until(environment.time + 3.0)
             self._confirm_until_accepted()
-            self._wait_until_over()
+            self._wait_until_plan_ended()
             self._check_settled(desired_prefill)
 
     def _confirm_until_accepted(self) -> None:
-        """Confirm a few times: a control process that still catches up shows an older plan."""
+        """Confirm the plan, several times if needed.
+
+        A control process that is still catching up may show an older plan.
+        """
         environment = self.fleet.environment
         for _ in range(MAX_CONFIRM_ATTEMPTS):
             self._confirm()
@@ -229,7 +253,7 @@
             if plan and plan.plan.configuration_version == state.configuration_version:
                 return
 
-    def _wait_until_over(self) -> None:
+    def _wait_until_plan_ended(self) -> None:
         environment = self.fleet.environment
         deadline = environment.time + CONVERGENCE_SECONDS
         while True:
@@ -238,11 +262,11 @@
             if plan is None or not plan.active:
                 break
             if plan.progress.status is PlanStatus.HALTED:
-                self._order(PlanAction.CANCEL, plan.plan.plan_id)
+                self._submit_plan_action(PlanAction.CANCEL, plan.plan.plan_id)
             if environment.time > deadline:
                 raise InvariantError(f"the plan does not end: {plan.progress}")
             environment.run_until(environment.time + 1.0)
-        environment.run_until(environment.time + LATEST_ORDER_SECONDS + 5.0)
+        environment.run_until(environment.time + MAX_COMMAND_DELAY_SECONDS + 5.0)
 
     def _check_settled(self, desired_prefill: int) -> None:
         state = self._state()
@@ -250,13 +274,19 @@
             if worker.cordoned or worker.status is not WorkerStatus.READY:
                 raise InvariantError(f"left behind: {worker.worker_id} {worker.status}")
             if self.workers[worker.worker_id].core.record.stage is not worker.stage:
-                raise InvariantError(f"{worker.worker_id} has another part than is agreed")
+                raise InvariantError(
+                    f"{worker.worker_id} runs another stage than the committed one, {worker.stage}"
+                )
         if len(state.workers()) != WORKERS:
-            raise InvariantError("a worker is missing")
+            raise InvariantError(
+                "the fleet state has a different number of workers than the simulation"
+            )
         prefill = sum(1 for worker in state.workers() if worker.stage is Stage.PREFILL)
         if prefill != desired_prefill:
             plan = state.plan
-            raise InvariantError(f"{prefill} of {desired_prefill}: {plan and plan.progress}")
+            raise InvariantError(
+                f"{prefill} of {desired_prefill} prefill workers: {plan and plan.progress}"
+            )
 
     def _state(self) -> FleetState:
         leader = self.fleet.leader()
@@ -271,21 +301,21 @@
         state = leader.core.state
         cordoned = [worker.worker_id for worker in state.workers() if worker.cordoned]
         if len(cordoned) > MAX_CORDONED:
-            raise InvariantError(f"{len(cordoned)} held back at once: {cordoned}")
+            raise InvariantError(f"{len(cordoned)} workers cordoned at the same time: {cordoned}")
         plan = state.plan
         if plan is not None and not plan.active:
             self.ended[plan.plan.plan_id] = plan.progress.status
             if cordoned:
-                raise InvariantError(f"held back by no plan: {cordoned}")
+                raise InvariantError(f"workers cordoned without an active plan: {cordoned}")
 
-    def _disturb_worker(self) -> None:
+    def _inject_worker_fault(self) -> None:
         if not self.active:
             return
         worker = self.workers[self._random.choice(sorted(self.workers))]
         if self._random.random() < 0.3:
             worker.restart()
         else:
-            worker.fall_silent(self._random.uniform(0.5, MAX_SILENCE_SECONDS))
+            worker.freeze(self._random.uniform(0.5, MAX_WORKER_FREEZE_SECONDS))
 
     def _change_split(self) -> None:
         if self.active:
@@ -313,28 +343,28 @@
         )
         leader.submit(order, lambda *_: None)
 
-    def _order_about_plan(self) -> None:
+    def _act_on_plan(self) -> None:
         if not self.active:
             return
-        running = [one.core for one in self.fleet.controls if one.core is not None]
+        running = [control.core for control in self.fleet.controls if control.core is not None]
         plan = self._random.choice(running).state.plan if running else None
         if plan is None or not plan.active:
             self._confirm()
         elif plan.progress.status is PlanStatus.HALTED:
             action = self._random.choice((PlanAction.RESUME, PlanAction.CANCEL))
-            self._order(action, plan.plan.plan_id)
+            self._submit_plan_action(action, plan.plan.plan_id)
         elif self._random.random() < 0.1:
             action = self._random.choice((PlanAction.HALT, PlanAction.CANCEL))
-            self._order(action, plan.plan.plan_id)
+            self._submit_plan_action(action, plan.plan.plan_id)
 
     def _confirm(self) -> None:
-        """Confirm what any control process shows, also one that lags behind."""
-        running = [one.core for one in self.fleet.controls if one.core is not None]
+        """Confirm the plan that a random control process shows, which may lag behind."""
+        running = [control.core for control in self.fleet.controls if control.core is not None]
         if running:
             preview = make_preview(self._random.choice(running).state.view())
-            self._order(PlanAction.CONFIRM, preview.plan.plan_id)
+            self._submit_plan_action(PlanAction.CONFIRM, preview.plan.plan_id)
 
-    def _order(self, action: PlanAction, plan_id: str) -> None:
+    def _submit_plan_action(self, action: PlanAction, plan_id: str) -> None:
         number = next(self._numbers)
         request = PlanActionRequest(
             correlation=number, order_id=f"plan-order-{number}", action=action, plan_id=plan_id
@@ -346,34 +376,36 @@
         if leader is not None:
             leader.request_plan_action(request)
 
-    def _carry_order(self, control: ControlNode, order: WorkerCommand) -> None:
-        """Carry an order to its worker, lose it, or bring it a second time much later."""
+    def _deliver_command(self, control: ControlNode, command: WorkerCommand) -> None:
+        """Deliver a command to its worker; it may be lost, or delivered again much later."""
         environment = self.fleet.environment
-        worker = self.workers[order.worker_id]
-        if self._random.random() < LATE_ORDER_SHARE:
+        worker = self.workers[command.worker_id]
+        if self._random.random() < DUPLICATED_COMMAND_PROBABILITY:
             environment.schedule(
-                self._random.uniform(0.0, LATEST_ORDER_SECONDS), lambda: _ignore(worker, order)
+                self._random.uniform(0.0, MAX_COMMAND_DELAY_SECONDS),
+                lambda: _execute_late(worker, command),
             )
-        if self._random.random() < LOST_ORDER_SHARE:
+        if self._random.random() < LOST_COMMAND_PROBABILITY:
             return
         epoch = control.epoch
 
-        def arrive() -> None:
-            reply = worker.execute(order)
-            lost = self._random.random() < LOST_ORDER_SHARE or control.epoch != epoch
+        def deliver() -> None:
+            reply = worker.execute(command)
+            lost = self._random.random() < LOST_COMMAND_PROBABILITY or control.epoch != epoch
             if reply is None or lost:
                 return
             delay_seconds = self._random.uniform(0.001, 0.05)
-            control.after(delay_seconds, lambda: control.worker_command_answered(order, reply))
+            control.after(delay_seconds, lambda: control.worker_command_answered(command, reply))
 
-        environment.schedule(self._random.uniform(0.001, 0.05), arrive)
+        environment.schedule(self._random.uniform(0.001, 0.05), deliver)
 
 
-def _ignore(worker: PlanWorker, order: WorkerCommand) -> None:
-    worker.execute(order)
+def _execute_late(worker: PlanWorker, command: WorkerCommand) -> None:
+    """Execute a duplicated command; its reply is dropped."""
+    worker.execute(command)
 
 
-def _first_record(number: int) -> WorkerRecord:
+def _initial_record(number: int) -> WorkerRecord:
     return WorkerRecord(
         worker_id=f"w{number}",
         incarnation=f"w{number}-1",
@@ -389,7 +421,7 @@
 def run_plan_scenario(
     scenario: Scenario, seed: int, disabled: DisabledGuards = NO_GUARD_DISABLED
 ) -> PlanScenarioResult:
-    """Run one scenario of faults with plans under one seed."""
+    """Run one fault scenario with plans under one seed and return the result."""
     simulation = PlanSimulation(seed, disabled)
     violation = None
     try:
@@ -406,10 +438,15 @@
 
 
 def main() -> None:
-    """Run scenarios over seeds and print what came of each; exit 1 on a violation."""
+    """Run a scenario under a range of seeds and print each result as JSON.
+
+    The exit status is 1 if an invariant was violated.
+    """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="0..9", help="as A..B")
-    parser.add_argument("--scenario", default="mixed", choices=[one.value for one in Scenario])
+    parser.add_argument(
+        "--scenario", default="mixed", choices=[scenario.value for scenario in Scenario]
+    )
     arguments = parser.parse_args()
     first, _, last = arguments.seeds.partition("..")
     failed = False
--- a/src/orchidpath/simulation/raft/__init__.py
+++ b/src/orchidpath/simulation/raft/__init__.py
@@ -1,5 +1,5 @@
-"""A replica group alone under faults, in virtual time.
+"""Simulation of a single Raft group under faults, in virtual time.
 
-Start with :mod:`.group`; the invariants are in :mod:`.invariants`. Imported by
-:mod:`orchidpath.simulation` and its command only.
+The entry point is :mod:`.group`; the invariants are in :mod:`.invariants`. Only
+:mod:`orchidpath.simulation` and its command import this package.
 """
--- a/src/orchidpath/simulation/raft/fault_injection.py
+++ b/src/orchidpath/simulation/raft/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a plan into a simulated replica group."""
+"""Injects the faults of a fault plan into a simulated Raft group."""
 
 import random as random_module
 
@@ -9,7 +9,7 @@
 from orchidpath.simulation.raft.fault_plan import (
     FaultPlan,
     GroupFault,
-    draw_membership,
+    choose_membership,
     links_between,
 )
 from orchidpath.simulation.raft.replica_machine import Machine
@@ -17,16 +17,16 @@
 
 
 class FaultInjector:
-    """Draws faults by the weights of a plan, and picks the machines that they hit.
+    """Selects faults at random by the weights of a fault plan, and the machines they affect.
 
     Parameters
     ----------
     group
-        The group.
+        The simulated group.
     plan
-        How often each fault occurs.
+        Weight of each fault.
     random
-        Source of the draws.
+        Random number generator of the run.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._random = random
 
     def inject(self) -> None:
-        """Inject one fault of the plan; after the faults ended, repair the membership."""
+        """Inject one random fault; once faults have ended, repair the membership instead."""
         if not self._group.faults_active:
             self._repair_membership()
             return
@@ -63,18 +63,18 @@
         self._block(links_between(side, names - side))
 
     def _partition_one_way(self) -> None:
-        """Block one direction: to one machine, to all, or from all."""
+        """Block one direction of links: from a machine to one or all others, or from all to it."""
         machine = self._pick()
         others = [other for other in self._group.machines if other is not machine]
-        kind = self._random.choice(("pair", "mute", "deaf"))
-        if kind == "pair":
+        kind = self._random.choice(("one_link", "outgoing", "incoming"))
+        if kind == "one_link":
             others = [self._random.choice(others)]
         outgoing = {(machine.name, other.name) for other in others}
         incoming = {(other.name, machine.name) for other in others}
-        self._block(incoming if kind == "deaf" else outgoing)
+        self._block(incoming if kind == "incoming" else outgoing)
 
     def _pick(self) -> Machine:
-        """Prefer the leader at times, where most faults have the largest effect."""
+        """Select a machine; with a probability of 0.4 a leader, where faults have most effect."""
         leaders = self._group.leaders()
         if leaders and self._random.random() < 0.4:
             return self._random.choice(leaders)
@@ -84,7 +84,7 @@
         self._kill(self._pick())
 
     def _kill_most(self) -> None:
-        """Kill all machines at once, or all but one, which may be the leader."""
+        """Kill all machines at the same time, or all but one, which may be the leader."""
         spared = self._random.choice((None, None, self._pick()))
         for machine in self._group.machines:
             if machine is not spared:
@@ -114,9 +114,9 @@
         )
 
     def _lose_disk(self) -> None:
-        """Empty one voter's disk, if the group has three and each holds all that is committed.
+        """Erase one voter's disk, if three or more voters all store every committed entry.
 
-        More losses than that before a repair would lose data by design.
+        A further loss before the membership is repaired could lose committed entries by design.
         """
         for leader in self._group.leaders():
             core = leader.core
@@ -133,7 +133,7 @@
             return
 
     def _change_membership(self) -> None:
-        """Change the membership; at times the leader is partitioned from the other voters."""
+        """Propose a membership change; at times, first partition the leader from other voters."""
         for leader in self._group.leaders():
             if leader.core is not None and self._random.random() < 0.3:
                 self._partition_from_voters(leader, leader.core.membership)
@@ -146,7 +146,7 @@
         self._block(links_between(rest, voters))
 
     def _propose_membership(self, core: RaftCore, now: float) -> list[Effect]:
-        proposed = draw_membership(core.membership, self._group.identities(), self._random)
+        proposed = choose_membership(core.membership, self._group.identities(), self._random)
         try:
             _, effects = core.propose_membership(proposed, now)
         except (NotLeaderError, MembershipChangeError):
@@ -154,7 +154,7 @@
         return effects
 
     def _repair_membership(self) -> None:
-        """After the faults, let lost replicas be removed and new ones join."""
+        """Propose to remove lost replicas and to add new ones, until the membership is complete."""
         for leader in self._group.leaders():
             core = leader.core
             if core is None:
--- a/src/orchidpath/simulation/raft/fault_plan.py
+++ b/src/orchidpath/simulation/raft/fault_plan.py
@@ -1,4 +1,4 @@
-"""Which faults and membership changes a seed injects into a replica group."""
+"""Random selection of the faults and membership changes of a seed."""
 
 import enum
 import random as random_module
@@ -11,7 +11,7 @@
 
 
 class GroupFault(enum.Enum):
-    """What may happen to a replica group."""
+    """Kind of fault, or of operation, that is injected into a Raft group."""
 
     PARTITION = "partition"
     ONE_WAY_PARTITION = "one_way_partition"
@@ -25,7 +25,7 @@
     DISK_LOSS = "disk_loss"
 
 
-# In this order, since a seed's draws depend on it.
+# The order must not change: the random choices of a seed depend on it.
 _COMMON_KINDS = (
     GroupFault.PARTITION,
     GroupFault.ONE_WAY_PARTITION,
@@ -39,7 +39,11 @@
 
 
 class FaultPlan(msgspec.Struct, frozen=True):
-    """Loss and delays of one seed's network, and how often each fault occurs."""
+    """Network faults of one seed, and the weight of each injected fault.
+
+    ``loss``, ``duplication`` and ``late`` are probabilities of each message; ``slow_delay_seconds``
+    is the upper bound of the delay of a message that is not late.
+    """
 
     loss: float
     duplication: float
@@ -50,8 +54,11 @@
     weights: dict[GroupFault, float]
 
 
-def draw_fault_plan(random: random_module.Random) -> FaultPlan:
-    """Draw a mix of faults; some seeds leave some faults out so that others get further."""
+def choose_fault_plan(random: random_module.Random) -> FaultPlan:
+    """Return a random fault plan.
+
+    Some seeds leave out some kinds of faults, so that runs get further under the other kinds.
+    """
     weights = {kind: random.choice((0.0, 1.0, 4.0)) for kind in _COMMON_KINDS}
     weights[GroupFault.HEAL_NETWORK] = 1.0
     weights[GroupFault.MEMBERSHIP_CHANGE] = random.choice((0.0, 2.0, 4.0))
@@ -62,34 +69,35 @@
         late=random.choice((0.0, 0.01, 0.05)),
         slow_delay_seconds=random.choice((0.005, 0.02, 0.1)),
         interval_seconds=random.choice((0.1, 0.3, 0.6)),
-        # Under steady load a replica that missed something can't be elected at all; with
-        # pauses, other rules than the one on logs have to prevent it.
+        # Under steady load, the rule on up-to-date logs alone prevents a replica that missed
+        # entries from being elected; with pauses, the other rules have to prevent it.
         proposal_interval_seconds=random.choice((0.03, 0.3, 1.0)),
         weights=weights,
     )
 
 
 def links_between(one: set[str], other: set[str]) -> set[tuple[str, str]]:
-    """Return the links between two groups of machines, in both directions."""
-    there = {(a, b) for a in one for b in other}
-    return there | {(b, a) for a, b in there}
+    """Return the directed links between two groups of machines, in both directions."""
+    forward = {(a, b) for a in one for b in other}
+    return forward | {(b, a) for a, b in forward}
 
 
-def draw_membership(
+def choose_membership(
     current: Membership, identities: set[str], random: random_module.Random
 ) -> Membership:
-    """Draw a change; removing a lost replica comes first, or the group could get stuck.
+    """Return a random change of a membership, or the same membership if none is possible.
 
-    At times the change concerns several voters at once, which must be rejected.
+    A lost replica is removed before any other change, since the group could otherwise get stuck.
+    Some changes affect several voters at once; the core must reject these.
 
     Parameters
     ----------
     current
         Membership to change.
     identities
-        Replicas that exist; a member that is not among them has lost its disk.
+        Identities of existing replicas; a member that is not among them has lost its disk.
     random
-        Source of the choice.
+        Random number generator of the run.
     """
     voters = list(current.voters)
     learners = list(current.learners)
--- a/src/orchidpath/simulation/raft/group.py
+++ b/src/orchidpath/simulation/raft/group.py
@@ -1,7 +1,7 @@
-"""A replica group under faults, in virtual time, from one seed.
+"""Runs a simulated Raft group under faults, in virtual time; a seed determines the run.
 
-``python -m orchidpath.simulation.raft.group --seeds 0..1000`` runs many seeds. A seed that
-breaks an invariant is printed with the command that replays it exactly.
+``python -m orchidpath.simulation.raft.group --seeds 0..1000`` runs many seeds. A seed that violates
+an invariant is printed with the command that replays the same run.
 """
 
 import random as random_module
@@ -14,16 +14,16 @@
 from orchidpath.consensus.errors import DamagedLogError, ProtocolViolationError
 from orchidpath.consensus.types import Guard
 from orchidpath.simulation.raft.fault_injection import FaultInjector
-from orchidpath.simulation.raft.fault_plan import draw_fault_plan
+from orchidpath.simulation.raft.fault_plan import choose_fault_plan
 from orchidpath.simulation.raft.invariants import History, InvariantViolationError
 from orchidpath.simulation.raft.simulated_group import SimulatedGroup
 
 DEFAULT_FAULT_SECONDS = 10.0
 CONVERGENCE_SECONDS = 8.0
-"""Time after the faults in which the group must recover."""
+"""Time after the end of the faults within which the group must recover."""
 
 COMMIT_SECONDS = 2.0
-"""What was proposed this long before the end must be committed at the end."""
+"""Entries proposed this long before the end of the run must be committed at its end."""
 
 READ_INTERVAL_SECONDS = 0.15
 
@@ -38,12 +38,12 @@
 
 
 class GroupRun:
-    """One seed: a group, its callers, and its faults.
+    """The run of one seed: a group, its callers, and its faults.
 
     Parameters
     ----------
     seed
-        Determines everything that happens.
+        Determines the whole run.
     disabled_guards
         Safety rules to disable, to verify that the checks detect it.
     fault_seconds
@@ -57,7 +57,7 @@
         fault_seconds: float = DEFAULT_FAULT_SECONDS,
     ) -> None:
         self._random = random_module.Random(seed)
-        self._plan = draw_fault_plan(self._random)
+        self._plan = choose_fault_plan(self._random)
         self._fault_seconds = fault_seconds
         self._group = SimulatedGroup(self._plan, self._random, disabled_guards)
         self._injector = FaultInjector(self._group, self._plan, self._random)
@@ -70,16 +70,16 @@
 
     @property
     def history(self) -> History:
-        """What the group has done so far."""
+        """History of the run so far."""
         return self._group.history
 
     def run(self) -> None:
-        """Run faults, then recovery.
+        """Run the period with faults, then the recovery, and check the final state.
 
         Raises
         ------
         InvariantViolationError, ProtocolViolationError
-            A safety rule was broken.
+            An invariant was violated, or the group did not recover.
         """
         self._group.start()
         self._repeat(self._plan.proposal_interval_seconds, self._propose)
@@ -109,18 +109,31 @@
         self._random.choice(self._group.leaders() or self._group.machines).start_read()
 
     def _check_recovered(self, required_index: int) -> None:
-        """Check that the group serves again, has committed, and that all replicas follow."""
+        """Check that the group has recovered.
+
+        One leader holds the lease, all entries up to `required_index` are committed, no
+        acknowledged entry is lost, and every replica has caught up.
+        """
         leaders = [m for m in self._group.leaders() if m.core and m.core.has_lease(m.now)]
         if len(leaders) != 1:
-            raise InvariantViolationError("no leader with a lease after the faults ended")
+            raise InvariantViolationError(
+                f"{len(leaders)} leaders with a lease after the faults ended, expected 1"
+            )
         core = leaders[0].core
         if core is None or core.commit_index < required_index:
-            raise InvariantViolationError("the leader does not commit after the faults ended")
+            raise InvariantViolationError(
+                f"the leader did not commit up to entry {required_index} after the faults ended"
+            )
         if core.commit_index < self._group.history.acknowledged_index:
-            raise InvariantViolationError("acknowledged entries are lost")
+            raise InvariantViolationError(
+                "acknowledged entries are lost: acknowledged up to "
+                f"{self._group.history.acknowledged_index}, committed up to {core.commit_index}"
+            )
         for machine in self._group.machines:
             if machine.core is None or machine.core.commit_index < required_index:
-                raise InvariantViolationError(f"{machine.name} has not caught up")
+                raise InvariantViolationError(
+                    f"{machine.name} has not caught up to entry {required_index}"
+                )
 
 
 def run_seed(
@@ -144,7 +157,7 @@
 @click.option("--seconds", default=DEFAULT_FAULT_SECONDS, help="How long faults are injected.")
 @click.option("--disable", multiple=True, type=click.Choice([guard.value for guard in Guard]))
 def main(seeds: str, seconds: float, disable: tuple[str, ...]) -> None:
-    """Run seeds A..B, both included, and print the ones that break an invariant."""
+    """Run seeds A..B, both included, and print those that violate an invariant."""
     first, _, last = seeds.partition("..")
     guards = frozenset(Guard(value) for value in disable)
     failure_count = 0
--- a/src/orchidpath/simulation/raft/invariants.py
+++ b/src/orchidpath/simulation/raft/invariants.py
@@ -1,7 +1,7 @@
-"""Invariants of every history of a replica group, whatever fails meanwhile.
+"""Safety invariants that every history of a Raft group must satisfy, under any faults.
 
-The checks read what replicas send, apply and answer, and compare replicas with each other; no
-replica's own view of its state is trusted.
+The checks read what replicas send, apply and reply, and compare replicas with each other. They
+don't rely on the state that a single replica reports about itself.
 """
 
 import crc32c
@@ -11,11 +11,11 @@
 
 
 class InvariantViolationError(Exception):
-    """A history broke a safety rule."""
+    """A history violated a safety invariant."""
 
 
 class LeaseView(msgspec.Struct, frozen=True):
-    """What one running replica would answer now."""
+    """Leadership, lease and commit index that a running replica currently reports."""
 
     node: str
     term: int
@@ -25,12 +25,12 @@
 
 
 def next_digest(digest: int, entry: LogEntry) -> int:
-    """Return the digest of a state machine after one more entry."""
+    """Return the digest of a state machine after it applied a further entry."""
     return int(crc32c.crc32c(msgspec.msgpack.encode(entry), digest))
 
 
 class History:
-    """The group's history so far, checked as it grows."""
+    """History of a group; each event is checked when it is recorded."""
 
     def __init__(self) -> None:
         self.acknowledged_index = 0
@@ -40,42 +40,44 @@
 
     @property
     def committed_index(self) -> int:
-        """Last index that any replica has applied."""
+        """Highest index that any replica has applied."""
         return len(self._digest_at) - 1
 
     def record_leader(self, term: int, node: str) -> None:
-        """Check that a term has one leader."""
-        known = self.leader_of_term.setdefault(term, node)
-        if known != node:
-            raise InvariantViolationError(f"term {term} has two leaders: {known}, {node}")
+        """Record a leader and check that its term has no other leader."""
+        recorded = self.leader_of_term.setdefault(term, node)
+        if recorded != node:
+            raise InvariantViolationError(f"term {term} has two leaders: {recorded}, {node}")
 
     def record_vote(self, term: int, voter: str, candidate: str) -> None:
-        """Check that a replica votes once in a term, across its restarts."""
-        known = self._vote_of.setdefault((term, voter), candidate)
-        if known != candidate:
+        """Record a vote and check that the voter votes once per term, also across restarts."""
+        recorded = self._vote_of.setdefault((term, voter), candidate)
+        if recorded != candidate:
             raise InvariantViolationError(
-                f"{voter} voted for {known} and for {candidate} in term {term}"
+                f"{voter} voted for {recorded} and for {candidate} in term {term}"
             )
 
     def record_state(self, node: str, index: int, digest: int) -> None:
-        """Check that all replicas have the same state after the same index."""
-        known = self._digest_at.setdefault(index, digest)
-        if known != digest:
-            raise InvariantViolationError(f"{node} differs at committed entry {index}")
+        """Record a state and check that all replicas have the same state at the same index."""
+        recorded = self._digest_at.setdefault(index, digest)
+        if recorded != digest:
+            raise InvariantViolationError(
+                f"{node} has a different state at committed entry {index}"
+            )
 
     def record_acknowledged(self, index: int) -> None:
         """Record that a caller was notified that the entry at `index` is committed."""
         self.acknowledged_index = max(self.acknowledged_index, index)
 
     def check_read(self, node: str, read_index: int, required_index: int) -> None:
-        """Check that a read saw all that was acknowledged before it began."""
+        """Check that a read returned all entries that were acknowledged before it began."""
         if read_index < required_index:
             raise InvariantViolationError(
                 f"{node} read at {read_index}, but {required_index} was acknowledged before"
             )
 
     def check_leases(self, views: list[LeaseView]) -> None:
-        """Check that a lease excludes other leaders of later terms and stale answers."""
+        """Check that no lease holder has stale data or coexists with a leader of a later term."""
         for holder in views:
             if not holder.has_lease:
                 continue
--- a/src/orchidpath/simulation/raft/replica_machine.py
+++ b/src/orchidpath/simulation/raft/replica_machine.py
@@ -1,4 +1,4 @@
-"""One simulated machine of a replica group: clock, disk, replica, and a shell in virtual time."""
+"""One simulated machine of a Raft group: clock, disk, replica and effect execution."""
 
 import random as random_module
 from collections import deque
@@ -47,28 +47,28 @@
 
 
 class PendingRead(msgspec.Struct, frozen=True):
-    """A read under way, and the last index acknowledged before it began."""
+    """A pending read, and the last index that was acknowledged before it began."""
 
     ticket: ReadTicket
     required_index: int
 
 
 class Network(Protocol):
-    """What a machine needs from its surroundings."""
+    """Interface of the network and the event queue that a machine uses."""
 
     time: float
 
     def schedule(self, delay_seconds: float, action: Callable[[], None]) -> None:
-        """Run an action later."""
+        """Schedule an action to run once, after a delay."""
 
     def transmit(self, sender: str, receiver: str, message: RaftMessage) -> None:
-        """Carry a message, or lose it."""
+        """Transmit a message; the network may lose it."""
 
 
 class Machine:
-    """A machine that can be killed, frozen, slowed, and lose its disk.
+    """A machine that can be killed and frozen, and whose disk can be slow, fail or be lost.
 
-    It has many fields since it is a whole machine: clock, disk, process and callers.
+    It models the clock, the disk, the replica process and the callers of one machine.
     """
 
     def __init__(
@@ -107,11 +107,11 @@
 
     @property
     def now(self) -> float:
-        """The machine's own clock, which runs a little fast or slow."""
+        """Reading of the clock of this machine, in seconds; it runs slightly fast or slow."""
         return self._network.time * self._clock_rate + self._clock_offset
 
     def start(self, bootstrap: Membership | None) -> None:
-        """Start the replica on what the disk holds; without an answering disk it stays down."""
+        """Start the replica from its disk; if the disk fails or is full, the replica stays down."""
         self._incarnation += 1
         self._storage = FileLogStorage(FOLDER, self.files, self._new_identity)
         try:
@@ -146,7 +146,7 @@
         return f"{self.name}-{self._identity_count}"
 
     def kill(self) -> None:
-        """Stop at once; unsynced writes are lost, the last one perhaps in part."""
+        """Kill the replica; unsynced writes are lost, the last one possibly only in part."""
         if self.core is None:
             return
         if self._syncing:
@@ -164,36 +164,37 @@
             return
 
     def reset_disk_latency(self) -> None:
-        """Let syncs return immediately again."""
+        """Reset the sync latency of the disk to zero."""
         self.sync_seconds = 0.0
 
     def lose_disk(self) -> None:
-        """Empty the data folder; the running replica finds out at its next sync."""
+        """Erase the data folder; a running replica detects the loss at its next sync."""
         self.files.remove_folder(FOLDER)
-        # Whatever starts here next is another replica: the old one's promises are lost.
+        # The next replica on this machine gets a new identity, since the votes and entries that
+        # the old one has acknowledged are lost.
         self.identity = ""
 
     def freeze(self, duration_seconds: float) -> None:
-        """Stop executing for a while; messages wait, the clock runs on."""
+        """Freeze the machine; messages are deferred until it resumes, its clock keeps running."""
         if self.core is None or self.frozen:
             return
         self.frozen = True
         self._frozen_at = self.now
         incarnation = self._incarnation
-        self._network.schedule(duration_seconds, lambda: self._wake(incarnation))
+        self._network.schedule(duration_seconds, lambda: self._resume(incarnation))
 
-    def _wake(self, incarnation: int) -> None:
+    def _resume(self, incarnation: int) -> None:
         if incarnation != self._incarnation or self.core is None:
             return
         self.frozen = False
-        self._check_wake(self.core)
+        self._check_lease_after_freeze(self.core)
         while self._inbox and self.core is not None:
             self._handle(self._inbox.popleft())
         self._schedule_tick()
         self._drain()
 
-    def _check_wake(self, core: RaftCore) -> None:
-        """Check that a leader frozen for longer than its lease accepts no proposal."""
+    def _check_lease_after_freeze(self, core: RaftCore) -> None:
+        """Check that a leader that was frozen for longer than its lease accepts no proposal."""
         frozen_seconds = self.now - self._frozen_at
         leads_others = core.role is Role.LEADER and core.membership.voters != (self.identity,)
         if not leads_others or frozen_seconds <= self._settings.leader_lease_seconds:
@@ -202,14 +203,16 @@
             core.propose([b"after a freeze"], self.now)
         except NotLeaderError:
             return
-        raise InvariantViolationError(f"{self.identity} took a proposal after a freeze")
+        raise InvariantViolationError(
+            f"{self.identity} accepted a proposal after a freeze of {frozen_seconds:.3f} s"
+        )
 
     def deliver(self, message: RaftMessage) -> None:
         """Process a message from the network."""
         self.submit(lambda core, now: core.receive(message, now))
 
     def submit(self, event: Event) -> None:
-        """Run an event on the replica, now or when the machine wakes."""
+        """Process an event, immediately or, if the machine is frozen, when it resumes."""
         if self.core is None:
             return
         if self.frozen:
@@ -229,7 +232,7 @@
         self._drain()
 
     def propose(self, payload: bytes) -> None:
-        """Propose a command as a caller would, and record it for its acknowledgement."""
+        """Propose a command on behalf of a caller; it is acknowledged once it is applied."""
         self.submit(lambda core, now: self._propose(core, payload, now))
 
     def _propose(self, core: RaftCore, payload: bytes, now: float) -> list[Effect]:
@@ -241,7 +244,7 @@
         return effects
 
     def start_read(self) -> None:
-        """Begin a read without the lease, as a caller would."""
+        """Start a read on behalf of a caller; it is confirmed by a quorum instead of the lease."""
         self.submit(self._start_read)
 
     def _start_read(self, core: RaftCore, now: float) -> list[Effect]:
@@ -266,7 +269,10 @@
         self.pending_reads = waiting
 
     def _schedule_tick(self) -> None:
-        """Keep one timer; it reads the deadline again when it fires."""
+        """Keep a single timer, which is replaced only by an earlier deadline.
+
+        The deadline is computed again when the timer fires.
+        """
         if self.core is None:
             return
         wait_seconds = max(0.0, self.core.next_deadline(self.now) - self.now) / self._clock_rate
@@ -284,7 +290,7 @@
             self._handle(lambda core, now: core.tick(now))
 
     def _drain(self) -> None:
-        """Execute effects in order; no effect runs before a sync that precedes it has returned."""
+        """Execute effects in order; an effect waits until all syncs before it have completed."""
         while self._effects and not self._syncing and not self.frozen and self.core is not None:
             effect = self._effects[0]
             if isinstance(effect, PersistEffect) and self.sync_seconds > 0:
@@ -313,7 +319,7 @@
         try:
             self._execute(effect)
         except StorageError:
-            # The replica stops for good: its memory is ahead of its disk.
+            # The replica must not continue, since its state in memory is ahead of its disk.
             self._syncing = False
             self.kill()
             return
@@ -331,7 +337,7 @@
 
     def _persist(self, effect: Effect) -> None:
         if self._storage is None:
-            raise ConsensusError("not started")
+            raise ConsensusError(f"{self.name}: storage is not open, the machine was never started")
         if isinstance(effect, PersistHardState):
             self._storage.persist_hard_state(effect.hard_state)
         elif isinstance(effect, PersistEntries):
--- a/src/orchidpath/simulation/raft/simulated_group.py
+++ b/src/orchidpath/simulation/raft/simulated_group.py
@@ -1,4 +1,4 @@
-"""Machines of a replica group and their network, in virtual time."""
+"""The machines of a simulated Raft group and their network, in virtual time."""
 
 import heapq
 import itertools
@@ -22,14 +22,14 @@
 
 
 class SimulatedGroup:
-    """Five machines, their network and their common time.
+    """Five machines, their network and the event queue.
 
     Parameters
     ----------
     plan
-        Loss, duplication and delays of the network.
+        Probabilities of loss and duplication, and delays, of the network.
     random
-        Source of all draws, shared with the callers and the faults of the seed.
+        Random number generator, shared with the callers and the fault injection of the run.
     disabled_guards
         Safety rules to disable, to verify that the checks detect it.
     """
@@ -65,7 +65,7 @@
             machine.start(self._bootstrap)
 
     def block_links(self, links: set[tuple[str, str]], duration_seconds: float) -> None:
-        """Lose all messages on some directed links for a while."""
+        """Drop all messages on some directed links for a limited time."""
         self._blocked_links |= links
         self.schedule(duration_seconds, lambda: self._blocked_links.difference_update(links))
 
@@ -74,11 +74,11 @@
         self._blocked_links.clear()
 
     def schedule(self, delay_seconds: float, action: Callable[[], None]) -> None:
-        """Run an action later."""
+        """Schedule an action to run once, after a delay."""
         heapq.heappush(self._events, (self.time + delay_seconds, next(self._sequence), action))
 
     def transmit(self, sender: str, receiver: str, message: RaftMessage) -> None:
-        """Carry a message, or lose it, late, or twice."""
+        """Transmit a message; while faults are active it may be lost, late or duplicated."""
         if self.faults_active and self._random.random() < self._plan.loss:
             return
         copies = 1
@@ -86,7 +86,7 @@
             copies = 2
         for _ in range(copies):
             action = self._delivery(sender, receiver, message)
-            self.schedule(self._draw_delay(), action)
+            self.schedule(self._random_delay(), action)
 
     def _delivery(self, sender: str, receiver: str, message: RaftMessage) -> Callable[[], None]:
         def deliver() -> None:
@@ -98,13 +98,13 @@
 
         return deliver
 
-    def _draw_delay(self) -> float:
+    def _random_delay(self) -> float:
         if self.faults_active and self._random.random() < self._plan.late:
             return self._random.uniform(0, LATE_MESSAGE_SECONDS)
         return self._random.uniform(0.001, self._plan.slow_delay_seconds)
 
     def run_until(self, end: float) -> None:
-        """Run what is scheduled up to a time, and check the leases after each event."""
+        """Run all events up to a virtual time in seconds, and check the leases after each event."""
         while self._events and self._events[0][0] <= end:
             self.time, _, action = heapq.heappop(self._events)
             action()
@@ -122,16 +122,16 @@
             self.history.check_leases(views)
 
     def leaders(self) -> list[Machine]:
-        """Return the machines whose replica believes that it leads."""
+        """Return the machines whose replica has the leader role; there may be several."""
         return [m for m in self.machines if m.core is not None and m.core.role is Role.LEADER]
 
     def restart(self, machine: Machine) -> None:
-        """Start a machine that is down."""
+        """Start a machine if its replica is not running."""
         if machine.core is None:
             machine.start(self._bootstrap)
 
     def repair_disk(self, machine: Machine) -> None:
-        """Let a disk work again, and start the machine if it is down."""
+        """End the faults of a disk, and start the machine if its replica is not running."""
         machine.files.sync_fails = False
         machine.files.capacity_bytes = None
         self.restart(machine)
@@ -141,7 +141,7 @@
         return {machine.identity for machine in self.machines if machine.identity}
 
     def end_faults(self) -> None:
-        """Heal the network and the disks, and start what is down."""
+        """Heal the network and the disks, and start all replicas that are not running."""
         self.faults_active = False
         self.heal_network()
         for machine in self.machines:
--- a/src/orchidpath/simulation/raft_cluster.py
+++ b/src/orchidpath/simulation/raft_cluster.py
@@ -1,4 +1,4 @@
-"""Former place of :mod:`orchidpath.simulation.raft.group`: ``python -m`` of it still works."""
+"""Former name of :mod:`orchidpath.simulation.raft.group`, kept for ``python -m``."""
 
 from orchidpath.simulation.raft.group import main
 
--- a/src/orchidpath/simulation/router_node.py
+++ b/src/orchidpath/simulation/router_node.py
@@ -1,4 +1,4 @@
-"""A simulated router's control part: the real freshness core and leader finder."""
+"""The control plane client of a simulated router: the real freshness core and leader finder."""
 
 from collections.abc import Callable, Sequence
 
@@ -30,20 +30,22 @@
 
 
 class RouterNode(SimulatedProcess):
-    """One router: its lease, its view, and what it forwards; no requests.
+    """One simulated router, which holds a lease and a view of the fleet but handles no requests.
+
+    It forwards announcements of workers to the leader.
 
     Parameters
     ----------
     environment
-        Where it runs.
+        The environment that the router runs in.
     address
-        Its address, which is its id as well.
+        Network address of the router, which is also its id.
     zone
-        Its zone.
+        Zone of the router.
     seeds
-        Three addresses of any processes.
+        Addresses of processes that the router queries for the leader at first.
     guards
-        Guards to leave out.
+        Guards to disable.
     """
 
     def __init__(
@@ -63,42 +65,42 @@
         self._seeds = seeds
         self._guards = guards
         self._finder = LeaderFinder(seeds, 0.0)
-        self._acknowledging = False
+        self._acknowledgement_scheduled = False
 
     @property
     def node_id(self) -> str:
-        """The router's id."""
+        """Id of the router."""
         return self.address
 
     @property
     def view(self) -> FleetView | None:
-        """The adopted view."""
+        """The adopted view of the fleet, or None before the first one and while not running."""
         return self.core.view if self.core is not None else None
 
     def is_fresh(self) -> bool:
-        """Whether a request that came now would be served."""
+        """Return whether the router would serve a request that arrived now."""
         running = self.alive and not self.frozen and self.core is not None
         return running and self.core is not None and self.core.is_fresh(self.now)
 
     def on_start(self) -> None:
-        """Begin without any view."""
+        """Start as a new incarnation without a view."""
         incarnation = f"{self.address}-{self.epoch}"
         self.core = FreshnessCore(self._record, incarnation, self.now, self._guards)
         self._finder = LeaderFinder(self._seeds, self.now)
-        self._acknowledging = False
+        self._acknowledgement_scheduled = False
         self.every(TURN_SECONDS, self._turn)
 
     def on_kill(self) -> None:
-        """Lose everything: a router needs no disk."""
+        """Discard all state; a router has no disk."""
         self.core = None
 
     def announce(self, announcement: Announcement) -> None:
-        """Forward a worker's announcement."""
+        """Forward an announcement of a worker to the leader, if the router is running."""
         if self.alive and not self.frozen:
             self._send_to_leader(ForwardedAnnouncements(announcements=(announcement,)))
 
     def on_message(self, sender_id: str, message: Message) -> None:
-        """Take a message as the real shell does."""
+        """Process a message in the same way as the shell of the real process."""
         core = self.core
         assert core is not None
         sender_address = sender_id.partition(".")[0]
@@ -146,16 +148,16 @@
                     self.on_view_adopted(effect.view)
 
     def on_view_adopted(self, view: FleetView) -> None:
-        """Apply a newly adopted view; a router without requests has nothing to do."""
+        """Handle a newly adopted view; subclasses that serve requests override this method."""
 
     def _acknowledge_soon(self, delay_seconds: float) -> None:
-        if not self._acknowledging:
-            self._acknowledging = True
+        if not self._acknowledgement_scheduled:
+            self._acknowledgement_scheduled = True
             self.after(delay_seconds, self._acknowledge)
 
     def _acknowledge(self) -> None:
         assert self.core is not None
-        self._acknowledging = False
+        self._acknowledgement_scheduled = False
         self._execute(self.core.heartbeat(self.now))
 
     def _send_to_leader(self, message: Message) -> None:
--- a/src/orchidpath/simulation/scenario.py
+++ b/src/orchidpath/simulation/scenario.py
@@ -4,7 +4,7 @@
 
 
 class Scenario(StrEnum):
-    """Name of a scenario."""
+    """Name of a fault scenario, as given on the command line and printed in results."""
 
     FAULT_FREE = "calm"
     KILLS = "kills"
--- a/src/orchidpath/simulation/scenarios.py
+++ b/src/orchidpath/simulation/scenarios.py
@@ -1,4 +1,7 @@
-"""Runs fault scenarios: one for each line of what may fail, and a mixed one drawn at random."""
+"""Runs the fault scenarios on simulated fleets and checks the invariants.
+
+There is a scenario for each kind of fault, and mixed ones, whose faults are selected at random.
+"""
 
 import msgspec
 
@@ -33,7 +36,7 @@
     Scenario.SERVICES_REPLACED: 15.0,
     Scenario.MIXED_WITH_REQUESTS: 8.0,
 }
-"""Scenarios with callers, and how many requests come to the whole fleet."""
+"""Scenarios with callers, and the request rate of the fleet in each."""
 
 POWER_FAILURE_SCENARIOS = {
     Scenario.DISK_LOST_IN_POWER_FAILURE,
@@ -41,17 +44,20 @@
 }
 
 WITNESSES_PARTITIONED = {Scenario.CONTROL_LOST_UNDER_LOAD, Scenario.MIXED_WITH_REQUESTS}
-"""In these a leader may apply what no witness ever learns of, being partitioned or killed."""
+"""Scenarios in which witnesses may be unreachable.
+
+The leader is partitioned or killed in them, so it may apply an update that no witness receives.
+"""
 
 REQUESTS_PER_SECOND_AFTERWARDS = 4.0
-"""Load once the faults are over: enough to see that the fleet serves again."""
+"""Request rate after the faults; sufficient to detect whether the fleet serves again."""
 
 REQUEST_FAULT_TIME_SECONDS = 16.0
-"""Scenarios with requests strike more densely and for a shorter time."""
+"""Scenarios with requests inject faults at a higher rate and for a shorter time."""
 
 
 class ScenarioResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What came of one seed of one scenario."""
+    """Result of one scenario under one seed."""
 
     scenario: Scenario
     seed: int
@@ -67,7 +73,11 @@
 def run_scenario(
     scenario: Scenario, seed: int, disabled: DisabledGuards | None = None
 ) -> ScenarioResult:
-    """Run one seed of one scenario and return what came of it."""
+    """Run one scenario under one seed and return the result.
+
+    Even seeds use the shape `VINBRUG`, odd ones `AGENCY`; a scenario that loses two disks uses
+    `FIVE_VOTERS`. A violation ends the run and is stored in the result.
+    """
     shape = VINBRUG if seed % 2 == 0 else AGENCY
     if scenario is Scenario.TWO_DISKS_LOST_IN_POWER_FAILURE:
         shape = FIVE_VOTERS
@@ -112,9 +122,13 @@
     environment.run_until(environment.time + RECOVERY_SECONDS)
     fleet.check_recovered()
     if scenario is Scenario.SECOND_LOSS and driver.second_losses == 0:
-        raise InvariantError("the repair after the first loss never ended")
+        raise InvariantError(
+            "the voter that lost its disk was not replaced, so no second disk was lost"
+        )
     if scenario in POWER_FAILURE_SCENARIOS and driver.power_failures == 0:
-        raise InvariantError("no power cut struck a whole fleet")
+        raise InvariantError(
+            "no power failure was injected: the voters were never fully replicated"
+        )
 
 
 def _run_with_requests(fleet: RequestFleet, scenario: Scenario) -> None:
@@ -135,10 +149,10 @@
     orders.stop()
     fleet.heal()
     environment.run_until(environment.time + RECOVERY_SECONDS)
-    before = fleet.requests.counts.completed
+    completed_before = fleet.requests.counts.completed
     fleet.check_recovered()
-    if fleet.requests.counts.completed == before:
-        raise InvariantError("no request is served after the faults ended")
+    if fleet.requests.counts.completed == completed_before:
+        raise InvariantError("no request was completed after the faults ended")
 
 
 def _begin_request_faults(driver: RequestFaultDriver, scenario: Scenario) -> None:
--- a/src/orchidpath/simulation/worker_node.py
+++ b/src/orchidpath/simulation/worker_node.py
@@ -1,4 +1,4 @@
-"""A simulated worker's announcements: it starts, drains, dies and restarts."""
+"""A simulated worker that announces its start, drain and restart, and handles no requests."""
 
 import msgspec
 
@@ -9,16 +9,16 @@
 
 
 class WorkerNode:
-    """One worker, announced through random routers.
+    """One worker, which sends each announcement to a random router.
 
     Parameters
     ----------
     environment
-        Virtual time and chance.
+        Source of virtual time and random numbers.
     worker_id
-        Its name.
+        Id of the worker.
     routers
-        Routers that it may announce itself to.
+        Routers that may receive an announcement.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         )
 
     def start(self) -> None:
-        """Start as a new incarnation."""
+        """Start as a new incarnation and announce it once per announcement period."""
         self._epoch += 1
         self._sequence = 0
         self.running = True
@@ -48,23 +48,25 @@
             status=WorkerStatus.READY,
         )
         epoch = self._epoch
-        self._environment.schedule(0.0, lambda: self._announce_forever(epoch))
+        self._environment.schedule(0.0, lambda: self._announce_periodically(epoch))
 
     def drain(self) -> None:
-        """Announce that no new request is wanted."""
+        """Announce that the worker is draining and accepts no new requests."""
         self.record = msgspec.structs.replace(self.record, status=WorkerStatus.DRAINING)
         self._announce()
 
-    def die(self) -> None:
-        """Fall silent."""
+    def crash(self) -> None:
+        """Crash: stop announcing, without notice to the routers."""
         self.running = False
         self._epoch += 1
 
-    def _announce_forever(self, epoch: int) -> None:
+    def _announce_periodically(self, epoch: int) -> None:
         if epoch != self._epoch:
             return
         self._announce()
-        self._environment.schedule(ANNOUNCE_PERIOD_SECONDS, lambda: self._announce_forever(epoch))
+        self._environment.schedule(
+            ANNOUNCE_PERIOD_SECONDS, lambda: self._announce_periodically(epoch)
+        )
 
     def _announce(self) -> None:
         self._sequence += 1
