--- a/src/orchidpath/emulators/backend/__init__.py
+++ b/src/orchidpath/emulators/backend/__init__.py
@@ -1,5 +1,5 @@
-"""What the emulated model worker and the emulated plain service share.
+"""Components shared by the emulated model worker and the emulated plain service.
 
-Begin with :mod:`.backend_core` (decisions) and :mod:`.backend_shell` (asyncio).
+Start reading with :mod:`.backend_core` (decisions) and :mod:`.backend_shell` (asyncio).
 Imported by the other emulators and the simulation.
 """
--- a/src/orchidpath/emulators/backend/announce_loop.py
+++ b/src/orchidpath/emulators/backend/announce_loop.py
@@ -1,4 +1,4 @@
-"""The asyncio shell that sends a back end's announcements."""
+"""The asyncio task that sends a back end's announcements."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,24 +13,24 @@
 from orchidpath.wire.records import WorkerRecord
 
 ANNOUNCE_TIMEOUT_SECONDS = 0.5
-"""An address that takes longer is passed over."""
+"""An announcement that takes longer counts as failed."""
 
 JSON_HEADERS = {"content-type": "application/json"}
 
 
 class AnnounceLoop:
-    """Sends announcements until it is stopped.
+    """Sends announcements until its task is cancelled.
 
     Parameters
     ----------
     announcer : Announcer
-        Decides where and when.
+        Chooses the address and the time of each announcement.
     session : aiohttp.ClientSession
-        Sends.
+        Session for the HTTP requests.
     current_record : callable
-        Returns the back end as it is now.
+        Returns the current record of the back end.
     is_silent : callable
-        Tells whether an injected fault keeps the back end from announcing.
+        Returns whether an injected fault suppresses announcements.
     """
 
     def __init__(
@@ -48,15 +48,15 @@
         self._acknowledged_record: WorkerRecord | None = None
 
     def is_acknowledged(self, record: WorkerRecord) -> bool:
-        """Whether a process has accepted this record, or no address is known."""
+        """Return whether this record was accepted, or there is no address to announce it to."""
         return record == self._acknowledged_record or not self._announcer.addresses
 
     def wake(self) -> None:
-        """Look at once whether the record has changed."""
+        """Check at once whether the record has changed."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Announce for ever; ended by cancelling the task."""
+        """Announce until the task is cancelled."""
         while True:
             await self._wait_until_due()
             now = asyncio.get_running_loop().time()
--- a/src/orchidpath/emulators/backend/announcing.py
+++ b/src/orchidpath/emulators/backend/announcing.py
@@ -1,4 +1,4 @@
-"""To which address a back end announces itself next, and when."""
+"""Choice of the address and the time of a back end's next announcement."""
 
 import msgspec
 import xxhash
@@ -8,26 +8,30 @@
 
 
 class AnnouncementPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """One announcement to send now."""
+    """One announcement that is due, with its address."""
 
     address: str
     announcement: Announcement
 
 
 class Announcer:
-    """Chooses addresses: stays with one that answers, moves on from one that does not.
+    """Schedules the announcements of one back end.
+
+    It keeps using an address that accepts its announcements and switches to the next address after
+    a failure.
 
     Parameters
     ----------
     worker_id : str
-        Spreads the workers over the addresses.
+        Id of the worker. Its hash selects the first address, which spreads the workers over the
+        addresses.
     configured : list[str]
-        HTTP addresses from the settings; they stay in use for ever.
+        HTTP addresses from the settings; they are never removed.
     """
 
     def __init__(self, worker_id: str, configured: list[str]) -> None:
         self._configured = list(configured)
-        self._learned: tuple[str, ...] = ()
+        self._received_addresses: tuple[str, ...] = ()
         self._position = xxhash.xxh3_64_intdigest(worker_id.encode())
         self._sequence = 0
         self._failures_in_a_row = 0
@@ -36,12 +40,12 @@
 
     @property
     def addresses(self) -> list[str]:
-        """Every address in use."""
-        new = [address for address in self._learned if address not in self._configured]
+        """The configured addresses, then those received in replies."""
+        new = [address for address in self._received_addresses if address not in self._configured]
         return self._configured + new
 
     def due_in(self, record: WorkerRecord, now: float) -> float:
-        """Return the seconds until the next announcement; none when something has changed."""
+        """Return the seconds until the next announcement; 0 if the record has changed."""
         if record != self._last_sent:
             return 0.0
         return max(0.0, self._due_at - now)
@@ -52,14 +56,14 @@
         Parameters
         ----------
         record : WorkerRecord
-            The back end as it is now.
+            The current record of the back end.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         AnnouncementPlan or None
-            None without any address.
+            None if there is no address.
         """
         addresses = self.addresses
         self._last_sent = record
@@ -73,16 +77,17 @@
         )
 
     def on_reply(self, reply: AnnouncementReply | None, now: float) -> None:
-        """Take the answer to the last announcement; None is a failure.
+        """Process the reply to the last announcement; None means that there was no valid reply.
 
-        A failure moves to the next address at once, until every address was tried once; then the
-        ordinary period is kept, so that a lost fleet is not flooded.
+        After a failure or a rejection the next address is tried at once. When every address has
+        failed once, the next announcement waits for the regular period, so that an unreachable
+        fleet is not flooded.
         """
         if reply is not None and reply.accepted:
             self._keep_address(reply.announce_to)
             return
         if reply is not None:
-            self._learned = reply.announce_to or self._learned
+            self._received_addresses = reply.announce_to or self._received_addresses
         self._position += 1
         self._failures_in_a_row += 1
         if self._failures_in_a_row % max(1, len(self.addresses)) != 0:
@@ -94,6 +99,6 @@
             return
         addresses = self.addresses
         current = addresses[self._position % len(addresses)]
-        self._learned = announce_to
+        self._received_addresses = announce_to
         if current in self.addresses:
             self._position = self.addresses.index(current)
--- a/src/orchidpath/emulators/backend/answers.py
+++ b/src/orchidpath/emulators/backend/answers.py
@@ -1,7 +1,7 @@
-"""What every emulated back end answers, derived from the request alone.
+"""Response content of every emulated back end, derived from the request alone.
 
-A caller computes the same answer and can therefore tell its own, whole answer from another
-request's or from one with a missing part.
+A caller computes the same content and can therefore detect an incomplete answer or an answer to
+another request.
 """
 
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 import xxhash
 
 TOKEN_HEX_DIGITS = 7
-"""With the space behind it a token is eight characters long."""
+"""A token is eight characters long, including its trailing space."""
 
 
 class CallAnswer(msgspec.Struct, frozen=True, kw_only=True):
@@ -30,32 +30,32 @@
     request_id : str
         The request that is answered.
     index : int
-        Place of the token in the answer, from 0.
+        Index of the token in the answer, from 0.
 
     Returns
     -------
     str
-        A word and the space behind it.
+        A word with a trailing space.
     """
     digest = xxhash.xxh3_64_hexdigest(f"{request_id}:{index}".encode())
     return digest[:TOKEN_HEX_DIGITS] + " "
 
 
 def answer_tokens(request_id: str, max_tokens: int) -> Iterator[str]:
-    """Yield the tokens of the answer in order; there are exactly ``max_tokens`` of them."""
+    """Yield the ``max_tokens`` tokens of the answer in order."""
     for index in range(max_tokens):
         yield expected_token(request_id, index)
 
 
 def expected_text(request_id: str, max_tokens: int) -> str:
-    """Return the whole answer to a model request.
+    """Return the complete answer to a model request.
 
     Parameters
     ----------
     request_id : str
         The request that is answered.
     max_tokens : int
-        Length of the answer.
+        Length of the answer in tokens.
 
     Returns
     -------
@@ -66,7 +66,7 @@
 
 
 def expected_answer(request_id: str, method: str, path: str) -> CallAnswer:
-    """Return the typed answer to a plain call."""
+    """Return the answer to a plain call."""
     digest = xxhash.xxh3_64_hexdigest(f"{request_id} {method} {path}".encode())
     return CallAnswer(request_id=request_id, method=method, path=path, digest=digest)
 
@@ -92,7 +92,7 @@
 
 
 def is_expected_call_body(body: bytes, request_id: str, method: str, path: str) -> bool:
-    """Tell whether a body is the whole answer to this very call, however it is formatted."""
+    """Return whether a body is the complete answer to this call, in any JSON formatting."""
     try:
         answer = msgspec.json.decode(body, type=CallAnswer)
     except msgspec.DecodeError:
--- a/src/orchidpath/emulators/backend/attempts.py
+++ b/src/orchidpath/emulators/backend/attempts.py
@@ -1,10 +1,10 @@
-"""Registry of attempt ids: each runs at most once, and a refused one never runs.
+"""Registry of attempt ids: an attempt runs at most once, and a refused attempt never runs.
 
-A back end that says ``ran=no`` guarantees that the attempt did not run and never will
-(:mod:`orchidpath.wire.backend`). The registry keeps that guarantee within bounded memory: an
-attempt id is remembered for at least ``retention_seconds``, which is far longer than any request
-may live. When the memory is full of younger ids, new attempts are turned away *without* the
-guarantee, because a guarantee that will be forgotten must not be given.
+A back end that answers ``ran=no`` guarantees that the attempt did not run and never will
+(:mod:`orchidpath.wire.backend`). The registry upholds that guarantee within bounded memory: an
+attempt id is retained for at least ``retention_seconds``, which is far longer than the lifetime of
+any request. When the registry is full of ids younger than that, new attempts are refused *without*
+the guarantee: the registry has no entry in which to record it.
 """
 
 from collections import OrderedDict
@@ -14,24 +14,27 @@
 from orchidpath.wire.backend import Ran
 
 RETENTION_SECONDS = 900.0
-"""Many times the longest deadline of a request."""
+"""Minimum retention of an attempt id; many times the longest request deadline."""
 
 MAX_ATTEMPTS = 200_000
-"""Bound on remembered attempt ids."""
+"""Maximum number of retained attempt ids."""
 
 MAX_REPEATED_REQUESTS = 100
-"""Bound on the request ids listed as executed more than once."""
+"""Maximum number of request ids listed as executed more than once."""
 
 
 class Phase(StrEnum):
-    """What an attempt does on a back end; only EXECUTION must happen at most once per request."""
+    """Work that an attempt does on a back end.
+
+    Only EXECUTION must happen at most once per request.
+    """
 
     PREFILL_DONE = "prompt_read"
     EXECUTION = "execution"
 
 
 class PhaseState(StrEnum):
-    """How far a phase of an attempt has come on this back end."""
+    """Progress of one phase of an attempt on this back end."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -39,7 +42,7 @@
 
 
 class Admission(StrEnum):
-    """Answer to an attempt that asks to be taken in."""
+    """Result of an attempt's admission."""
 
     ADMITTED = "admitted"
     REFUSED_BEFORE = "refused_before"
@@ -49,19 +52,19 @@
 
 @dataclass(slots=True)
 class AttemptEntry:
-    """What is remembered of one attempt id."""
+    """Registry entry of one attempt id."""
 
     request_id: str
-    touched_at: float
+    updated_at: float
     refused: bool = False
     phases: dict[Phase, PhaseState] = field(default_factory=dict)
 
     def has_run(self) -> bool:
-        """Tell whether any phase has started to run."""
+        """Return whether any phase has started to run."""
         return any(state is not PhaseState.PENDING for state in self.phases.values())
 
     def is_active(self) -> bool:
-        """Tell whether any phase is not finished yet."""
+        """Return whether any phase is pending or running."""
         return any(state is not PhaseState.FINISHED for state in self.phases.values())
 
 
@@ -71,7 +74,8 @@
     Parameters
     ----------
     max_requests : int
-        Bound on remembered request ids; the oldest is forgotten first.
+        Maximum number of retained request ids. The id that has gone longest without an execution
+        is evicted first.
     """
 
     def __init__(self, max_requests: int = MAX_ATTEMPTS) -> None:
@@ -82,7 +86,7 @@
         self.repeated: list[str] = []
 
     def add(self, request_id: str) -> int:
-        """Count one execution and return the request's count."""
+        """Count one execution and return the number of executions of the request."""
         count = self._counts.pop(request_id, 0) + 1
         self._counts[request_id] = count
         self.total += 1
@@ -94,19 +98,19 @@
         return count
 
     def count(self, request_id: str) -> int:
-        """Return how often a request was executed here."""
+        """Return the number of executions of a request on this back end."""
         return self._counts.get(request_id, 0)
 
 
 class AttemptRegistry:
-    """Every attempt id that a back end has seen, and what became of it.
+    """The attempt ids that a back end has received, with the state of their phases.
 
     Parameters
     ----------
     max_attempts : int
-        Bound on remembered ids.
+        Maximum number of retained ids.
     retention_seconds : float
-        An id is remembered for at least this long after its last event.
+        Minimum time for which an id is retained after its last event.
     """
 
     def __init__(
@@ -122,25 +126,26 @@
         return len(self._entries)
 
     def admit(self, request_id: str, attempt_id: str, phase: Phase, now: float) -> Admission:
-        """Take in one phase of an attempt, unless it was seen or refused before.
+        """Admit one phase of an attempt, unless it was received or refused before.
 
         Parameters
         ----------
         request_id, attempt_id : str
-            Who asks.
+            Ids of the request and of the attempt.
         phase : Phase
-            What it asks to run.
+            The phase to run.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         Admission
-            ADMITTED leaves the phase pending until :meth:`start` or :meth:`refuse`.
+            After ADMITTED the phase is pending until :meth:`start`, :meth:`refuse` or
+            :meth:`finish`.
         """
         entry = self._entries.get(attempt_id)
         if entry is None:
-            entry = self._remember(request_id, attempt_id, now)
+            entry = self._insert(request_id, attempt_id, now)
             if entry is None:
                 return Admission.FULL
         if entry.refused:
@@ -152,9 +157,9 @@
         return Admission.ADMITTED
 
     def start(self, attempt_id: str, phase: Phase, now: float) -> bool:
-        """Let a pending phase run; false when the attempt was cancelled meanwhile.
+        """Start a pending phase; return False if the attempt was cancelled after its admission.
 
-        The execution is counted here, before any work, so a count can never miss a run.
+        The execution is counted here, before any work, so that no execution goes uncounted.
         """
         entry = self._entries.get(attempt_id)
         if entry is None or entry.refused:
@@ -168,7 +173,10 @@
         return True
 
     def finish(self, attempt_id: str, phase: Phase, now: float) -> None:
-        """Record that a phase is over, whether it ran or was turned away."""
+        """Record the end of a phase.
+
+        A phase that is still pending never ran; the attempt is then marked as refused.
+        """
         entry = self._entries.get(attempt_id)
         if entry is None or phase not in entry.phases:
             return
@@ -180,7 +188,7 @@
         self._touch(attempt_id, entry, now)
 
     def refuse(self, attempt_id: str, phase: Phase, now: float) -> Ran:
-        """Refuse a pending phase for ever and return what may be said about it."""
+        """Refuse a pending phase permanently and return whether it has run."""
         entry = self._entries.get(attempt_id)
         if entry is None:
             return Ran.UNKNOWN
@@ -191,17 +199,17 @@
         return Ran.NO
 
     def cancel(self, attempt_id: str, now: float) -> Ran:
-        """Cancel an attempt, also one that was never seen; it will not start after this.
+        """Cancel an attempt, known or not; none of its phases can start afterwards.
 
         Returns
         -------
         Ran
-            NO is the guarantee; YES when a phase has started; UNKNOWN when nothing more can be
-            remembered.
+            NO guarantees that no phase has run or will run. YES means that a phase has started.
+            UNKNOWN means that the registry is full, so the cancellation could not be recorded.
         """
         entry = self._entries.get(attempt_id)
         if entry is None:
-            entry = self._remember("", attempt_id, now)
+            entry = self._insert("", attempt_id, now)
             if entry is None:
                 return Ran.UNKNOWN
         entry.refused = True
@@ -209,12 +217,12 @@
         return Ran.YES if entry.has_run() else Ran.NO
 
     def is_cancelled(self, attempt_id: str) -> bool:
-        """Tell whether a running attempt should stop."""
+        """Return whether the attempt was cancelled or refused, so that it must stop."""
         entry = self._entries.get(attempt_id)
         return entry is not None and entry.refused
 
     def ran(self, attempt_id: str, phase: Phase) -> Ran:
-        """Say honestly whether a phase of a known attempt has run."""
+        """Return whether a phase has run, or UNKNOWN when neither answer can be guaranteed."""
         entry = self._entries.get(attempt_id)
         if entry is None:
             return Ran.UNKNOWN
@@ -223,16 +231,16 @@
             return Ran.YES
         return Ran.NO if entry.refused else Ran.UNKNOWN
 
-    def _remember(self, request_id: str, attempt_id: str, now: float) -> AttemptEntry | None:
-        if len(self._entries) >= self._max_attempts and not self._forget_oldest(now):
+    def _insert(self, request_id: str, attempt_id: str, now: float) -> AttemptEntry | None:
+        if len(self._entries) >= self._max_attempts and not self._evict_oldest(now):
             return None
-        entry = AttemptEntry(request_id=request_id, touched_at=now)
+        entry = AttemptEntry(request_id=request_id, updated_at=now)
         self._entries[attempt_id] = entry
         return entry
 
-    def _forget_oldest(self, now: float) -> bool:
+    def _evict_oldest(self, now: float) -> bool:
         attempt_id, entry = next(iter(self._entries.items()))
-        if now - entry.touched_at < self._retention_seconds:
+        if now - entry.updated_at < self._retention_seconds:
             return False
         if entry.is_active():
             self._touch(attempt_id, entry, now)
@@ -241,5 +249,5 @@
         return True
 
     def _touch(self, attempt_id: str, entry: AttemptEntry, now: float) -> None:
-        entry.touched_at = now
+        entry.updated_at = now
         self._entries.move_to_end(attempt_id)
--- a/src/orchidpath/emulators/backend/backend_core.py
+++ b/src/orchidpath/emulators/backend/backend_core.py
@@ -1,7 +1,7 @@
-"""Decisions that every emulated back end makes: what it takes in, refuses and applies.
+"""Admission control and command handling shared by every emulated back end.
 
-Overload is answered with a refusal that guarantees ``ran=no``; workers send neither a throttle nor
-a retry-after (design page, "Workers send neither").
+An overloaded back end refuses an attempt and guarantees ``ran=no``. It sends neither a throttle
+nor a retry-after (design page, "Workers send neither").
 """
 
 import msgspec
@@ -23,7 +23,7 @@
 
 
 class AttemptDispatch(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of any dispatch that admission looks at."""
+    """The fields of a prefill, decode or plain request that admission control reads."""
 
     request_id: str
     attempt_id: str
@@ -38,9 +38,9 @@
     Parameters
     ----------
     record : WorkerRecord
-        How the back end announces itself at its start.
+        Record that the back end announces at its start.
     max_in_flight : int
-        Attempts worked on at once.
+        Maximum number of attempts in progress at once.
     """
 
     def __init__(self, record: WorkerRecord, max_in_flight: int) -> None:
@@ -55,90 +55,95 @@
 
     @property
     def record(self) -> WorkerRecord:
-        """The back end as it announces itself now."""
+        """The record that the back end announces, with its current status."""
         status = WorkerStatus.DRAINING if self.draining else WorkerStatus.READY
         return msgspec.structs.replace(self._record, status=status)
 
     @property
     def draining(self) -> bool:
-        """Whether new attempts are refused."""
+        """Whether new attempts are refused because the back end drains or terminates."""
         return self._draining or self._terminating
 
     def set_url(self, url: str) -> None:
-        """Set the base address once the listening port is known."""
+        """Set the base URL once the listening port is known."""
         self._record = msgspec.structs.replace(self._record, url=url)
 
     def drain(self) -> None:
-        """Refuse new attempts from now on."""
+        """Refuse new attempts until :meth:`resume`."""
         self._draining = True
 
     def resume(self) -> None:
-        """Take new attempts again, unless the process is ending."""
+        """Accept new attempts again, unless the process is terminating."""
         self._draining = False
 
     def terminate(self) -> None:
-        """Refuse new attempts until the process ends; no order undoes this."""
+        """Refuse new attempts until the process exits; no command reverses this."""
         self._terminating = True
 
     def admit(
-        self, command: AttemptDispatch, now: float, refuse_all: bool = False
+        self, dispatch: AttemptDispatch, now: float, refuse_all: bool = False
     ) -> ErrorBody | None:
-        """Take in an attempt, or return why not.
+        """Admit an attempt, or return the reason for its refusal.
 
-        The attempt id is claimed before anything else is looked at, so that a refusal for another
-        reason is remembered with the id.
+        The attempt id is registered before any other check, so that a refusal for another reason
+        is recorded under the id.
 
         Parameters
         ----------
-        order : AttemptDispatch
-            What is ordered.
+        dispatch : AttemptDispatch
+            The attempt to admit.
         now : float
             Monotonic time in seconds.
         refuse_all : bool
-            Whether an injected fault refuses everything.
+            Whether an injected fault makes the back end refuse every attempt.
 
         Returns
         -------
         ErrorBody or None
-            None when the attempt holds a place, to be given back by :meth:`leave`.
+            None when the attempt was admitted; it then counts as in flight until :meth:`leave`
+            is called.
         """
-        admission = self.attempts.admit(command.request_id, command.attempt_id, command.phase, now)
+        admission = self.attempts.admit(
+            dispatch.request_id, dispatch.attempt_id, dispatch.phase, now
+        )
         if admission is not Admission.ADMITTED:
-            return self._turn_away(command, admission)
-        objection = self._objection(command, refuse_all)
-        if objection is not None:
-            return self.refuse(command, objection, "not taken in", now)
+            return self._reject(dispatch, admission)
+        code = self._refusal_code(dispatch, refuse_all)
+        if code is not None:
+            return self.refuse(dispatch, code, "not taken in", now)
         return None
 
-    def start(self, command: AttemptDispatch, now: float) -> bool:
-        """Let an admitted attempt run; false when it was cancelled meanwhile."""
-        return self.attempts.start(command.attempt_id, command.phase, now)
+    def start(self, dispatch: AttemptDispatch, now: float) -> bool:
+        """Start an admitted attempt; return False if it was cancelled after its admission."""
+        return self.attempts.start(dispatch.attempt_id, dispatch.phase, now)
 
-    def leave(self, command: AttemptDispatch, now: float) -> None:
-        """Give back the place of an admitted attempt."""
-        self.attempts.finish(command.attempt_id, command.phase, now)
+    def leave(self, dispatch: AttemptDispatch, now: float) -> None:
+        """Record the end of an admitted attempt and release its in-flight slot."""
+        self.attempts.finish(dispatch.attempt_id, dispatch.phase, now)
         self.limit.leave()
 
     def refuse(
-        self, command: AttemptDispatch, code: ErrorCode, message: str, now: float
+        self, dispatch: AttemptDispatch, code: ErrorCode, message: str, now: float
     ) -> ErrorBody:
-        """Refuse an attempt that did not start, and guarantee that it never will."""
-        ran = self.attempts.refuse(command.attempt_id, command.phase, now)
-        return self.error(command, code, message, ran)
+        """Refuse an admitted attempt that has not started; it can never start afterwards."""
+        ran = self.attempts.refuse(dispatch.attempt_id, dispatch.phase, now)
+        return self.error(dispatch, code, message, ran)
 
-    def error(self, command: AttemptDispatch, code: ErrorCode, message: str, ran: Ran) -> ErrorBody:
-        """Make the body of a refusal and count it."""
+    def error(
+        self, dispatch: AttemptDispatch, code: ErrorCode, message: str, ran: Ran
+    ) -> ErrorBody:
+        """Return the error body of a refusal and count the refusal."""
         self.counts.refused += 1
         return ErrorBody(
             code=code,
             message=f"{self._record.worker_id}: {message}",
             ran=ran,
-            request_id=command.request_id,
-            attempt_id=command.attempt_id,
+            request_id=dispatch.request_id,
+            attempt_id=dispatch.attempt_id,
         )
 
     def cancel(self, attempt_id: str, now: float) -> CancelReply:
-        """Cancel an attempt; one that has not started never will."""
+        """Cancel an attempt; an attempt that has not started can never start afterwards."""
         self.counts.cancelled += 1
         return CancelReply(
             attempt_id=attempt_id,
@@ -147,26 +152,26 @@
         )
 
     def execute(self, command: WorkerCommand, handles_outstanding: int) -> WorkerCommandReply:
-        """Apply a fenced order, or say why not.
+        """Apply a command of the leader, or refuse it with a reason.
 
         Parameters
         ----------
-        order : WorkerCommand
-            The order.
+        command : WorkerCommand
+            The command, with the term and sequence number that the fence compares.
         handles_outstanding : int
-            KV caches still held for a KV transfer; a worker that holds any is not idle.
+            Number of KV caches still held for a KV transfer. A worker that holds any is not idle.
 
         Returns
         -------
         WorkerCommandReply
-            Also names the highest fence seen.
+            Also contains the highest term and sequence number that the fence has seen.
         """
-        reason = self._command_objection(command, handles_outstanding)
+        reason = self._command_refusal_reason(command, handles_outstanding)
         if reason:
             self.counts.orders_refused += 1
         else:
             self.counts.orders_obeyed += 1
-            self._carry_out(command)
+            self._apply(command)
         return WorkerCommandReply(
             accepted=not reason,
             highest_term=self.fence.term,
@@ -175,7 +180,7 @@
         )
 
     def report(self, handles_outstanding: int) -> BackendReport:
-        """Return what the back end tells about itself."""
+        """Return the status report that ``GET /v1/status`` serves."""
         record = self.record
         return BackendReport(
             worker_id=record.worker_id,
@@ -196,25 +201,25 @@
             counts=self.counts,
         )
 
-    def _turn_away(self, command: AttemptDispatch, admission: Admission) -> ErrorBody:
+    def _reject(self, dispatch: AttemptDispatch, admission: Admission) -> ErrorBody:
         if admission is Admission.FULL:
-            # Nothing is remembered of this attempt, so nothing may be guaranteed about it.
-            return self.error(command, ErrorCode.OVERLOADED, "attempt memory full", Ran.UNKNOWN)
-        ran = self.attempts.ran(command.attempt_id, command.phase)
-        return self.error(command, ErrorCode.ATTEMPT_REFUSED, f"attempt id: {admission}", ran)
+            # No entry was stored for this attempt, so ``ran=no`` cannot be guaranteed.
+            return self.error(dispatch, ErrorCode.OVERLOADED, "attempt memory full", Ran.UNKNOWN)
+        ran = self.attempts.ran(dispatch.attempt_id, dispatch.phase)
+        return self.error(dispatch, ErrorCode.ATTEMPT_REFUSED, f"attempt id: {admission}", ran)
 
-    def _objection(self, command: AttemptDispatch, refuse_all: bool) -> ErrorCode | None:
+    def _refusal_code(self, dispatch: AttemptDispatch, refuse_all: bool) -> ErrorCode | None:
         if self.draining:
             return ErrorCode.DRAINING
-        if command.stage is not self._record.stage:
+        if dispatch.stage is not self._record.stage:
             return ErrorCode.WRONG_STAGE
-        if command.model and command.model not in self._record.models:
+        if dispatch.model and dispatch.model not in self._record.models:
             return ErrorCode.WRONG_MODEL
         if refuse_all or not self.limit.try_enter():
             return ErrorCode.OVERLOADED
         return None
 
-    def _command_objection(self, command: WorkerCommand, handles_outstanding: int) -> str:
+    def _command_refusal_reason(self, command: WorkerCommand, handles_outstanding: int) -> str:
         if command.worker_id != self._record.worker_id:
             return "another worker"
         if command.incarnation != self._record.incarnation:
@@ -231,7 +236,7 @@
             return "not idle"
         return ""
 
-    def _carry_out(self, command: WorkerCommand) -> None:
+    def _apply(self, command: WorkerCommand) -> None:
         if command.kind is WorkerCommandKind.DRAIN:
             self.drain()
         elif command.kind is WorkerCommandKind.RESUME:
--- a/src/orchidpath/emulators/backend/backend_shell.py
+++ b/src/orchidpath/emulators/backend/backend_shell.py
@@ -1,4 +1,4 @@
-"""The asyncio shell that emulated model workers and plain services share."""
+"""The asyncio HTTP server shared by emulated model workers and plain services."""
 
 import asyncio
 import os
@@ -33,21 +33,22 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-NEVER_DARK_PATHS = frozenset({"/v1/faults", "/v1/status", "/v1/executions"})
-"""The test's own entrances, answered whatever fault lasts."""
+ALWAYS_ANSWERED_PATHS = frozenset({"/v1/faults", "/v1/status", "/v1/executions"})
+"""Endpoints for the test harness, answered even while GO_DARK is active."""
 
 ANNOUNCE_DRAINING_SECONDS = 1.0
-"""Longest wait of an ending process until somebody has taken its announcement of draining."""
+"""Longest time for which a terminating process waits until its DRAINING record is acknowledged."""
 
 CRASH_STATUS = 70
 """Exit status of an injected crash."""
 
 
 class BackendSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a back end listens and whom it tells.
+    """Listening address, announcement addresses and drain time of a back end.
 
-    ``execution_log`` names a file to which every start of an execution is appended before the
-    work begins; it survives a killed process.
+    ``announce`` lists the addresses that receive the announcements. ``execution_log`` names a file
+    to which the start of every phase is appended before its work begins, so that the record
+    survives a killed process.
     """
 
     host: str = "127.0.0.1"
@@ -58,16 +59,16 @@
 
 
 class BackendShell:
-    """Serves what every back end serves; subclasses add their own work.
+    """HTTP server with the endpoints of every back end; subclasses add their own endpoints.
 
     Parameters
     ----------
     record : WorkerRecord
-        How the back end announces itself; the URL is filled in once the port is known.
+        Record that the back end announces. The URL is filled in once the port is known.
     settings : BackendSettings
-        Where to listen and whom to tell.
+        Listening address, announcement addresses and drain time.
     max_in_flight : int
-        Attempts worked on at once.
+        Maximum number of attempts in progress at once.
     """
 
     def __init__(self, record: WorkerRecord, settings: BackendSettings, max_in_flight: int) -> None:
@@ -82,23 +83,26 @@
 
     @property
     def url(self) -> str:
-        """The base address, known after :meth:`start`."""
+        """The base URL, known after :meth:`start`."""
         return self.core.record.url
 
     @property
     def session(self) -> aiohttp.ClientSession:
         """The client session for announcements and KV transfers."""
         if self._session is None:
-            # A connection is never reused: a repeated GET must not be sent behind our back.
+            # Connections are never reused: aiohttp may resend a GET by itself when a reused
+            # connection breaks, and a KV handle is valid for one request only.
             connector = aiohttp.TCPConnector(force_close=True, limit=0)
             self._session = aiohttp.ClientSession(connector=connector)
         return self._session
 
     async def start(self) -> str:
-        """Listen, begin to announce, and return the base address."""
+        """Start listening and announcing, and return the base URL."""
         if self.settings.execution_log:
             self._log_file = open(self.settings.execution_log, "ab", buffering=0)  # noqa: ASYNC230, SIM115
-        app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self._darkness()])
+        app = web.Application(
+            client_max_size=MAX_BODY_BYTES, middlewares=[self._unresponsive_middleware()]
+        )
         self.add_routes(app)
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.5)
         await self._runner.setup()
@@ -116,7 +120,7 @@
         self._announce_task = asyncio.create_task(self._announce_loop.run())
 
     def announce_change(self) -> None:
-        """Announce at once if anything has changed."""
+        """Announce the record at once if it has changed."""
         if self._announce_loop is not None:
             self._announce_loop.wake()
 
@@ -136,7 +140,7 @@
             self._log_file.close()
 
     async def drain_and_stop(self) -> None:
-        """Announce draining, finish what runs within a bounded time, then stop."""
+        """Announce DRAINING, wait at most ``drain_seconds`` for running work, then stop."""
         self.core.terminate()
         self.announce_change()
         deadline = self.now() + self.settings.drain_seconds
@@ -147,7 +151,7 @@
         await self.stop()
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the endpoints; subclasses add theirs."""
+        """Add the endpoints shared by every back end; subclasses extend this."""
         app.router.add_post("/v1/attempts/{attempt_id}/cancel", self._cancel)
         app.router.add_post("/v1/orders", self._orders)
         app.router.add_get("/v1/status", self._status)
@@ -155,87 +159,104 @@
         app.router.add_post("/v1/faults", self._post_fault)
 
     def now(self) -> float:
-        """Return the monotonic time of the running loop."""
+        """Return the monotonic time of the running event loop in seconds."""
         return asyncio.get_running_loop().time()
 
     def handles_outstanding(self) -> int:
-        """Return how many KV caches are held for a KV transfer."""
+        """Return the number of KV caches held for a KV transfer."""
         return 0
 
     def on_cancelled(self, attempt_id: str) -> None:
-        """Free what a cancelled attempt holds."""
+        """Release the resources of a cancelled attempt; called after every cancellation."""
 
     def on_stage_set(self) -> None:
-        """Forget what belonged to the former stage."""
+        """Discard the state of the previous stage; called after a stage change."""
 
     def expire_handles(self) -> None:
-        """Drop every handle."""
+        """Expire every KV handle."""
 
     async def admitted(
-        self, order: AttemptDispatch, work: Callable[[], Awaitable[web.StreamResponse]]
+        self, dispatch: AttemptDispatch, work: Callable[[], Awaitable[web.StreamResponse]]
     ) -> web.StreamResponse:
         """Run work under admission control.
 
         Parameters
         ----------
-        order : AttemptDispatch
-            What is ordered.
+        dispatch : AttemptDispatch
+            The attempt to admit.
         work : callable
-            Called when the attempt was taken in; its place is given back afterwards.
+            Called when the attempt was admitted. Its in-flight slot is released afterwards.
 
         Returns
         -------
         web.StreamResponse
-            The answer of the work, or the refusal.
+            The response of ``work``, or the refusal.
         """
         refuse_all = self.faults.take(FaultKind.REFUSE_ALL, self.now()) is not None
-        refusal = self.core.admit(order, self.now(), refuse_all)
+        refusal = self.core.admit(dispatch, self.now(), refuse_all)
         if refusal is not None:
             return error_response(refusal)
         try:
             return await work()
         finally:
-            self.core.leave(order, self.now())
+            self.core.leave(dispatch, self.now())
+
+    def begin(self, dispatch: AttemptDispatch) -> web.Response | None:
+        """Start an admitted attempt and log it.
 
-    def begin(self, order: AttemptDispatch) -> web.Response | None:
-        """Start an admitted attempt: log and count it, or answer that it was cancelled."""
-        if self.core.start(order, self.now()):
-            record = self.core.log.add(order.phase, order.request_id, order.attempt_id)
+        Returns
+        -------
+        web.Response or None
+            None when the attempt has started, the refusal when it was cancelled before.
+        """
+        if self.core.start(dispatch, self.now()):
+            record = self.core.log.add(dispatch.phase, dispatch.request_id, dispatch.attempt_id)
             if self._log_file is not None:
                 self._log_file.write(msgspec.json.encode(record) + b"\n")
             return None
-        ran = self.core.attempts.ran(order.attempt_id, order.phase)
+        ran = self.core.attempts.ran(dispatch.attempt_id, dispatch.phase)
         return error_response(
-            self.core.error(order, ErrorCode.ATTEMPT_REFUSED, "cancelled before its start", ran)
+            self.core.error(dispatch, ErrorCode.ATTEMPT_REFUSED, "cancelled before its start", ran)
         )
 
-    async def spoil_answer(
-        self, request: web.Request, order: AttemptDispatch
+    async def apply_response_faults(
+        self, request: web.Request, dispatch: AttemptDispatch
     ) -> web.Response | None:
-        """Apply the faults that follow the work and precede its answer."""
+        """Apply the faults that act after the work and before its response.
+
+        Returns
+        -------
+        web.Response or None
+            The response that an injected fault substitutes, or None.
+        """
         late = self.faults.take(FaultKind.ANSWER_LATE, self.now())
         if late is not None:
             await asyncio.sleep(late.delay_seconds)
         if self.faults.take(FaultKind.FAIL_NEXT, self.now()) is not None:
-            error = self.core.error(order, ErrorCode.INTERNAL, "injected failure", Ran.UNKNOWN)
+            error = self.core.error(dispatch, ErrorCode.INTERNAL, "injected failure", Ran.UNKNOWN)
             return error_response(error)
-        # A stream is cut later, after some of its frames.
-        streamed = order.phase is Phase.EXECUTION and self.streams()
+        # The TRUNCATE fault aborts a stream later, after some of its frames.
+        streamed = dispatch.phase is Phase.EXECUTION and self.streams()
         if not streamed and self.faults.take(FaultKind.TRUNCATE, self.now()) is not None:
             abort_connection(request)
             return web.Response()
         return None
 
     def streams(self) -> bool:
-        """Tell whether executions are answered by a stream."""
+        """Return whether executions are answered by a stream."""
         return False
 
-    def answer_identity(self, order: AttemptDispatch) -> AttemptDispatch:
-        """Return whose answer is sent: the attempt's own, or by a fault another one's."""
+    def answer_identity(self, dispatch: AttemptDispatch) -> AttemptDispatch:
+        """Return the attempt whose ids the response carries.
+
+        This is the attempt itself, or a different one while WRONG_ATTEMPT_ECHO is active.
+        """
         if self.faults.take(FaultKind.WRONG_ATTEMPT_ECHO, self.now()) is None:
-            return order
+            return dispatch
         return msgspec.structs.replace(
-            order, request_id=f"{order.request_id}-other", attempt_id=f"{order.attempt_id}-other"
+            dispatch,
+            request_id=f"{dispatch.request_id}-other",
+            attempt_id=f"{dispatch.attempt_id}-other",
         )
 
     def _is_busy(self) -> bool:
@@ -245,17 +266,19 @@
         dark = self.faults.active(FaultKind.GO_DARK, self.now())
         return dark is not None and not dark.keep_announcing
 
-    def _darkness(self) -> Middleware:
+    def _unresponsive_middleware(self) -> Middleware:
         @web.middleware
-        async def wait_while_dark(request: web.Request, handler: Handler) -> web.StreamResponse:
-            if request.path not in NEVER_DARK_PATHS:
+        async def delay_while_unresponsive(
+            request: web.Request, handler: Handler
+        ) -> web.StreamResponse:
+            if request.path not in ALWAYS_ANSWERED_PATHS:
                 await self.wait_while(FaultKind.GO_DARK)
             return await handler(request)
 
-        return wait_while_dark
+        return delay_while_unresponsive
 
     async def wait_while(self, kind: FaultKind) -> None:
-        """Wait until no fault of this kind lasts."""
+        """Wait until no fault of this kind is active."""
         await wait_until(lambda: self.faults.active(kind, self.now()) is None)
 
     async def _cancel(self, request: web.Request) -> web.StreamResponse:
@@ -265,9 +288,9 @@
         return json_response(reply, attempt_id=attempt_id)
 
     async def _orders(self, request: web.Request) -> web.StreamResponse:
-        order = await read_struct(request, WorkerCommand)
-        reply = self.core.execute(order, self.handles_outstanding())
-        if reply.accepted and order.kind is WorkerCommandKind.SET_STAGE:
+        command = await read_struct(request, WorkerCommand)
+        reply = self.core.execute(command, self.handles_outstanding())
+        if reply.accepted and command.kind is WorkerCommandKind.SET_STAGE:
             self.on_stage_set()
         self.announce_change()
         return json_response(reply)
--- a/src/orchidpath/emulators/backend/command_fence.py
+++ b/src/orchidpath/emulators/backend/command_fence.py
@@ -1,34 +1,34 @@
-"""The fence of a worker's orders: an order from a deposed leader is refused."""
+"""Fencing of worker commands: a command from a deposed leader is refused."""
 
 from orchidpath.wire.backend import WorkerCommand
 
 
 class CommandFence:
-    """The highest ``(term, sequence)`` that an incarnation has seen.
+    """The highest ``(term, sequence)`` of the commands that one worker incarnation received.
 
-    The fence rises with every order that is addressed to this incarnation, also with one that is
-    then refused for another reason: a lower one that arrives later must not be applied either way.
+    Every newer command addressed to this incarnation raises the fence, even if the command is then
+    refused for another reason: an older command that arrives later must not be applied.
     """
 
     def __init__(self) -> None:
         self.term = 0
         self.sequence = 0
 
-    def pass_order(self, order: WorkerCommand) -> bool:
-        """Raise the fence to an order above it; tell whether the order was above it.
+    def pass_order(self, command: WorkerCommand) -> bool:
+        """Raise the fence to a newer command and return whether the command was newer.
 
         Parameters
         ----------
-        order : WorkerCommand
-            An order addressed to this incarnation.
+        command : WorkerCommand
+            A command addressed to this incarnation.
 
         Returns
         -------
         bool
-            False for a repeated or older order, which must not be applied.
+            False for a repeated or older command, which must not be applied.
         """
-        if (order.term, order.sequence) <= (self.term, self.sequence):
+        if (command.term, command.sequence) <= (self.term, self.sequence):
             return False
-        self.term = order.term
-        self.sequence = order.sequence
+        self.term = command.term
+        self.sequence = command.sequence
         return True
--- a/src/orchidpath/emulators/backend/http_exchange.py
+++ b/src/orchidpath/emulators/backend/http_exchange.py
@@ -16,10 +16,10 @@
 T = TypeVar("T")
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
-"""Long prompts are sent whole."""
+"""Limit of a request body; a long prompt is sent in one body."""
 
 DEFAULT_ERROR_STATUS = 409
-"""Status of a refusal that has no status of its own: the order conflicts with the state."""
+"""HTTP status of the codes not in ``STATUS_BY_CODE``: the request conflicts with the state."""
 
 STATUS_BY_CODE = {
     ErrorCode.BAD_REQUEST: 400,
@@ -33,13 +33,16 @@
 
 
 def base_url(address: str) -> str:
-    """Return the base address of ``IP:port`` or of an address that has its scheme already."""
+    """Return the base URL for ``IP:port`` or for an address that already has a scheme."""
     url = address if "://" in address else f"http://{address}"
     return url.rstrip("/")
 
 
 def json_response(value: object, status: int = 200, attempt_id: str | None = None) -> web.Response:
-    """Answer with an encoded struct, echoing the attempt id if there is one."""
+    """Return a JSON response with an encoded struct.
+
+    The attempt id, if given, is sent in the ``ATTEMPT_HEADER`` header.
+    """
     headers = {ATTEMPT_HEADER: attempt_id} if attempt_id else None
     return web.Response(
         body=msgspec.json.encode(value),
@@ -50,20 +53,20 @@
 
 
 def error_response(error: ErrorBody) -> web.Response:
-    """Answer with an error in its envelope."""
+    """Return the response for an error, in an error envelope."""
     status = STATUS_BY_CODE.get(error.code, DEFAULT_ERROR_STATUS)
     return json_response(ErrorEnvelope(error=error), status, error.attempt_id)
 
 
 async def read_struct(request: web.Request, kind: type[T]) -> T:
-    """Decode a request's body.
+    """Decode the JSON body of a request.
 
     Parameters
     ----------
     request : web.Request
         The request.
     kind : type
-        The struct that its body must be.
+        The struct type to decode.
 
     Returns
     -------
@@ -73,7 +76,7 @@
     Raises
     ------
     web.HTTPBadRequest
-        If the body is anything else; nothing was run then.
+        If the body cannot be decoded as this type. The response guarantees ``ran=no``.
     """
     body = await request.read()
     try:
@@ -85,11 +88,11 @@
 
 
 def abort_connection(request: web.Request) -> None:
-    """Cut the connection under a request without any clean end."""
+    """Abort the connection of a request without a clean close."""
     if request.transport is not None:
         request.transport.abort()
 
 
 def is_closed(request: web.Request) -> bool:
-    """Tell whether the peer of a request has gone."""
+    """Return whether the connection of a request is closed or closing."""
     return request.transport is None or request.transport.is_closing()
--- a/src/orchidpath/emulators/backend/injected_faults.py
+++ b/src/orchidpath/emulators/backend/injected_faults.py
@@ -6,36 +6,38 @@
 
 
 class FaultKind(StrEnum):
-    """What goes wrong.
+    """Kind of an injected fault.
 
-    Acting at once: CRASH, EXPIRE_HANDLES, DRAIN, RESUME and CLEAR (ends every fault). The others
-    last for ``seconds`` or for the next ``count`` requests, or until cleared when both are zero.
+    CRASH, EXPIRE_HANDLES, DRAIN, RESUME and CLEAR (which ends every fault) take effect once. Every
+    other fault stays active for ``seconds`` or for the next ``count`` requests, whichever ends
+    first, or until it is cleared when both are zero.
     """
 
     CRASH = "crash"
     GO_DARK = "go_dark"
-    """Connections are accepted and never answered; nothing is announced either unless
-    ``keep_announcing``. What was received meanwhile is worked on afterwards, late."""
+    """Connections are accepted but requests are not answered, and the back end sends no
+    announcements unless ``keep_announcing`` is set. Requests received during the fault are
+    processed after it ends."""
     STALL = "stall"
-    """A stream stops after ``after_frames`` content frames for ``seconds``, or until cleared."""
+    """A stream pauses after ``after_frames`` content frames for ``seconds``, or until cleared."""
     SLOW = "slow"
     """Work takes ``factor`` times as long."""
     REFUSE_ALL = "refuse_all"
     """Every attempt is refused as overloaded, with the guarantee that it did not run."""
     WRONG_ATTEMPT_ECHO = "wrong_attempt_echo"
-    """The answer belongs to another request and attempt."""
+    """The response carries the ids of another request and attempt."""
     ANSWER_LATE = "answer_late"
-    """The work is done and the answer starts ``delay_seconds`` later."""
+    """The response starts ``delay_seconds`` after the work is done."""
     MISSING_TERMINAL = "missing_terminal"
-    """A stream ends cleanly without its terminal."""
+    """A stream ends cleanly without its terminal frame."""
     SEQUENCE_GAP = "sequence_gap"
     """One content frame of a stream is lost."""
     TRUNCATE = "truncate"
-    """The connection is cut in the middle of the answer, after the work has started."""
+    """The connection is aborted during the response, after the work has started."""
     FAIL_NEXT = "fail_next"
-    """The work is done and the answer is a 500 that guarantees nothing."""
+    """The work is done, but the response is a 500 with ``ran=unknown``."""
     LINK_PARTITION = "cut_link"
-    """No KV cache passes between this worker and ``worker_id`` (every worker when empty)."""
+    """No KV transfer succeeds between this worker and ``worker_id`` (all workers when empty)."""
     SLOW_LINK = "slow_link"
     """The KV transfer with ``worker_id`` takes ``factor`` times as long."""
     EXPIRE_HANDLES = "lapse_handles"
@@ -58,20 +60,20 @@
 
 
 class FaultReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The faults that last at the moment."""
+    """The active faults; answer of ``POST /v1/faults``."""
 
     active: tuple[Fault, ...]
 
 
 class LastingFault:
-    """A fault that lasts, with its end.
+    """An injected fault with its expiry time and its remaining request count.
 
     Parameters
     ----------
     fault : Fault
-        The fault.
+        The fault as it was posted.
     now : float
-        Time at which it began.
+        Start of the fault, in seconds of a monotonic clock.
     """
 
     def __init__(self, fault: Fault, now: float) -> None:
@@ -79,24 +81,24 @@
         self.ends_at = now + fault.seconds if fault.seconds > 0 else float("inf")
         self.remaining = fault.count if fault.count > 0 else None
 
-    def holds(self, now: float) -> bool:
-        """Tell whether the fault still lasts."""
+    def is_active(self, now: float) -> bool:
+        """Return whether the fault has neither expired nor used up its request count."""
         return now < self.ends_at and self.remaining != 0
 
     def matches(self, kind: FaultKind, peer: str) -> bool:
-        """Tell whether the fault is of a kind and concerns a peer."""
+        """Return whether the fault is of this kind and applies to this peer."""
         return self.fault.kind is kind and self.fault.worker_id in ("", peer)
 
 
 class FaultBoard:
-    """The faults that last at the moment."""
+    """The faults injected into one back end."""
 
     def __init__(self) -> None:
         self._lasting: list[LastingFault] = []
-        self.clearings = 0
+        self.clear_count = 0
 
     def add(self, fault: Fault, now: float) -> None:
-        """Let a fault begin; one of the same kind and peer gives way to it."""
+        """Add a fault; it replaces a fault of the same kind and peer."""
         self._lasting = [
             lasting
             for lasting in self._lasting
@@ -107,29 +109,29 @@
     def clear(self) -> None:
         """End every fault."""
         self._lasting.clear()
-        self.clearings += 1
+        self.clear_count += 1
 
     def active(self, kind: FaultKind, now: float, peer: str = "") -> Fault | None:
-        """Return a fault that lasts, without counting a request against it."""
+        """Return the active fault of a kind, without counting a request against it."""
         for lasting in self._lasting:
-            if lasting.holds(now) and lasting.matches(kind, peer):
+            if lasting.is_active(now) and lasting.matches(kind, peer):
                 return lasting.fault
         return None
 
     def take(self, kind: FaultKind, now: float, peer: str = "") -> Fault | None:
-        """Return a fault that lasts and count one request against it."""
+        """Return the active fault of a kind and count one request against it."""
         for lasting in self._lasting:
-            if lasting.holds(now) and lasting.matches(kind, peer):
+            if lasting.is_active(now) and lasting.matches(kind, peer):
                 if lasting.remaining is not None:
                     lasting.remaining -= 1
                 return lasting.fault
         return None
 
     def factor(self, kind: FaultKind, now: float, peer: str = "") -> float:
-        """Return the factor of a fault that lasts, or 1."""
+        """Return the factor of the active fault of a kind, or 1 if there is none."""
         fault = self.active(kind, now, peer)
         return fault.factor if fault is not None else 1.0
 
     def list_active(self, now: float) -> tuple[Fault, ...]:
-        """Return everything that lasts."""
-        return tuple(lasting.fault for lasting in self._lasting if lasting.holds(now))
+        """Return every active fault."""
+        return tuple(lasting.fault for lasting in self._lasting if lasting.is_active(now))
--- a/src/orchidpath/emulators/backend/reports.py
+++ b/src/orchidpath/emulators/backend/reports.py
@@ -1,4 +1,4 @@
-"""What an emulated back end tells about itself, for tests and checkers."""
+"""Status and execution reports of an emulated back end, for tests and checkers."""
 
 from collections import deque
 
@@ -8,11 +8,11 @@
 from orchidpath.wire.records import Stage, WorkerStatus
 
 MAX_LOGGED_EXECUTIONS = 100_000
-"""Bound on the execution records held in memory."""
+"""Maximum number of execution records held in memory."""
 
 
 class ExecutionRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One start of a prefill or of an execution; ``number`` counts from 1."""
+    """The start of one prefill or execution; ``number`` counts from 1 within an incarnation."""
 
     number: int
     worker_id: str
@@ -36,9 +36,9 @@
     Parameters
     ----------
     worker_id, incarnation : str
-        Whose executions these are.
+        The worker and the incarnation that execute.
     maximum : int
-        Bound on the records held.
+        Maximum number of records held; the oldest are discarded first.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._number = 0
 
     def add(self, phase: Phase, request_id: str, attempt_id: str) -> ExecutionRecord:
-        """Record one start."""
+        """Record the start of one phase of an attempt and return the record."""
         self._number += 1
         record = ExecutionRecord(
             number=self._number,
@@ -64,7 +64,7 @@
         return record
 
     def after(self, number: int) -> ExecutionList:
-        """Return the records above a number."""
+        """Return the retained records whose number is greater than ``number``."""
         return ExecutionList(
             worker_id=self._worker_id,
             incarnation=self._incarnation,
@@ -73,7 +73,7 @@
 
 
 class BackendCounts(msgspec.Struct, kw_only=True):
-    """Counters of one incarnation; all of them only grow."""
+    """Counters of one incarnation; none of them ever decreases."""
 
     frames: int = 0
     refused: int = 0
--- a/src/orchidpath/emulators/plain_service.py
+++ b/src/orchidpath/emulators/plain_service.py
@@ -1,4 +1,4 @@
-"""The asyncio shell of an emulated plain service: one JSON call, one answer."""
+"""The asyncio server of an emulated plain service: each JSON call has one JSON answer."""
 
 import asyncio
 import random
@@ -17,7 +17,10 @@
 
 
 class ServiceTiming(msgspec.Struct, frozen=True, kw_only=True):
-    """Latency of an emulated plain service: log-normal with a bound."""
+    """Latency and capacity of an emulated plain service.
+
+    The latency is log-normal and capped at ``maximum_seconds``.
+    """
 
     median_seconds: float = 0.02
     sigma: float = 0.5
@@ -25,20 +28,20 @@
     max_in_flight: int = 64
 
 
-def draw_latency(timing: ServiceTiming, generator: random.Random) -> float:
-    """Return the latency of one call.
+def sample_latency(timing: ServiceTiming, generator: random.Random) -> float:
+    """Return a random latency for one call.
 
     Parameters
     ----------
     timing : ServiceTiming
-        The distribution.
+        Parameters of the distribution.
     generator : random.Random
-        Source of randomness.
+        Random generator.
 
     Returns
     -------
     float
-        Seconds.
+        Latency in seconds.
     """
     latency = timing.median_seconds * generator.lognormvariate(0.0, timing.sigma)
     return min(latency, timing.maximum_seconds)
@@ -50,13 +53,13 @@
     Parameters
     ----------
     record : WorkerRecord
-        How the worker announces itself.
+        Record that the worker announces.
     settings : BackendSettings
-        Where to listen and whom to tell.
+        Listening address, announcement addresses and drain time.
     timing : ServiceTiming
         Latency and capacity.
     generator : random.Random
-        Source of randomness for the latency.
+        Random generator of the latencies.
     """
 
     def __init__(
@@ -71,32 +74,32 @@
         self._generator = generator
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the call."""
+        """Add the endpoint for calls."""
         super().add_routes(app)
         app.router.add_post("/v1/call", self._call)
 
     async def _call(self, request: web.Request) -> web.StreamResponse:
         call = await read_struct(request, CallRequest)
-        order = AttemptDispatch(
+        dispatch = AttemptDispatch(
             request_id=call.request_id,
             attempt_id=call.attempt_id,
             phase=Phase.EXECUTION,
             stage=Stage.PLAIN,
         )
-        return await self.admitted(order, lambda: self._answer(request, call, order))
+        return await self.admitted(dispatch, lambda: self._answer(request, call, dispatch))
 
     async def _answer(
-        self, request: web.Request, call: CallRequest, order: AttemptDispatch
+        self, request: web.Request, call: CallRequest, dispatch: AttemptDispatch
     ) -> web.StreamResponse:
-        refusal = self.begin(order)
+        refusal = self.begin(dispatch)
         if refusal is not None:
             return refusal
         factor = self.faults.factor(FaultKind.SLOW, self.now())
-        await asyncio.sleep(draw_latency(self._timing, self._generator) * factor)
-        spoilt = await self.spoil_answer(request, order)
-        if spoilt is not None:
-            return spoilt
-        sender = self.answer_identity(order)
+        await asyncio.sleep(sample_latency(self._timing, self._generator) * factor)
+        faulty_response = await self.apply_response_faults(request, dispatch)
+        if faulty_response is not None:
+            return faulty_response
+        sender = self.answer_identity(dispatch)
         body = expected_call_body(sender.request_id, call.method, call.path)
         reply = CallReply(
             request_id=sender.request_id, attempt_id=sender.attempt_id, body=msgspec.Raw(body)
--- a/src/orchidpath/emulators/worker/engine_model.py
+++ b/src/orchidpath/emulators/worker/engine_model.py
@@ -1,12 +1,13 @@
-"""How long the emulated work takes, and how much of it fits at once."""
+"""Durations and concurrency limits of the emulated inference engine."""
 
 import msgspec
 
 
 class WorkerTiming(msgspec.Struct, frozen=True, kw_only=True):
-    """Speeds and sizes of an emulated model worker.
+    """Rates, capacities and time limits of an emulated model worker.
 
-    ``batch_slowdown`` is the share by which each further stream slows every stream of the batch.
+    ``batch_slowdown`` is the fraction by which each additional stream lengthens the token interval
+    of every stream in the batch.
     """
 
     prefill_tokens_per_second: float = 20_000.0
@@ -23,60 +24,60 @@
 
 
 def prefill_seconds(timing: WorkerTiming, prompt_tokens: int, cached_tokens: int) -> float:
-    """Return the time of one prefill; tokens found in the cache cost nothing.
+    """Return the duration of one prefill; cached tokens take no time.
 
     Parameters
     ----------
     timing : WorkerTiming
-        The worker's speeds.
+        Rates of the worker.
     prompt_tokens, cached_tokens : int
-        Length of the prompt and of the part of it that is cached.
+        Length of the prompt and of its cached prefix, in tokens.
 
     Returns
     -------
     float
-        Seconds of work.
+        Duration in seconds.
     """
     uncached = max(0, prompt_tokens - cached_tokens)
     return timing.prefill_overhead_seconds + uncached / timing.prefill_tokens_per_second
 
 
 def decode_interval_seconds(timing: WorkerTiming, streams: int) -> float:
-    """Return the time between two tokens of a stream while ``streams`` of them share the batch."""
+    """Return the seconds between two tokens of a stream in a batch of ``streams`` streams."""
     slowdown = 1.0 + timing.batch_slowdown * max(0, streams - 1)
     return slowdown / timing.decode_tokens_per_second
 
 
 def transfer_bytes(timing: WorkerTiming, prompt_tokens: int) -> int:
-    """Return the size of the KV cache of a prompt."""
+    """Return the size of the KV cache of a prompt in bytes."""
     return prompt_tokens * timing.kv_bytes_per_token
 
 
 def transfer_seconds(timing: WorkerTiming, prompt_tokens: int) -> float:
-    """Return the time that the KV transfer of a prompt's KV cache takes on an idle link."""
+    """Return the seconds that the transfer of a prompt's KV cache takes on an idle link."""
     return transfer_bytes(timing, prompt_tokens) / timing.link_bytes_per_second
 
 
 class SerialResource:
-    """Something that does one piece of work after the other, such as a processor or a link."""
+    """A resource that serves one job at a time in FIFO order, such as a processor or a link."""
 
     def __init__(self) -> None:
         self._busy_until = 0.0
 
     def reserve(self, now: float, seconds: float) -> float:
-        """Queue a piece of work and return how long it takes until it is done.
+        """Queue a job and return the time until its completion.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         seconds : float
-            Length of the work.
+            Duration of the job itself.
 
         Returns
         -------
         float
-            Seconds from ``now``, waiting included.
+            Seconds from ``now`` until the job is done, including its waiting time.
         """
         start = max(now, self._busy_until)
         self._busy_until = start + seconds
@@ -84,12 +85,12 @@
 
 
 class InFlightLimit:
-    """Bounds the attempts that a back end works on at once.
+    """Limits the number of attempts in progress on a back end.
 
     Parameters
     ----------
     maximum : int
-        So many fit.
+        Maximum number of attempts in progress at once.
     """
 
     def __init__(self, maximum: int) -> None:
@@ -98,7 +99,7 @@
         self.highest = 0
 
     def try_enter(self) -> bool:
-        """Take a place, if there is one."""
+        """Occupy a slot and return True, or return False if all slots are occupied."""
         if self.current >= self.maximum:
             return False
         self.current += 1
@@ -106,5 +107,5 @@
         return True
 
     def leave(self) -> None:
-        """Give a place back."""
+        """Release a slot."""
         self.current -= 1
--- a/src/orchidpath/emulators/worker/frames.py
+++ b/src/orchidpath/emulators/worker/frames.py
@@ -1,4 +1,4 @@
-"""The frames of an emulated decode stream, with the ways in which they can be damaged."""
+"""Frames of an emulated decode stream, with optional injected faults."""
 
 from collections.abc import Iterator
 
@@ -9,10 +9,10 @@
 
 
 class StreamPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What is streamed and what is wrong with it.
+    """Content of one decode stream and the faults injected into it.
 
-    ``lost_frame`` counts content frames from 0; the frame of that number takes a sequence number
-    and is not sent.
+    ``lost_frame`` is the index of a content frame, from 0, that uses up its sequence number but is
+    not sent. ``without_terminal`` omits the USAGE and DONE frames.
     """
 
     request_id: str
@@ -32,12 +32,12 @@
 
 
 def decode_frames(plan: StreamPlan) -> Iterator[DecodeFrame]:
-    """Yield the frames of a stream: ROLE, CONTENT and so on, USAGE, DONE.
+    """Yield the frames of a stream: ROLE, any number of CONTENT frames, USAGE, DONE.
 
     Parameters
     ----------
     plan : StreamPlan
-        What to stream.
+        Content and faults of the stream.
 
     Yields
     ------
--- a/src/orchidpath/emulators/worker/kv_cache.py
+++ b/src/orchidpath/emulators/worker/kv_cache.py
@@ -1,7 +1,7 @@
-"""The emulated KV cache: a prefix cache by blocks, and handles for the KV transfer.
+"""The emulated KV cache: a prefix cache of blocks, and handles for the KV transfer.
 
-A handle is bound to one request, one attempt and one incarnation of the worker, expires after a
-while and can be used once; anything else is refused.
+A handle is bound to one request, one attempt and one incarnation of the worker. It expires after a
+fixed lifetime and can be used once; every other claim is refused.
 """
 
 from collections import OrderedDict
@@ -11,21 +11,21 @@
 import xxhash
 
 BLOCK_TOKENS = 16
-"""Tokens of one cached block; only whole blocks are cached."""
+"""Tokens per cached block; only full blocks are cached."""
 
 
 def count_tokens(prompt: str) -> int:
-    """Return the length of a prompt in tokens; a token is a word."""
+    """Return the length of a prompt in tokens; a token is a whitespace-separated word."""
     return len(prompt.split())
 
 
 def block_keys(prompt: str, block_tokens: int = BLOCK_TOKENS) -> list[int]:
-    """Return the keys of a prompt's whole blocks, each depending on all blocks before it.
+    """Return the keys of a prompt's full blocks; each key depends on all preceding blocks.
 
     Parameters
     ----------
     prompt : str
-        The whole text.
+        The complete prompt.
     block_tokens : int
         Tokens of one block.
 
@@ -45,12 +45,12 @@
 
 
 class PrefixCache:
-    """Blocks of prefilled prompts with least-recently-used eviction.
+    """Cache of the blocks of prefilled prompts, with least-recently-used eviction.
 
     Parameters
     ----------
     capacity_tokens : int
-        Room for so many tokens.
+        Capacity in tokens, rounded down to full blocks.
     block_tokens : int
         Tokens of one block.
     """
@@ -62,11 +62,11 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens held now."""
+        """Number of cached tokens."""
         return len(self._blocks) * self._block_tokens
 
     def cached_tokens(self, keys: list[int]) -> int:
-        """Return how many tokens at the start of a prompt are held, and mark them as used."""
+        """Return the number of cached tokens of a prompt's prefix, and mark its blocks as used."""
         hits = 0
         for key in keys:
             if key not in self._blocks:
@@ -76,7 +76,7 @@
         return hits * self._block_tokens
 
     def insert(self, keys: list[int]) -> None:
-        """Hold a prompt's blocks; blocks beyond the capacity are not held."""
+        """Cache the blocks of a prompt, except those beyond the capacity."""
         handle = keys[: self._capacity_blocks]
         for key in handle:
             self._blocks[key] = None
@@ -85,17 +85,18 @@
             self._blocks.popitem(last=False)
 
     def clear(self) -> None:
-        """Forget everything, as a change of stage does."""
+        """Remove every block; used when the worker changes its stage."""
         self._blocks.clear()
 
     def _mark_used(self, keys: list[int]) -> None:
-        # The last block first: a block is then never evicted before the blocks that need it.
+        # The last block is marked first, so that a block is never evicted before the later blocks
+        # of the prompt, which are useless without it.
         for key in reversed(keys):
             self._blocks.move_to_end(key)
 
 
 class HandleVerdict(StrEnum):
-    """Answer to a decode worker that asks for a KV cache."""
+    """Decision on a decode worker's claim of a KV cache."""
 
     GRANTED = "granted"
     EXPIRED = "lapsed"
@@ -103,7 +104,10 @@
 
 
 class HandleClaim(msgspec.Struct, frozen=True, kw_only=True):
-    """What a decode worker says about itself when it asks for a KV cache."""
+    """The claim of a decode worker that requests a KV cache.
+
+    ``incarnation`` is that of the prefill worker for which the handle was issued.
+    """
 
     handle_id: str
     request_id: str
@@ -112,14 +116,14 @@
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The verdict on a claim and, if granted, the tokens of the prompt."""
+    """The verdict on a claim and, if it is granted, the length of the prompt in tokens."""
 
     verdict: HandleVerdict
     prompt_tokens: int = 0
 
 
 class StoredHandle(msgspec.Struct, frozen=True, kw_only=True):
-    """A handle that was given out and not used yet."""
+    """A handle that was issued and not used yet."""
 
     request_id: str
     attempt_id: str
@@ -128,14 +132,14 @@
 
 
 class HandleTable:
-    """Handles given out by one incarnation of a worker.
+    """Handles issued by one incarnation of a worker.
 
     Parameters
     ----------
     incarnation : str
         The worker's incarnation.
     lifetime_seconds : float
-        A handle expires after this long.
+        Time in seconds after which a handle expires.
     """
 
     def __init__(self, incarnation: str, lifetime_seconds: float) -> None:
@@ -145,7 +149,7 @@
         self._issued = 0
 
     def issue(self, request_id: str, attempt_id: str, prompt_tokens: int, now: float) -> str:
-        """Give out a handle and return its id."""
+        """Issue a handle and return its id."""
         self._drop_expired(now)
         self._issued += 1
         handle_id = f"{self.incarnation}-{self._issued}"
@@ -158,19 +162,19 @@
         return handle_id
 
     def take(self, claim: HandleClaim, now: float) -> ClaimAnswer:
-        """Use a handle up, if the claim names everything that it is bound to.
+        """Consume a handle if the claim matches its request, attempt and incarnation.
 
         Parameters
         ----------
         claim : HandleClaim
-            Who asks and for what.
+            The claim of the decode worker.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         ClaimAnswer
-            A mismatch leaves the handle in place for the one it belongs to.
+            GRANTED removes the handle. After MISMATCH the handle stays valid for its attempt.
         """
         self._drop_expired(now)
         if claim.incarnation != self.incarnation:
@@ -184,7 +188,7 @@
         return ClaimAnswer(verdict=HandleVerdict.GRANTED, prompt_tokens=handle.prompt_tokens)
 
     def release(self, attempt_id: str) -> None:
-        """Drop the handles of a cancelled attempt."""
+        """Remove the handles of a cancelled attempt."""
         cancelled_handles = [
             key for key, handle in self._handles.items() if handle.attempt_id == attempt_id
         ]
@@ -192,18 +196,18 @@
             del self._handles[handle_id]
 
     def expire_all(self) -> int:
-        """Drop every handle and return how many there were."""
+        """Remove every handle and return how many were removed."""
         count = len(self._handles)
         self._handles.clear()
         return count
 
     def outstanding(self, now: float) -> int:
-        """Return how many handles are held and not expired."""
+        """Return the number of unused handles that have not expired."""
         self._drop_expired(now)
         return len(self._handles)
 
     def _drop_expired(self, now: float) -> None:
-        # Every handle lives equally long, so the oldest expires first.
+        # Every handle has the same lifetime, so handles expire in the order of their issue.
         while self._handles:
             handle_id, handle = next(iter(self._handles.items()))
             if handle.expires_at > now:
--- a/src/orchidpath/emulators/worker/kv_pull.py
+++ b/src/orchidpath/emulators/worker/kv_pull.py
@@ -10,11 +10,11 @@
 from orchidpath.wire.backend import CacheHandle, DecodeRequest, ErrorCode, ErrorEnvelope
 
 DENIALS = frozenset({ErrorCode.HANDLE_EXPIRED, ErrorCode.HANDLE_MISMATCH})
-"""Codes by which a prefill worker denies a handle."""
+"""Error codes with which a prefill worker denies a handle."""
 
 
 class KvTransfer(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of ``GET /v1/kv/{handle_id}``: stands for the bytes of the KV cache."""
+    """Answer of ``GET /v1/kv/{handle_id}``: metadata in place of the KV cache itself."""
 
     request_id: str
     attempt_id: str
@@ -24,7 +24,7 @@
 
 
 class KvTransferFailure(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a KV cache could not be had: its prefill worker rejected it, or was not reached."""
+    """Why a KV transfer failed: the prefill worker denied the handle or was unreachable."""
 
     code: ErrorCode
     message: str
@@ -36,13 +36,14 @@
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Must not reuse connections: a handle is good for one request only.
+        Must not reuse connections: aiohttp may resend a GET when a reused connection breaks, and a
+        handle is valid for one request only.
     faults : FaultBoard
-        May cut or slow the link to a prefill worker.
+        Faults that may partition or slow the link to a prefill worker.
     worker_id : str
-        The decode worker.
+        Id of the decode worker.
     timeout_seconds : float
-        Longest wait for one KV cache.
+        Timeout of one KV transfer.
     """
 
     def __init__(
@@ -57,21 +58,21 @@
         self._worker_id = worker_id
         self._timeout_seconds = timeout_seconds
 
-    async def pull(self, order: DecodeRequest) -> KvTransferFailure | None:
-        """Pull the KV cache that an order names.
+    async def pull(self, request: DecodeRequest) -> KvTransferFailure | None:
+        """Pull the KV cache of a decode request.
 
         Parameters
         ----------
-        order : DecodeRequest
-            Its handle must be bound to its own request and attempt.
+        request : DecodeRequest
+            The decode request. Its handle must be bound to its own request and attempt.
 
         Returns
         -------
         KvTransferFailure or None
-            None when the whole KV cache is here.
+            None when the KV cache was transferred completely.
         """
-        handle = order.handle
-        if (handle.request_id, handle.attempt_id) != (order.request_id, order.attempt_id):
+        handle = request.handle
+        if (handle.request_id, handle.attempt_id) != (request.request_id, request.attempt_id):
             return _mismatch("the handle belongs to another attempt")
         clock = asyncio.get_running_loop().time
         if self._faults.take(FaultKind.LINK_PARTITION, clock(), handle.worker_id) is not None:
--- a/src/orchidpath/emulators/worker/model_worker.py
+++ b/src/orchidpath/emulators/worker/model_worker.py
@@ -1,4 +1,4 @@
-"""The asyncio shell of an emulated model worker: prefills, KV transfers and decode streams."""
+"""The asyncio server of an emulated model worker: prefills, KV transfers and decode streams."""
 
 import asyncio
 
@@ -61,11 +61,11 @@
     Parameters
     ----------
     record : WorkerRecord
-        How the worker announces itself.
+        Record that the worker announces.
     settings : BackendSettings
-        Where to listen and whom to tell.
+        Listening address, announcement addresses and drain time.
     timing : WorkerTiming
-        Speeds and capacities.
+        Rates, capacities and time limits.
     """
 
     def __init__(
@@ -81,60 +81,60 @@
         self._transfers = 0
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the prefill, the decode and the KV transfer."""
+        """Add the endpoints for prefill, decode and KV transfer."""
         super().add_routes(app)
         app.router.add_post("/v1/prefill", self._prefill)
         app.router.add_post("/v1/decode", self._decode)
         app.router.add_get("/v1/kv/{handle_id}", self._transfer_kv)
 
     def handles_outstanding(self) -> int:
-        """Return how many KV caches are held for a KV transfer or being handed over."""
+        """Return the number of KV caches held for a KV transfer or being transferred."""
         return self._handles.outstanding(self.now()) + self._transfers
 
     def on_cancelled(self, attempt_id: str) -> None:
-        """Free the KV cache held for a cancelled attempt."""
+        """Release the KV cache held for a cancelled attempt."""
         self._handles.release(attempt_id)
 
     def on_stage_set(self) -> None:
-        """Forget the cache of the former stage."""
+        """Clear the prefix cache and the handles of the previous stage."""
         self._cache.clear()
         self._handles.expire_all()
 
     def expire_handles(self) -> None:
-        """Drop every handle."""
+        """Expire every KV handle."""
         self._handles.expire_all()
 
     def streams(self) -> bool:
-        """Tell that executions are answered by a stream."""
+        """Return True: executions are answered by a stream."""
         return True
 
     async def _prefill(self, request: web.Request) -> web.StreamResponse:
         body = await read_struct(request, PrefillRequest)
-        order = AttemptDispatch(
+        dispatch = AttemptDispatch(
             request_id=body.request_id,
             attempt_id=body.attempt_id,
             phase=Phase.PREFILL_DONE,
             stage=Stage.PREFILL,
             model=body.model,
         )
-        return await self.admitted(order, lambda: self._start_prefill(request, body, order))
+        return await self.admitted(dispatch, lambda: self._start_prefill(request, body, dispatch))
 
     async def _start_prefill(
-        self, request: web.Request, body: PrefillRequest, order: AttemptDispatch
+        self, request: web.Request, body: PrefillRequest, dispatch: AttemptDispatch
     ) -> web.StreamResponse:
-        refusal = self.begin(order)
+        refusal = self.begin(dispatch)
         if refusal is not None:
             return refusal
         prompt_tokens = count_tokens(body.prompt)
         cached_tokens = await self._occupy_processor(body.prompt, prompt_tokens)
-        if self.core.attempts.is_cancelled(order.attempt_id):
-            error = self.core.error(order, ErrorCode.ATTEMPT_REFUSED, "cancelled", Ran.YES)
+        if self.core.attempts.is_cancelled(dispatch.attempt_id):
+            error = self.core.error(dispatch, ErrorCode.ATTEMPT_REFUSED, "cancelled", Ran.YES)
             return error_response(error)
-        spoilt = await self.spoil_answer(request, order)
-        if spoilt is not None:
-            return spoilt
-        handle = self._issue_handle(order, prompt_tokens)
-        sender = self.answer_identity(order)
+        faulty_response = await self.apply_response_faults(request, dispatch)
+        if faulty_response is not None:
+            return faulty_response
+        handle = self._issue_handle(dispatch, prompt_tokens)
+        sender = self.answer_identity(dispatch)
         reply = PrefillReply(
             request_id=sender.request_id,
             attempt_id=sender.attempt_id,
@@ -155,15 +155,15 @@
         self._cache.insert(keys)
         return cached_tokens
 
-    def _issue_handle(self, order: AttemptDispatch, prompt_tokens: int) -> CacheHandle:
+    def _issue_handle(self, dispatch: AttemptDispatch, prompt_tokens: int) -> CacheHandle:
         record = self.core.record
         handle_id = self._handles.issue(
-            order.request_id, order.attempt_id, prompt_tokens, self.now()
+            dispatch.request_id, dispatch.attempt_id, prompt_tokens, self.now()
         )
         return CacheHandle(
             handle_id=handle_id,
-            request_id=order.request_id,
-            attempt_id=order.attempt_id,
+            request_id=dispatch.request_id,
+            attempt_id=dispatch.attempt_id,
             worker_id=record.worker_id,
             incarnation=record.incarnation,
             url=record.url,
@@ -219,17 +219,17 @@
 
     async def _decode(self, request: web.Request) -> web.StreamResponse:
         body = await read_struct(request, DecodeRequest)
-        order = AttemptDispatch(
+        dispatch = AttemptDispatch(
             request_id=body.request_id,
             attempt_id=body.attempt_id,
             phase=Phase.EXECUTION,
             stage=Stage.DECODE,
             model=body.model,
         )
-        return await self.admitted(order, lambda: self._run_decode(request, body, order))
+        return await self.admitted(dispatch, lambda: self._run_decode(request, body, dispatch))
 
     async def _run_decode(
-        self, request: web.Request, body: DecodeRequest, order: AttemptDispatch
+        self, request: web.Request, body: DecodeRequest, dispatch: AttemptDispatch
     ) -> web.StreamResponse:
         puller = CachePuller(
             self.session,
@@ -241,22 +241,22 @@
         if failure is not None:
             self.core.counts.kv_transfers_failed += 1
             return error_response(
-                self.core.refuse(order, failure.code, failure.message, self.now())
+                self.core.refuse(dispatch, failure.code, failure.message, self.now())
             )
-        refusal = self.begin(order)
+        refusal = self.begin(dispatch)
         if refusal is not None:
             return refusal
         self._streams += 1
         try:
-            spoilt = await self.spoil_answer(request, order)
-            return spoilt or await self._stream(request, body, order)
+            faulty_response = await self.apply_response_faults(request, dispatch)
+            return faulty_response or await self._stream(request, body, dispatch)
         finally:
             self._streams -= 1
 
     async def _stream(
-        self, request: web.Request, body: DecodeRequest, order: AttemptDispatch
+        self, request: web.Request, body: DecodeRequest, dispatch: AttemptDispatch
     ) -> web.StreamResponse:
-        sender = self.answer_identity(order)
+        sender = self.answer_identity(dispatch)
         plan = StreamPlan(
             request_id=sender.request_id,
             attempt_id=sender.attempt_id,
@@ -269,7 +269,7 @@
         response.content_type = "text/event-stream"
         try:
             await response.prepare(request)
-            await self._send_frames(request, response, plan, order)
+            await self._send_frames(request, response, plan, dispatch)
         except ConnectionError:
             self.core.counts.streams_interrupted += 1
         return response
@@ -286,12 +286,12 @@
         request: web.Request,
         response: web.StreamResponse,
         plan: StreamPlan,
-        order: AttemptDispatch,
+        dispatch: AttemptDispatch,
     ) -> None:
         truncation = self.faults.take(FaultKind.TRUNCATE, self.now())
         stall = self.faults.take(FaultKind.STALL, self.now())
         for sent, frame in enumerate(decode_frames(plan)):
-            if self.core.attempts.is_cancelled(order.attempt_id):
+            if self.core.attempts.is_cancelled(dispatch.attempt_id):
                 abort_connection(request)
                 return
             if truncation is not None and sent > truncation.after_frames:
@@ -302,10 +302,10 @@
             await self._send_frame(response, frame)
 
     async def _stall(self, request: web.Request, stall: Fault) -> None:
-        clearings = self.faults.clearings
+        clear_count = self.faults.clear_count
         ends_at = self.now() + stall.seconds if stall.seconds > 0 else float("inf")
         await wait_until(
-            lambda: self.faults.clearings != clearings or is_closed(request), deadline=ends_at
+            lambda: self.faults.clear_count != clear_count or is_closed(request), deadline=ends_at
         )
 
     async def _send_frame(self, response: web.StreamResponse, frame: DecodeFrame) -> None:
