--- a/src/orchidpath/emulators/client/__init__.py
+++ b/src/orchidpath/emulators/client/__init__.py
@@ -1,5 +1,6 @@
-"""The emulated clients: arrivals, requests, and the judgement of each response.
+"""The emulated clients: arrivals, requests and the verification of each response.
 
-Begin with :mod:`.caller`. It parses streams by itself and shares no code with the router, so
-that neither hides a fault of the other. Imported by the command line and the local fleet.
+Start reading with :mod:`.caller`. The clients have their own parser of event streams and share no
+code with the router, so that a fault in one is not hidden by the same fault in the other.
+Imported by the command line and the local fleet.
 """
--- a/src/orchidpath/emulators/client/caller.py
+++ b/src/orchidpath/emulators/client/caller.py
@@ -1,4 +1,4 @@
-"""The asyncio shell of emulated callers: an open loop against the routers of a fleet."""
+"""Emulated callers on asyncio: an open-loop load on the routers of a fleet."""
 
 import asyncio
 import random
@@ -29,19 +29,20 @@
 from orchidpath.emulators.client.verification import Outcome
 
 PROBE_PERIOD_SECONDS = 0.5
-"""Time between two readiness probes of a router."""
+"""Interval between two readiness probes of a router."""
 
 PROBE_TIMEOUT_SECONDS = 0.5
-"""A router that answers its probe later counts as unready."""
+"""A router that takes longer to answer a probe counts as unready."""
 
 MAX_OUTSTANDING = 5000
-"""A request that is due beyond this is counted as not sent."""
+"""Maximum number of outstanding requests; a request due beyond it is counted as not sent."""
 
 
 class CallerSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What the callers of one process do.
+    """Targets, load and limits of the callers of one process.
 
-    ``history`` names a file that takes one JSON line for every request that ended.
+    ``returns`` is the retry policy. ``history`` names a file to which one JSON
+    line is appended for every request that has ended.
     """
 
     routers: tuple[str, ...]
@@ -56,14 +57,14 @@
 
 
 class Callers:
-    """All callers of one process.
+    """Sends the load of all callers of one process.
 
     Parameters
     ----------
     settings : CallerSettings
-        What to send where.
+        Targets, load and limits.
     on_progress : callable
-        Takes the report of each second.
+        Called with the progress report of each second.
     """
 
     def __init__(
@@ -84,11 +85,14 @@
         self._history: IO[bytes] | None = None
 
     def stop(self) -> None:
-        """Send nothing new; what is outstanding may end."""
+        """Send no new requests; outstanding requests may still finish."""
         self._stopping.set()
 
     async def run(self) -> CallerSummary:
-        """Send everything, wait for the answers within a bound, and return the summary."""
+        """Send all requests and return the summary.
+
+        After the last request, outstanding requests have at most ``drain_seconds`` to finish.
+        """
         clock = asyncio.get_running_loop().time
         self._session = make_session()
         self._client = RouterClient(
@@ -127,7 +131,7 @@
     async def _pause_until(self, at: float) -> None:
         seconds = at - asyncio.get_running_loop().time()
         if seconds <= 0:
-            # Gives the answers a turn even when the callers have fallen behind.
+            # Lets other tasks process responses even when sending is behind schedule.
             await asyncio.sleep(0)
             return
         await wait_for_event(self._stopping, seconds)
@@ -138,25 +142,30 @@
             self._tally.not_sent += 1
             return
         request = self._planner.plan(arrival.stream)
-        task = asyncio.create_task(self._serve(request, started_at + arrival.at_seconds))
+        task = asyncio.create_task(
+            self._send_with_retries(request, started_at + arrival.at_seconds)
+        )
         self._outstanding.add(task)
         task.add_done_callback(self._outstanding.discard)
 
-    async def _serve(self, request: PlannedRequest, due_at: float) -> None:
+    async def _send_with_retries(self, request: PlannedRequest, due_at: float) -> None:
         attempts = 1
         result = result_of(request, Outcome.TIMED_OUT)
         try:
             result = await self._try_routers(request, due_at, attempts)
-            while may_return(result, self._settings.returns) and await self._stay_away(result):
+            while may_return(result, self._settings.returns) and await self._wait_before_retry(
+                result
+            ):
                 attempts += 1
                 self._tally.returns += 1
                 now = asyncio.get_running_loop().time()
                 result = await self._try_routers(request, now, attempts)
         finally:
-            # Also when it is given up at the end of the run: every request is counted.
+            # Also runs when the request is cancelled at the end of the run, so that every request
+            # is counted.
             self._record(result)
 
-    async def _stay_away(self, result: RequestResult) -> bool:
+    async def _wait_before_retry(self, result: RequestResult) -> bool:
         pause = pause_seconds(result, self._settings.returns, self._generator)
         return not await wait_for_event(self._stopping, pause)
 
@@ -168,7 +177,7 @@
             try:
                 result = await self._client.send(request, router, due_at)
             except RouterUnreachableError:
-                # Nothing was sent, so the next router may be tried with the same request.
+                # Nothing was sent, so the same request may safely be sent to the next router.
                 self._selection.set_ready(router, ready=False)
                 continue
             return msgspec.structs.replace(result, attempts=attempts)
--- a/src/orchidpath/emulators/client/caller_report.py
+++ b/src/orchidpath/emulators/client/caller_report.py
@@ -1,4 +1,4 @@
-"""What callers report: outcomes, codes and times, each second and at the end."""
+"""Reports of the callers, for each second and for the run: outcomes, codes and latencies."""
 
 from collections import Counter
 
@@ -14,14 +14,15 @@
 SIGNIFICANT_DIGITS = 3
 
 MAX_EXAMPLES = 20
-"""Bound on the violations described one by one; their number is never bounded."""
+"""Maximum number of violations listed individually; the count includes all of them."""
 
 
 class RequestResult(msgspec.Struct, frozen=True, kw_only=True):
-    """How one request ended.
+    """Result of one request.
 
-    ``attempts`` counts how often it was sent. Times count from the moment at which the request was
-    due, not from the one at which it was sent, so that a busy caller hides no delay.
+    ``attempts`` is the number of times the request was sent. Times are measured from the moment at
+    which the request was due, not from its sending, so that delay in an overloaded caller is
+    included.
     """
 
     request_id: str
@@ -40,7 +41,7 @@
 
 
 class Percentiles(msgspec.Struct, frozen=True, kw_only=True):
-    """A distribution of times in seconds."""
+    """Percentiles of a distribution of times in seconds."""
 
     count: int
     p50_seconds: float
@@ -50,7 +51,7 @@
 
 
 class OutcomeCounts(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests by outcome."""
+    """Number of requests by outcome."""
 
     answered: int = 0
     refused: int = 0
@@ -63,7 +64,7 @@
 
 
 class CodeCount(msgspec.Struct, frozen=True, kw_only=True):
-    """How often an outcome came with a code and a word on whether the call ran."""
+    """Number of requests with a given outcome, error code and execution status (``ran``)."""
 
     outcome: Outcome
     code: str
@@ -72,7 +73,10 @@
 
 
 class CallerProgress(msgspec.Struct, frozen=True, kw_only=True, tag="progress"):
-    """One second of a run; counts are of that second, times of the run so far."""
+    """Progress report of one second.
+
+    ``due`` and ``outcomes`` count that second only; the percentiles cover the run so far.
+    """
 
     second: int
     due: int
@@ -85,7 +89,11 @@
 
 
 class CallerSummary(msgspec.Struct, frozen=True, kw_only=True, tag="summary"):
-    """A whole run. ``not_sent`` were due while too many were outstanding."""
+    """Summary of a complete run.
+
+    ``not_sent`` counts requests that were due while too many others were outstanding; ``returns``
+    counts retries.
+    """
 
     seconds: float
     due: int
@@ -101,7 +109,7 @@
 
 
 class TimeRecorder:
-    """A histogram of times."""
+    """Histogram of times with microsecond resolution."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(
@@ -109,12 +117,12 @@
         )
 
     def record(self, seconds: float) -> None:
-        """Take in one time."""
+        """Record one time in seconds."""
         microseconds = max(LOWEST_MICROSECONDS, round(seconds * 1e6))
         self._histogram.record_value(min(microseconds, HIGHEST_MICROSECONDS))
 
     def percentiles(self) -> Percentiles:
-        """Return the distribution so far."""
+        """Return the percentiles of all times recorded so far."""
         return Percentiles(
             count=int(self._histogram.get_total_count()),
             p50_seconds=self._at(50.0),
@@ -128,7 +136,7 @@
 
 
 class CallerTally:
-    """Counts everything that happens to the callers of one run."""
+    """Counters and latency histograms of one run."""
 
     def __init__(self) -> None:
         self.due = 0
@@ -144,7 +152,7 @@
         self._due_reported = 0
 
     def add(self, result: RequestResult) -> None:
-        """Take in how a request ended."""
+        """Count the result of a request."""
         self._outcomes[result.outcome] += 1
         self._codes[
             CodeCount(outcome=result.outcome, code=result.code, ran=result.ran, count=0)
@@ -155,7 +163,7 @@
             self.plain_call.record(result.total_seconds)
 
     def progress(self, second: int, outstanding: int, ready_routers: int) -> CallerProgress:
-        """Return the report of one second; what it counts is not counted again."""
+        """Return the report of one second, with the counts since the previous report."""
         new_outcomes = self._outcomes - self._outcomes_reported
         new_due = self.due - self._due_reported
         self._outcomes_reported = Counter(self._outcomes)
@@ -172,7 +180,7 @@
         )
 
     def summary(self, seconds: float) -> CallerSummary:
-        """Return the report of the whole run."""
+        """Return the summary of the run, which took ``seconds``."""
         violations = sum(count for outcome, count in self._outcomes.items() if outcome.is_violation)
         codes = [
             msgspec.structs.replace(key, count=count) for key, count in self._codes.most_common()
@@ -206,7 +214,7 @@
 
 
 def result_of(request: PlannedRequest, outcome: Outcome, router: str = "") -> RequestResult:
-    """Return the result of a request with nothing known but its outcome."""
+    """Return a result that contains only the request's identity, outcome and router."""
     return RequestResult(
         request_id=request.request_id,
         stream=request.stream,
--- a/src/orchidpath/emulators/client/request_plan.py
+++ b/src/orchidpath/emulators/client/request_plan.py
@@ -1,4 +1,4 @@
-"""What each request of a traffic mix looks like."""
+"""Generation of the requests of a traffic mix."""
 
 import random
 from itertools import accumulate
@@ -14,13 +14,14 @@
 )
 
 HEX_DIGITS_PER_TOKEN = 3
-"""With the space behind it a word of a prompt is four characters long, like a usual token."""
+"""A word of a prompt is four characters long with its trailing space, like a typical token."""
 
 
 class PlannedRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One request as its caller will send and judge it.
+    """One request with everything that its caller needs to send it and verify the answer.
 
-    ``disconnect_after_chunks`` is set when the caller will go away after so many chunks.
+    ``disconnect_after_chunks``, if set, is the number of content chunks after which the caller
+    closes the connection.
     """
 
     request_id: str
@@ -37,14 +38,14 @@
     pause_per_chunk_seconds: float = 0.0
 
 
-def draw_tokens(distribution: TokenDistribution, generator: random.Random) -> int:
-    """Return a number of tokens."""
+def sample_tokens(distribution: TokenDistribution, generator: random.Random) -> int:
+    """Return a random number of tokens from a distribution."""
     tokens = distribution.median * generator.lognormvariate(0.0, distribution.sigma)
     return max(distribution.minimum, min(distribution.maximum, round(tokens)))
 
 
 def make_words(label: str, count: int) -> str:
-    """Return so many words, the same for the same label."""
+    """Return ``count`` words separated by spaces; equal labels give equal words."""
     words = [
         xxhash.xxh3_64_hexdigest(f"{label}:{index}".encode())[:HEX_DIGITS_PER_TOKEN]
         for index in range(count)
@@ -53,14 +54,14 @@
 
 
 class RequestPlanner:
-    """Draws requests of a mix.
+    """Generates the requests of a traffic mix.
 
     Parameters
     ----------
     mix : TrafficMix
-        The mix.
+        The traffic mix.
     run_id : str
-        Begins every request id, so that two runs share none.
+        Prefix of every request id, so that two runs have no request id in common.
     generator : random.Random
         Source of randomness.
     """
@@ -109,8 +110,8 @@
     def _plan_model(
         self, stream: TrafficStream, request_id: str, caller_id: str, tenant: str
     ) -> PlannedRequest:
-        max_tokens = draw_tokens(stream.max_tokens, self._generator)
-        own_words = make_words(request_id, draw_tokens(stream.prompt_tokens, self._generator))
+        max_tokens = sample_tokens(stream.max_tokens, self._generator)
+        own_words = make_words(request_id, sample_tokens(stream.prompt_tokens, self._generator))
         disconnects = self._generator.random() < self._mix.disconnect_share
         is_slow_reader = self._generator.random() < self._mix.slow_reader_share
         return PlannedRequest(
@@ -120,13 +121,13 @@
             caller_id=caller_id,
             tenant=tenant,
             model=stream.model,
-            prompt=f"{self._draw_prefix(stream)} {own_words}",
+            prompt=f"{self._sample_prefix(stream)} {own_words}",
             max_tokens=max_tokens,
             disconnect_after_chunks=self._generator.randrange(max_tokens) if disconnects else None,
             pause_per_chunk_seconds=self._mix.slow_reader_pause_seconds if is_slow_reader else 0.0,
         )
 
-    def _draw_prefix(self, stream: TrafficStream) -> str:
+    def _sample_prefix(self, stream: TrafficStream) -> str:
         weights = self._prefix_weights[stream.name]
         rank = self._generator.choices(range(stream.prefixes), cum_weights=weights)[0]
         label = f"{stream.name}/{rank}"
--- a/src/orchidpath/emulators/client/return_policy.py
+++ b/src/orchidpath/emulators/client/return_policy.py
@@ -1,4 +1,4 @@
-"""Whether and when a refused caller comes back with the same request id."""
+"""Retry policy of callers: whether and when a request is sent again under the same id."""
 
 import random
 
@@ -12,7 +12,10 @@
 
 
 class ReturnPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds on coming back."""
+    """Limits on the retries of one request.
+
+    The pause before a retry is lengthened by a random share of up to ``jitter_share``.
+    """
 
     max_returns: int = 3
     default_pause_seconds: float = 1.0
@@ -21,20 +24,19 @@
 
 
 def may_return(result: RequestResult, policy: ReturnPolicy) -> bool:
-    """Tell whether a caller may send the same request again.
+    """Return whether a caller may send the same request again.
 
     Parameters
     ----------
     result : RequestResult
-        How the request ended.
+        Result of the last attempt.
     policy : ReturnPolicy
-        Bounds.
+        Limits on retries.
 
     Returns
     -------
     bool
-        Never when the answer leaves open whether the call ran: the caller itself would then be
-        the one that runs it twice.
+        False if the call ran or may have run: a retry by the caller could then execute it twice.
     """
     if result.attempts > policy.max_returns:
         return False
@@ -48,7 +50,11 @@
 
 
 def pause_seconds(result: RequestResult, policy: ReturnPolicy, generator: random.Random) -> float:
-    """Return how long to stay away: at least what Retry-After asks for, within the bound."""
+    """Return the pause before a retry in seconds.
+
+    It is at least the value of Retry-After, or the default pause without one, plus jitter, but at
+    most ``max_pause_seconds``.
+    """
     requested_seconds = result.retry_after_seconds
     pause = policy.default_pause_seconds if requested_seconds is None else requested_seconds
     jitter = 1.0 + policy.jitter_share * generator.random()
--- a/src/orchidpath/emulators/client/router_client.py
+++ b/src/orchidpath/emulators/client/router_client.py
@@ -1,4 +1,4 @@
-"""Sends one request of a caller to one router and judges the answer."""
+"""Sending of one request to one router, with verification of the answer."""
 
 import asyncio
 
@@ -16,14 +16,14 @@
 )
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-"""A router that does not take a connection for so long is passed over."""
+"""A router that does not accept a connection within this time counts as unreachable."""
 
 READ_BUFFER_BYTES = 4096
-"""Small, so that a slow reader is felt by the router."""
+"""Small, so that a slow reader causes backpressure at the router."""
 
 
 class RouterUnreachableError(Exception):
-    """The router took no connection, so nothing of the request was sent."""
+    """The router accepted no connection, so no part of the request was sent."""
 
 
 class ChatMessage(msgspec.Struct, frozen=True, kw_only=True):
@@ -34,7 +34,7 @@
 
 
 class ChatCompletionRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of a model request."""
+    """Body of a model request."""
 
     model: str
     messages: tuple[ChatMessage, ...]
@@ -45,9 +45,10 @@
 async def _send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Hide a lost connection from the library, which would send a GET or PUT a second time.
+    """Prevent aiohttp from resending a GET or PUT after a lost connection.
 
-    Whether the first one ran is unknown then, and only the caller may decide to send it again.
+    It is then unknown whether the first request ran, and only the caller may decide on a retry.
+    The error is converted into a type for which aiohttp does not retry.
     """
     try:
         return await handler(request)
@@ -58,7 +59,7 @@
 
 
 def make_session() -> aiohttp.ClientSession:
-    """Return a session that sends each request once, over a connection of its own."""
+    """Return a session that sends each request exactly once, on its own connection."""
     return aiohttp.ClientSession(
         middlewares=(_send_once,),
         connector=aiohttp.TCPConnector(limit=0, force_close=True),
@@ -73,11 +74,11 @@
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Made by :func:`make_session`.
+        Session created by :func:`make_session`.
     first_token, between_tokens : TimeRecorder
-        Take the times of model requests.
+        Histograms for the token times of model requests.
     timeout_seconds : float
-        A request that takes longer has timed out.
+        Timeout of one request, including its complete answer.
     """
 
     def __init__(
@@ -100,19 +101,19 @@
         request : PlannedRequest
             The request.
         router : str
-            Base address of the router.
+            Base URL of the router.
         due_at : float
-            Time of the loop at which the request was due.
+            Time of the event loop, in seconds, at which the request was due.
 
         Returns
         -------
         RequestResult
-            How it ended.
+            Result of the request.
 
         Raises
         ------
         RouterUnreachableError
-            If nothing was sent.
+            If no connection was established, so nothing was sent.
         """
         try:
             async with asyncio.timeout(self._timeout_seconds):
@@ -138,7 +139,7 @@
             method, router + path, data=body or None, headers=headers
         ) as response:
             if response.status != 200:
-                return await _refused(request, router, response)
+                return await _read_refusal(request, router, response)
             if request.kind is TrafficKind.PLAIN:
                 content = await response.read()
                 outcome = judge_call(content, request.request_id, request.method, request.path)
@@ -159,7 +160,7 @@
             async for chunk in response.content.iter_any():
                 chunks = verifier.feed(chunk)
                 clock.on_content(chunks, is_slow_reader=request.pause_per_chunk_seconds > 0)
-                if _is_leaving(request, verifier):
+                if _disconnects_now(request, verifier):
                     response.close()
                     return result_of(request, Outcome.ABANDONED, router)
                 if request.pause_per_chunk_seconds:
@@ -179,14 +180,14 @@
 
 
 class TokenClock:
-    """Takes the times at which the content of one stream arrives.
+    """Records the arrival times of the content of one stream.
 
     Parameters
     ----------
     first_token, between_tokens : TimeRecorder
-        Take the times.
+        Histograms for the times.
     due_at : float
-        Time of the loop at which the request was due.
+        Time of the event loop, in seconds, at which the request was due.
     """
 
     def __init__(
@@ -199,7 +200,10 @@
         self.first_token_seconds: float | None = None
 
     def on_content(self, chunks: int, is_slow_reader: bool) -> None:
-        """Record content chunks that arrived together; the pauses of a slow reader are its own."""
+        """Record content chunks that arrived together.
+
+        The intervals of a slow reader are not recorded, because they include its own pauses.
+        """
         now = asyncio.get_running_loop().time()
         for _ in range(chunks):
             if self._last_at is None:
@@ -211,7 +215,7 @@
 
 
 def encode_chat(request: PlannedRequest) -> bytes:
-    """Return the body of a model request."""
+    """Return the encoded body of a model request."""
     message = ChatMessage(role="user", content=request.prompt)
     return msgspec.json.encode(
         ChatCompletionRequest(
@@ -221,19 +225,19 @@
 
 
 def read_retry_after(response: aiohttp.ClientResponse) -> float | None:
-    """Return the Retry-After header in seconds, if there is one that can be read."""
+    """Return the Retry-After header in seconds, or None if it is absent or not a number."""
     try:
         return max(0.0, float(response.headers["retry-after"]))
     except (KeyError, ValueError):
         return None
 
 
-def _is_leaving(request: PlannedRequest, verifier: StreamVerifier) -> bool:
-    leaves_after = request.disconnect_after_chunks
-    return leaves_after is not None and verifier.content_chunks >= leaves_after
+def _disconnects_now(request: PlannedRequest, verifier: StreamVerifier) -> bool:
+    chunk_limit = request.disconnect_after_chunks
+    return chunk_limit is not None and verifier.content_chunks >= chunk_limit
 
 
-async def _refused(
+async def _read_refusal(
     request: PlannedRequest, router: str, response: aiohttp.ClientResponse
 ) -> RequestResult:
     error = read_error(await response.read())
--- a/src/orchidpath/emulators/client/router_selection.py
+++ b/src/orchidpath/emulators/client/router_selection.py
@@ -1,15 +1,15 @@
-"""Which router a caller turns to: the nearby one by hash, skipping unready ones."""
+"""Selection of a router for a caller by rendezvous hashing, with ready routers first."""
 
 import xxhash
 
 
 class RouterSelection:
-    """Orders the routers for each caller.
+    """Ranks the routers for each caller.
 
     Parameters
     ----------
     routers : list[str]
-        Base addresses; all of them count as ready until a probe says otherwise.
+        Base URLs. Each router counts as ready until a probe or a connection fails.
     """
 
     def __init__(self, routers: list[str]) -> None:
@@ -18,33 +18,34 @@
 
     @property
     def routers(self) -> list[str]:
-        """Every router."""
+        """The base URLs of all routers."""
         return self._routers
 
     @property
     def ready_count(self) -> int:
-        """How many routers are ready."""
+        """The number of ready routers."""
         return len(self._routers) - len(self._unready)
 
     def set_ready(self, router: str, ready: bool) -> None:
-        """Take the result of a probe or of a failed connection."""
+        """Store the readiness of a router after a probe or a failed connection."""
         if ready:
             self._unready.discard(router)
         else:
             self._unready.add(router)
 
     def preferred_routers(self, caller_id: str) -> list[str]:
-        """Return the routers to try for a caller, nearest first.
+        """Return the routers to try for a caller, most preferred first.
 
         Parameters
         ----------
         caller_id : str
-            The caller; rendezvous hashing keeps its order stable while routers come and go.
+            Id of the caller. Rendezvous hashing keeps its ranking stable when the set of routers
+            changes.
 
         Returns
         -------
         list[str]
-            Ready routers, and behind them the unready ones in case the probes are out of date.
+            The ready routers, followed by the unready ones in case the probes are out of date.
         """
         ranked = sorted(self._routers, key=lambda router: _weight(caller_id, router), reverse=True)
         return sorted(ranked, key=lambda router: router in self._unready)
--- a/src/orchidpath/emulators/client/server_sent_events.py
+++ b/src/orchidpath/emulators/client/server_sent_events.py
@@ -4,14 +4,14 @@
 
 
 class ServerSentEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """One event; ``name`` is empty for an ordinary message."""
+    """One server-sent event; ``name`` is empty if the event has no ``event`` field."""
 
     name: str
     data: str
 
 
 class EventParser:
-    """Turns pieces of a body into events; an event without its blank line is not one yet."""
+    """Parses the chunks of a body into events; an event is complete after its blank line."""
 
     def __init__(self) -> None:
         self._rest = b""
@@ -19,28 +19,28 @@
         self._data: list[str] = []
 
     def feed(self, chunk: bytes) -> list[ServerSentEvent]:
-        """Take in a piece of the body.
+        """Parse the next chunk of the body.
 
         Parameters
         ----------
-        piece : bytes
-            Any cut of the body.
+        chunk : bytes
+            The next bytes of the body, split at any position.
 
         Returns
         -------
         list[ServerSentEvent]
-            The events completed by it.
+            The events that this chunk completes.
         """
         lines = (self._rest + chunk).split(b"\n")
         self._rest = lines.pop()
         events: list[ServerSentEvent] = []
         for line in lines:
-            event = self._take_line(line.rstrip(b"\r").decode("utf-8", "replace"))
+            event = self._process_line(line.rstrip(b"\r").decode("utf-8", "replace"))
             if event is not None:
                 events.append(event)
         return events
 
-    def _take_line(self, line: str) -> ServerSentEvent | None:
+    def _process_line(self, line: str) -> ServerSentEvent | None:
         if not line:
             return self._finish_event()
         name, _, value = line.partition(":")
--- a/src/orchidpath/emulators/client/traffic_mix.py
+++ b/src/orchidpath/emulators/client/traffic_mix.py
@@ -1,4 +1,4 @@
-"""What callers send: streams of requests, swings of their rates and crowds."""
+"""Traffic mix of the callers: request streams, rate variations (``swings``) and bursts."""
 
 from enum import StrEnum
 
@@ -6,18 +6,18 @@
 
 
 class TrafficMixError(Exception):
-    """A traffic mix that cannot be used; the message names the field."""
+    """The traffic mix is invalid; the message names the field."""
 
 
 class TrafficKind(StrEnum):
-    """Kind of requests of a stream."""
+    """Kind of the requests of a stream."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class TokenDistribution(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A log-normal number of tokens between two bounds."""
+    """Log-normal distribution of a number of tokens, clamped to two bounds."""
 
     median: int = 64
     sigma: float = 0.5
@@ -26,11 +26,12 @@
 
 
 class TrafficStream(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Requests of one kind.
+    """A stream of requests of one kind.
 
-    ``prompt_tokens`` counts the part after the shared prefix. Prefixes are drawn with weights
-    ``1 / rank ** prefix_skew``. ``path`` may hold ``{}``, which is replaced by a number.
-    ``callers`` is how many caller ids share the stream; each sticks to its nearby router.
+    ``prompt_tokens`` is the length of the prompt after its shared prefix. The prefix is selected
+    at random with weight ``1 / rank ** prefix_skew``. ``path`` may contain ``{}``, which is
+    replaced by a random number. ``callers`` is the number of caller ids that share the stream;
+    each caller stays with its preferred router while that router is ready.
     """
 
     name: str
@@ -49,21 +50,21 @@
 
 
 class RatePoint(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """From this time on, the rate is multiplied; between two points it changes evenly."""
+    """The rate multiplier at one time; it changes linearly between two points."""
 
     at_seconds: float
     multiplier: float
 
 
 class Swing(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A multiplier of rates over time, for the named streams or, without names, for all."""
+    """Variation of the rate over time, for the named streams or, without names, for all."""
 
     points: list[RatePoint]
     streams: list[str] = []
 
 
 class CrowdBurst(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """So many requests of a stream more, spread evenly over a short time."""
+    """Additional requests of one stream, spread evenly over a short time."""
 
     stream: str
     at_seconds: float
@@ -72,10 +73,10 @@
 
 
 class TrafficMix(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A whole mix.
+    """A complete traffic mix.
 
-    ``disconnect_share`` of the model requests are abandoned by their caller in the middle;
-    ``slow_reader_share`` of them are read with a pause at each chunk.
+    ``disconnect_share`` is the share of model requests whose caller closes the connection during
+    the answer. ``slow_reader_share`` is the share whose caller pauses after each chunk it reads.
     """
 
     streams: list[TrafficStream]
@@ -87,24 +88,24 @@
 
 
 def decode_traffic_mix(content: bytes, is_toml: bool) -> TrafficMix:
-    """Decode and check a traffic mix.
+    """Decode and validate a traffic mix.
 
     Parameters
     ----------
     content : bytes
-        The file's content.
+        Content of the file.
     is_toml : bool
-        TOML or JSON.
+        Whether the content is TOML; otherwise it is JSON.
 
     Returns
     -------
     TrafficMix
-        The mix.
+        The validated traffic mix.
 
     Raises
     ------
     TrafficMixError
-        If it cannot be decoded or makes no sense.
+        If the content cannot be decoded or the mix is invalid.
     """
     decode = msgspec.toml.decode if is_toml else msgspec.json.decode
     try:
@@ -116,47 +117,51 @@
 
 
 def check_traffic_mix(mix: TrafficMix) -> None:
-    """Check what the types cannot.
+    """Validate the constraints that the field types do not express.
 
     Raises
     ------
     TrafficMixError
-        With the first thing found wrong.
+        If a constraint is violated; the message names the first one.
     """
     names = {stream.name for stream in mix.streams}
     if len(names) != len(mix.streams):
-        raise TrafficMixError("streams: two streams have the same name")
+        raise TrafficMixError("streams: two streams have the same name; names must be unique")
     for stream in mix.streams:
         _check_stream(stream)
     for burst in mix.bursts:
         if burst.stream not in names:
             raise TrafficMixError(f"bursts: no stream is named {burst.stream!r}")
     for swing in mix.swings:
-        _check_swing(swing, names)
+        _check_rate_variation(swing, names)
     for share in (mix.slow_reader_share, mix.disconnect_share):
         if not 0.0 <= share <= 1.0:
-            raise TrafficMixError(f"a share must be between 0 and 1, not {share}")
+            raise TrafficMixError(
+                f"slow_reader_share and disconnect_share must be between 0 and 1, got {share}"
+            )
 
 
 def _check_stream(stream: TrafficStream) -> None:
     if stream.rate_per_second < 0:
-        raise TrafficMixError(f"streams: {stream.name}: rate_per_second is negative")
+        raise TrafficMixError(f"streams: {stream.name}: rate_per_second must not be negative")
     if stream.kind is TrafficKind.MODEL and not stream.model:
-        raise TrafficMixError(f"streams: {stream.name}: a model stream needs model")
+        raise TrafficMixError(f"streams: {stream.name}: a stream of kind model requires model")
     if stream.kind is TrafficKind.PLAIN and not stream.path.startswith("/"):
-        raise TrafficMixError(f"streams: {stream.name}: a plain stream needs a path from /")
+        raise TrafficMixError(f"streams: {stream.name}: path of a plain stream must start with /")
     if not stream.tenants or stream.callers < 1 or stream.prefixes < 1:
-        raise TrafficMixError(f"streams: {stream.name}: tenants, callers and prefixes: one or more")
+        raise TrafficMixError(
+            f"streams: {stream.name}: tenants, callers and prefixes must each be at least one"
+        )
 
 
-def _check_swing(swing: Swing, names: set[str]) -> None:
+def _check_rate_variation(swing: Swing, names: set[str]) -> None:
     if not swing.points:
-        raise TrafficMixError("swings: a swing needs points")
+        raise TrafficMixError("swings: points must contain at least one entry")
     times = [point.at_seconds for point in swing.points]
     if times != sorted(times):
-        raise TrafficMixError("swings: points must be in the order of their times")
+        raise TrafficMixError("swings: points must be sorted by at_seconds")
     if any(point.multiplier < 0 for point in swing.points):
-        raise TrafficMixError("swings: a multiplier is negative")
+        raise TrafficMixError("swings: multiplier must not be negative")
     unknown = [name for name in swing.streams if name not in names]
     if unknown:
         raise TrafficMixError(f"swings: no stream is named {unknown[0]!r}")
--- a/src/orchidpath/emulators/client/verification.py
+++ b/src/orchidpath/emulators/client/verification.py
@@ -1,7 +1,7 @@
-"""What a caller makes of the answer to one request.
+"""Verification of the answer to one request.
 
-Two outcomes are violations: content that is not this request's, and an answer that lacks a part
-but looks complete. A visible break or a refusal is an honest answer.
+Two outcomes are violations: content that does not belong to the request, and an incomplete answer
+that looks complete. A refusal or a visibly aborted answer is no violation.
 """
 
 from enum import StrEnum
@@ -12,50 +12,50 @@
 from orchidpath.emulators.client.server_sent_events import EventParser, ServerSentEvent
 
 END_OF_STREAM = "[DONE]"
-"""Data of the last event of a client's stream."""
+"""Data of the last event of a complete stream."""
 
 
 class Outcome(StrEnum):
-    """How one request ended for its caller."""
+    """Outcome of one request for its caller."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
     BROKEN = "broken"
     TIMED_OUT = "timed_out"
     UNREACHABLE = "unreachable"
-    """No router took the connection, so nothing was sent."""
+    """No router accepted a connection, so nothing was sent."""
     ABANDONED = "abandoned"
-    """The caller itself went away."""
+    """The caller itself closed the connection."""
     WRONG_CONTENT = "wrong_content"
     INCOMPLETE_BUT_CLEAN = "incomplete_but_clean"
 
     @property
     def is_violation(self) -> bool:
-        """Tell whether this must never happen."""
+        """Whether this outcome violates the guarantees of the fleet and must never occur."""
         return self in (Outcome.WRONG_CONTENT, Outcome.INCOMPLETE_BUT_CLEAN)
 
 
 class ChunkDelta(msgspec.Struct, frozen=True, kw_only=True):
-    """What one chunk adds to the answer."""
+    """The text that one chunk appends to the answer."""
 
     content: str | None = None
 
 
 class ChunkChoice(msgspec.Struct, frozen=True, kw_only=True):
-    """The one choice of a chunk."""
+    """A choice of a chunk."""
 
     delta: ChunkDelta = ChunkDelta()
     finish_reason: str | None = None
 
 
 class CompletionChunk(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of a ``chat.completion.chunk`` that callers look at."""
+    """The fields of a ``chat.completion.chunk`` that callers read."""
 
     choices: tuple[ChunkChoice, ...] = ()
 
 
 class ClientError(msgspec.Struct, frozen=True, kw_only=True):
-    """The part of an error that callers look at."""
+    """The fields of an error that callers read."""
 
     code: str = ""
     message: str = ""
@@ -63,13 +63,13 @@
 
 
 class ClientErrorEnvelope(msgspec.Struct, frozen=True, kw_only=True):
-    """An error as a caller receives it."""
+    """The error envelope that a caller receives."""
 
     error: ClientError
 
 
 def read_error(body: bytes | str) -> ClientError:
-    """Return the error in a body, or an empty one if there is none that can be read."""
+    """Return the error in a body, or an empty error if the body cannot be decoded."""
     try:
         return msgspec.json.decode(body, type=ClientErrorEnvelope).error
     except msgspec.DecodeError:
@@ -77,7 +77,7 @@
 
 
 def judge_call(body: bytes, request_id: str, method: str, path: str) -> Outcome:
-    """Judge the body of a successful plain call that ended cleanly."""
+    """Return the outcome of a plain call with status 200 whose body ended cleanly."""
     if is_expected_call_body(body, request_id, method, path):
         return Outcome.ANSWERED
     if not body:
@@ -86,14 +86,14 @@
 
 
 class StreamVerifier:
-    """Follows one client stream and compares it with the answer that it must be.
+    """Compares the stream of one model request with the expected answer.
 
     Parameters
     ----------
     request_id : str
-        The request.
+        Id of the request.
     max_tokens : int
-        Length of the whole answer.
+        Length of the complete answer in tokens.
     """
 
     def __init__(self, request_id: str, max_tokens: int) -> None:
@@ -108,14 +108,14 @@
 
     @property
     def done(self) -> bool:
-        """Whether the stream has said that it is complete."""
+        """Whether the stream has sent its end marker, :data:`END_OF_STREAM`."""
         return self._done
 
     def feed(self, chunk: bytes) -> int:
-        """Take in a piece of the body and return how many content chunks it completed."""
+        """Process the next bytes of the body and return the number of content chunks completed."""
         before = self.content_chunks
         for event in self._parser.feed(chunk):
-            self._take_event(event)
+            self._process_event(event)
         return self.content_chunks - before
 
     def judge(self, clean_end: bool) -> Outcome:
@@ -124,13 +124,13 @@
         Parameters
         ----------
         clean_end : bool
-            Whether the body came to its proper end by the rules of HTTP.
+            Whether the HTTP body ended properly.
 
         Returns
         -------
         Outcome
-            A stream that said it is complete is judged as complete however the body ended,
-            because a client stops reading there.
+            A stream that has sent its end marker is judged as ended, regardless of how the body
+            ended, because a client stops reading at the marker.
         """
         if self._wrong:
             return Outcome.WRONG_CONTENT
@@ -143,15 +143,15 @@
             return Outcome.INCOMPLETE_BUT_CLEAN
         return Outcome.BROKEN
 
-    def _take_event(self, event: ServerSentEvent) -> None:
+    def _process_event(self, event: ServerSentEvent) -> None:
         if event.name == "error":
             self.error = read_error(event.data)
         elif event.data == END_OF_STREAM:
             self._done = True
         else:
-            self._take_chunk(event.data)
+            self._process_chunk(event.data)
 
-    def _take_chunk(self, data: str) -> None:
+    def _process_chunk(self, data: str) -> None:
         try:
             chunk = msgspec.json.decode(data, type=CompletionChunk)
         except msgspec.DecodeError:
@@ -161,9 +161,9 @@
             if choice.finish_reason is not None:
                 self._finish_reason = choice.finish_reason
             if choice.delta.content:
-                self._take_content(choice.delta.content)
+                self._process_content(choice.delta.content)
 
-    def _take_content(self, content: str) -> None:
+    def _process_content(self, content: str) -> None:
         if self._done or not self._expected.startswith(content, self._received):
             self._wrong = True
         self._received += len(content)
--- a/src/orchidpath/emulators/process.py
+++ b/src/orchidpath/emulators/process.py
@@ -1,4 +1,4 @@
-"""Runs an emulator as a process of its own: the ready line and the signals."""
+"""Emulators as separate processes: ready line and signal handling."""
 
 import asyncio
 import os
@@ -12,11 +12,11 @@
 from orchidpath.emulators.client.caller_report import CallerProgress, CallerSummary
 
 EXIT_AT_ONCE_STATUS = 130
-"""Exit status after a second signal."""
+"""Exit status after a second stop signal."""
 
 
 class ReadyLine(msgspec.Struct, frozen=True, kw_only=True):
-    """The line that a back end prints once it listens."""
+    """The JSON line that a back end prints once it listens."""
 
     ready: str
     url: str
@@ -24,12 +24,12 @@
 
 
 def on_stop_signals(stop: Callable[[], None]) -> None:
-    """Stop politely at the first SIGTERM or SIGINT and at once at the second.
+    """Stop gracefully on the first SIGTERM or SIGINT; exit immediately on the second.
 
     Parameters
     ----------
     stop : callable
-        Begins the polite stop.
+        Starts the graceful stop.
     """
     loop = asyncio.get_running_loop()
     signalled = asyncio.Event()
@@ -45,14 +45,14 @@
 
 
 async def run_backend(make: Callable[[], BackendShell], write_line: Callable[[str], None]) -> None:
-    """Run a back end until it is signalled.
+    """Run a back end until a stop signal, then drain and stop it.
 
     Parameters
     ----------
     make : callable
-        Makes the back end inside the running loop.
+        Creates the back end; called inside the running event loop.
     write_line : callable
-        Takes the ready line.
+        Called with the ready line.
     """
     stopped = asyncio.Event()
     on_stop_signals(stopped.set)
@@ -68,7 +68,7 @@
 async def run_callers(
     settings: CallerSettings, on_progress: Callable[[CallerProgress], None]
 ) -> CallerSummary:
-    """Run callers until their time is over or they are signalled, and return the summary."""
+    """Run callers until their time is over or a stop signal arrives; return the summary."""
     callers = Callers(settings, on_progress)
     on_stop_signals(callers.stop)
     return await callers.run()
