--- a/tests/emulators/emulator_harness.py
+++ b/tests/emulators/emulator_harness.py
@@ -1,4 +1,4 @@
-"""Back ends on loopback and typed HTTP calls, shared by the tests of the emulators."""
+"""Emulated back ends on loopback and a typed HTTP client, shared by the emulator tests."""
 
 import contextlib
 import random
@@ -94,7 +94,7 @@
 
 
 class BackendClient:
-    """Calls back ends as a router does."""
+    """Sends the requests of a router to back ends."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self.session = session
@@ -104,8 +104,8 @@
             body = b""
             clean_end = True
             try:
-                async for piece in response.content.iter_any():
-                    body += piece
+                async for chunk in response.content.iter_any():
+                    body += chunk
             except aiohttp.ClientPayloadError:
                 clean_end = False
             header = response.headers.get(ATTEMPT_HEADER, "")
@@ -121,7 +121,7 @@
         )
         return await self.post(f"{worker.url}/v1/prefill", dispatch)
 
-    async def read_prompt(
+    async def prefill_handle(
         self, worker: BackendShell, request_id: str, attempt_id: str
     ) -> CacheHandle:
         answer = await self.prefill(worker, request_id, attempt_id)
--- a/tests/emulators/test_announcing.py
+++ b/tests/emulators/test_announcing.py
@@ -1,4 +1,4 @@
-"""Announcements of an emulated back end: their addresses and their times."""
+"""Announcements of an emulated back end: addresses and due times."""
 
 import pytest
 from emulator_harness import make_record
--- a/tests/emulators/test_arrivals.py
+++ b/tests/emulators/test_arrivals.py
@@ -1,4 +1,4 @@
-"""Arrival times of emulated traffic."""
+"""Arrival times of emulated traffic: rate variations, bursts and reproducibility."""
 
 from orchidpath.emulators.client.arrivals import all_arrivals, multiplier_at
 from orchidpath.emulators.client.traffic_mix import (
--- a/tests/emulators/test_attempt_registry.py
+++ b/tests/emulators/test_attempt_registry.py
@@ -1,4 +1,4 @@
-"""At-most-once execution: the attempt registry under any sequence of events."""
+"""At-most-once execution and bounded memory of the attempt registry."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/emulators/test_backend_core.py
+++ b/tests/emulators/test_backend_core.py
@@ -1,4 +1,4 @@
-"""Admission and commands of an emulated back end."""
+"""Admission control and command fencing of an emulated back end."""
 
 import pytest
 from emulator_harness import make_record
--- a/tests/emulators/test_caller.py
+++ b/tests/emulators/test_caller.py
@@ -45,7 +45,10 @@
 
 
 class FakeRouter:
-    """Answers chats by a function and plain calls correctly, after some rejections."""
+    """Answers chats with a given function and plain calls correctly.
+
+    The responses in ``rejections`` are sent first, one per request.
+    """
 
     def __init__(self, chat: Chat, ready: bool = True) -> None:
         self.chat = chat
@@ -95,7 +98,7 @@
     await complete_response(request, response, f"{request_id}-other", count)
 
 
-async def truncated_but_clean(
+async def truncated_response_with_clean_end(
     request: web.Request, response: web.StreamResponse, request_id: str, count: int
 ) -> None:
     for token in answer_tokens(request_id, count - 1):
@@ -103,7 +106,7 @@
     await send_end(response)
 
 
-async def cut_visibly(
+async def aborted_response(
     request: web.Request, response: web.StreamResponse, request_id: str, count: int
 ) -> None:
     for token in answer_tokens(request_id, count - 1):
@@ -168,12 +171,12 @@
 
 
 async def test_a_truncated_response_that_looks_complete_is_a_violation() -> None:
-    summary = await outcome_of(truncated_but_clean)
+    summary = await outcome_of(truncated_response_with_clean_end)
     assert summary.outcomes.incomplete_but_clean == summary.violations == REQUESTS
 
 
 async def test_aborted_responses_are_no_violation() -> None:
-    for chat in (cut_visibly, error_event):
+    for chat in (aborted_response, error_event):
         summary = await outcome_of(chat)
         assert summary.outcomes.broken == REQUESTS
         assert summary.violations == 0
@@ -217,24 +220,26 @@
     async with FakeRouter(complete_response).running() as url:
         plain = await call_routers([url], PLAIN_STREAM)
         assert plain.outcomes.answered == plain.plain_call.count == REQUESTS
-        leaving = await call_routers([url], disconnect_share=1.0)
-        assert leaving.outcomes.abandoned == REQUESTS
+        disconnecting = await call_routers([url], disconnect_share=1.0)
+        assert disconnecting.outcomes.abandoned == REQUESTS
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "POST"])
 async def test_the_library_never_sends_a_request_twice(method: str) -> None:
-    seen = 0
+    received_count = 0
 
-    async def hang_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal seen
+    async def close_without_response(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        nonlocal received_count
         await reader.readuntil(b"\r\n\r\n")
-        seen += 1
+        received_count += 1
         writer.close()
 
-    server = await asyncio.start_server(hang_up, "127.0.0.1", 0)
+    server = await asyncio.start_server(close_without_response, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     async with make_session() as session:
         with pytest.raises(aiohttp.ClientConnectionError):
             await session.request(method, f"http://127.0.0.1:{port}/")
     server.close()
-    assert seen == 1
+    assert received_count == 1
--- a/tests/emulators/test_emulator_cli.py
+++ b/tests/emulators/test_emulator_cli.py
@@ -1,4 +1,4 @@
-"""The emulators as processes: ready line, graceful and immediate stop, bad input."""
+"""The emulators as processes: ready line, graceful and immediate stop, invalid input."""
 
 import contextlib
 import signal
@@ -79,8 +79,8 @@
 
 
 def test_a_second_signal_ends_the_graceful_shutdown() -> None:
-    patient = ["--handle-lifetime-seconds", "600", "--drain-seconds", "600"]
-    with started(*WORKER, *patient) as (process, line):
+    long_limits = ["--handle-lifetime-seconds", "600", "--drain-seconds", "600"]
+    with started(*WORKER, *long_limits) as (process, line):
         dispatch = PrefillRequest(request_id="r", attempt_id="a", model="m", prompt="x")
         exchange(f"{line.url}/v1/prefill", dispatch)
         process.send_signal(signal.SIGTERM)
--- a/tests/emulators/test_engine_model.py
+++ b/tests/emulators/test_engine_model.py
@@ -1,4 +1,4 @@
-"""Durations of the emulated engine, and serial resources."""
+"""Durations of the emulated inference engine and queueing at a serial resource."""
 
 import pytest
 
--- a/tests/emulators/test_frames.py
+++ b/tests/emulators/test_frames.py
@@ -1,4 +1,4 @@
-"""Decode frames of an emulated worker."""
+"""Frames of an emulated decode stream."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/emulators/test_kv_cache.py
+++ b/tests/emulators/test_kv_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache, and the binding of handles to their attempt."""
+"""The prefix cache and the binding of KV handles to their attempt."""
 
 import pytest
 from hypothesis import given
--- a/tests/emulators/test_model_worker.py
+++ b/tests/emulators/test_model_worker.py
@@ -1,4 +1,4 @@
-"""The emulated model worker on loopback: KV transfer, at-most-once execution, every fault."""
+"""The emulated model worker on loopback: KV transfer, at-most-once execution and faults."""
 
 import asyncio
 import contextlib
@@ -49,7 +49,7 @@
         self.client = client
 
     async def serve(self, attempt_id: str = "a", max_tokens: int = 8) -> Answer:
-        handle = await self.client.read_prompt(self.prefill, "r", attempt_id)
+        handle = await self.client.prefill_handle(self.prefill, "r", attempt_id)
         return await self.client.decode(self.decode, handle, "r", attempt_id, max_tokens)
 
 
@@ -89,7 +89,7 @@
 
 async def test_concurrent_duplicates_run_once() -> None:
     async with running_pair() as pair:
-        handle = await pair.client.read_prompt(pair.prefill, "r", "a")
+        handle = await pair.client.prefill_handle(pair.prefill, "r", "a")
         duplicates = (pair.client.decode(pair.decode, handle, "r", "a") for _ in range(10))
         answers = await asyncio.gather(*duplicates)
         rejected = [answer for answer in answers if answer.status != 200]
@@ -101,7 +101,7 @@
 
 async def test_a_cancelled_attempt_never_runs() -> None:
     async with running_pair() as pair:
-        handle = await pair.client.read_prompt(pair.prefill, "r", "a")
+        handle = await pair.client.prefill_handle(pair.prefill, "r", "a")
         cancelled = await pair.client.post(f"{pair.decode.url}/v1/attempts/a/cancel", None)
         assert cancelled.decode(CancelReply).ran is Ran.NO
         answer = await pair.client.decode(pair.decode, handle, "r", "a")
@@ -111,7 +111,7 @@
 
 async def test_a_cancel_during_the_kv_transfer_stops_the_attempt() -> None:
     async with running_pair() as pair:
-        handle = await pair.client.read_prompt(pair.prefill, "r", "a")
+        handle = await pair.client.prefill_handle(pair.prefill, "r", "a")
         await pair.client.inject(pair.prefill, FaultKind.GO_DARK)
         decoding = asyncio.create_task(pair.client.decode(pair.decode, handle, "r", "a"))
         while (await pair.client.status(pair.decode)).in_flight == 0:
@@ -137,17 +137,19 @@
 @pytest.mark.parametrize("field", ["request_id", "attempt_id", "incarnation"])
 async def test_a_handle_of_another_attempt_is_rejected(field: str) -> None:
     async with running_pair() as pair:
-        handle = await pair.client.read_prompt(pair.prefill, "r", "a")
-        stolen = msgspec.structs.replace(handle, **{field: "other"})
-        answer = await pair.client.decode(pair.decode, stolen, stolen.request_id, stolen.attempt_id)
+        handle = await pair.client.prefill_handle(pair.prefill, "r", "a")
+        mismatched = msgspec.structs.replace(handle, **{field: "other"})
+        answer = await pair.client.decode(
+            pair.decode, mismatched, mismatched.request_id, mismatched.attempt_id
+        )
         assert (answer.error.code, answer.error.ran) == (ErrorCode.HANDLE_MISMATCH, Ran.NO)
         unbound = await pair.client.decode(pair.decode, handle, "r", "z")
         assert unbound.error.code is ErrorCode.HANDLE_MISMATCH
-        # The rejected handle made its attempt id rejected, and no other.
-        untouched = field == "attempt_id"
-        rightful = await pair.client.decode(pair.decode, handle, "r", "a")
-        assert rightful.status == (200 if untouched else 409)
-        assert (await pair.client.status(pair.decode)).executions == int(untouched)
+        # The rejection of the handle is final for the attempt id that claimed it, and for no other.
+        other_attempt = field == "attempt_id"
+        original = await pair.client.decode(pair.decode, handle, "r", "a")
+        assert original.status == (200 if other_attempt else 409)
+        assert (await pair.client.status(pair.decode)).executions == int(other_attempt)
 
 
 @pytest.mark.parametrize("side", ["prefill", "decode"])
@@ -163,7 +165,7 @@
 async def test_expired_handles_and_a_slow_link() -> None:
     timing = msgspec.structs.replace(FAST, transfer_timeout_seconds=0.5)
     async with running_pair(timing) as pair:
-        handle = await pair.client.read_prompt(pair.prefill, "r", "a")
+        handle = await pair.client.prefill_handle(pair.prefill, "r", "a")
         await pair.client.inject(pair.prefill, FaultKind.EXPIRE_HANDLES)
         answer = await pair.client.decode(pair.decode, handle, "r", "a")
         assert (answer.error.code, answer.error.ran) == (ErrorCode.HANDLE_EXPIRED, Ran.NO)
@@ -187,9 +189,9 @@
         aborted = await pair.serve("c")
         assert (aborted.clean_end, len(aborted.frames)) == (False, 3)
         await pair.client.inject(pair.decode, FaultKind.WRONG_ATTEMPT_ECHO, count=1)
-        crossed = await pair.serve("d")
-        assert crossed.attempt_header == "d-other"
-        assert crossed.frames[1].text != expected_text("r", 1)
+        wrong_echo = await pair.serve("d")
+        assert wrong_echo.attempt_header == "d-other"
+        assert wrong_echo.frames[1].text != expected_text("r", 1)
         assert (await pair.serve("e")).frames[-1].kind is FrameKind.DONE
 
 
@@ -231,7 +233,7 @@
 async def test_a_late_response_has_executed() -> None:
     async with running_pair() as pair:
         await pair.client.inject(pair.decode, FaultKind.ANSWER_LATE, delay_seconds=30.0)
-        handle = await pair.client.read_prompt(pair.prefill, "r", "a")
+        handle = await pair.client.prefill_handle(pair.prefill, "r", "a")
         waiting = asyncio.create_task(pair.client.decode(pair.decode, handle, "r", "a"))
         while (await pair.client.status(pair.decode)).executions == 0:
             await asyncio.sleep(0)
@@ -270,7 +272,7 @@
             answer = await pair.client.post(f"{pair.prefill.url}/v1/orders", command)
             return answer.decode(WorkerCommandReply)
 
-        handle = await pair.client.read_prompt(pair.prefill, "r", "a")
+        handle = await pair.client.prefill_handle(pair.prefill, "r", "a")
         assert (await send(1, WorkerCommandKind.DRAIN, None)).accepted
         rejected = await pair.client.prefill(pair.prefill, "r", "b")
         assert (rejected.error.code, rejected.error.ran) == (ErrorCode.DRAINING, Ran.NO)
@@ -283,13 +285,13 @@
 
 
 @contextlib.asynccontextmanager
-async def announcement_taker(queue: asyncio.Queue[Announcement]) -> AsyncIterator[str]:
-    async def take(request: web.Request) -> web.Response:
+async def announcement_receiver(queue: asyncio.Queue[Announcement]) -> AsyncIterator[str]:
+    async def receive(request: web.Request) -> web.Response:
         queue.put_nowait(msgspec.json.decode(await request.read(), type=Announcement))
         return web.Response(body=msgspec.json.encode(AnnouncementReply(accepted=True)))
 
     app = web.Application()
-    app.router.add_post("/v1/workers/announce", take)
+    app.router.add_post("/v1/workers/announce", receive)
     runner = web.AppRunner(app)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -301,7 +303,7 @@
 
 async def test_a_worker_announces_itself_and_its_draining() -> None:
     queue: asyncio.Queue[Announcement] = asyncio.Queue()
-    async with announcement_taker(queue) as address:
+    async with announcement_receiver(queue) as address:
         worker = make_worker("p1", Stage.PREFILL, announce=("http://127.0.0.1:1", address))
         async with running(worker):
             first = await asyncio.wait_for(queue.get(), 5)
--- a/tests/emulators/test_plain_service.py
+++ b/tests/emulators/test_plain_service.py
@@ -56,9 +56,9 @@
         await client.inject(service, FaultKind.FAIL_NEXT, count=1)
         assert (await client.call(service, "r", "a")).error.ran is Ran.UNKNOWN
         await client.inject(service, FaultKind.WRONG_ATTEMPT_ECHO, count=1)
-        crossed = await client.call(service, "r", "b")
-        assert crossed.attempt_header == "b-other"
-        body = bytes(crossed.decode(CallReply).body)
+        wrong_echo = await client.call(service, "r", "b")
+        assert wrong_echo.attempt_header == "b-other"
+        body = bytes(wrong_echo.decode(CallReply).body)
         assert not is_expected_call_body(body, "r", "GET", "/stock/7")
         await client.inject(service, FaultKind.TRUNCATE, count=1)
         with pytest.raises(aiohttp.ServerDisconnectedError):
--- a/tests/emulators/test_request_plan.py
+++ b/tests/emulators/test_request_plan.py
@@ -1,4 +1,4 @@
-"""Requests of emulated traffic."""
+"""Generated requests: prompts with shared prefixes, and request ids."""
 
 import random
 
--- a/tests/emulators/test_router_selection.py
+++ b/tests/emulators/test_router_selection.py
@@ -1,4 +1,4 @@
-"""Choice of a router by a caller."""
+"""Selection of a router for a caller."""
 
 from orchidpath.emulators.client.router_selection import RouterSelection
 
--- a/tests/emulators/test_traffic_mix.py
+++ b/tests/emulators/test_traffic_mix.py
@@ -1,4 +1,4 @@
-"""Decoding of traffic mixes."""
+"""Decoding and validation of traffic mixes."""
 
 import pytest
 
