--- a/src/orchidpath/emulators/backend/backend_shell.py
+++ b/src/orchidpath/emulators/backend/backend_shell.py
@@ -147,7 +147,7 @@
         await wait_until(
             self._is_record_acknowledged, min(deadline, self.now() + ANNOUNCE_DRAINING_SECONDS)
         )
-        await wait_until(lambda: not self._is_busy(), deadline)
+        await wait_until(lambda: not self._has_unfinished_work(), deadline)
         await self.stop()
 
     def add_routes(self, app: web.Application) -> None:
@@ -259,7 +259,7 @@
             attempt_id=f"{dispatch.attempt_id}-other",
         )
 
-    def _is_busy(self) -> bool:
+    def _has_unfinished_work(self) -> bool:
         return self.core.limit.current > 0 or self.handles_outstanding() > 0
 
     def _is_silent(self) -> bool:
--- a/src/orchidpath/emulators/client/caller.py
+++ b/src/orchidpath/emulators/client/caller.py
@@ -105,7 +105,7 @@
             self._history = open(self._settings.history, "ab", buffering=0)  # noqa: ASYNC230, SIM115
         await asyncio.gather(*(self._probe(router) for router in self._selection.routers))
         started_at = clock()
-        helpers = [
+        background_tasks = [
             asyncio.create_task(self._report_forever(started_at)),
             *(
                 asyncio.create_task(self._probe_forever(router))
@@ -116,7 +116,7 @@
             await self._send_all(started_at)
             await self._drain()
         finally:
-            await self._close(helpers)
+            await self._close(background_tasks)
         return self._tally.summary(clock() - started_at)
 
     async def _send_all(self, started_at: float) -> None:
@@ -194,8 +194,8 @@
         if self._outstanding:
             await asyncio.wait(self._outstanding, timeout=self._settings.drain_seconds)
 
-    async def _close(self, helpers: list[asyncio.Task[None]]) -> None:
-        tasks = [*helpers, *self._outstanding]
+    async def _close(self, background_tasks: list[asyncio.Task[None]]) -> None:
+        tasks = [*background_tasks, *self._outstanding]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/src/orchidpath/emulators/client/request_plan.py
+++ b/src/orchidpath/emulators/client/request_plan.py
@@ -111,7 +111,7 @@
         self, stream: TrafficStream, request_id: str, caller_id: str, tenant: str
     ) -> PlannedRequest:
         max_tokens = sample_tokens(stream.max_tokens, self._generator)
-        own_words = make_words(request_id, sample_tokens(stream.prompt_tokens, self._generator))
+        unique_words = make_words(request_id, sample_tokens(stream.prompt_tokens, self._generator))
         disconnects = self._generator.random() < self._mix.disconnect_share
         is_slow_reader = self._generator.random() < self._mix.slow_reader_share
         return PlannedRequest(
@@ -121,7 +121,7 @@
             caller_id=caller_id,
             tenant=tenant,
             model=stream.model,
-            prompt=f"{self._sample_prefix(stream)} {own_words}",
+            prompt=f"{self._sample_prefix(stream)} {unique_words}",
             max_tokens=max_tokens,
             disconnect_after_chunks=self._generator.randrange(max_tokens) if disconnects else None,
             pause_per_chunk_seconds=self._mix.slow_reader_pause_seconds if is_slow_reader else 0.0,
--- a/src/orchidpath/emulators/client/server_sent_events.py
+++ b/src/orchidpath/emulators/client/server_sent_events.py
@@ -14,7 +14,7 @@
     """Parses the chunks of a body into events; an event is complete after its blank line."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete_line = b""
         self._name = ""
         self._data: list[str] = []
 
@@ -31,8 +31,8 @@
         list[ServerSentEvent]
             The events that this chunk completes.
         """
-        lines = (self._rest + chunk).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._incomplete_line + chunk).split(b"\n")
+        self._incomplete_line = lines.pop()
         events: list[ServerSentEvent] = []
         for line in lines:
             event = self._process_line(line.rstrip(b"\r").decode("utf-8", "replace"))
--- a/src/orchidpath/emulators/client/verification.py
+++ b/src/orchidpath/emulators/client/verification.py
@@ -42,7 +42,7 @@
 
 
 class ChunkChoice(msgspec.Struct, frozen=True, kw_only=True):
-    """A choice of a chunk."""
+    """One completion choice of a chunk."""
 
     delta: ChunkDelta = ChunkDelta()
     finish_reason: str | None = None
@@ -100,7 +100,7 @@
         self._expected = expected_text(request_id, max_tokens)
         self._parser = EventParser()
         self._received = 0
-        self._wrong = False
+        self._has_wrong_content = False
         self._finish_reason: str | None = None
         self._done = False
         self.content_chunks = 0
@@ -132,7 +132,7 @@
             A stream that has sent its end marker is judged as ended, regardless of how the body
             ended, because a client stops reading at the marker.
         """
-        if self._wrong:
+        if self._has_wrong_content:
             return Outcome.WRONG_CONTENT
         is_complete = self._received == len(self._expected) and self._finish_reason == "stop"
         if self._done and is_complete:
@@ -155,7 +155,7 @@
         try:
             chunk = msgspec.json.decode(data, type=CompletionChunk)
         except msgspec.DecodeError:
-            self._wrong = True
+            self._has_wrong_content = True
             return
         for choice in chunk.choices:
             if choice.finish_reason is not None:
@@ -165,6 +165,6 @@
 
     def _process_content(self, content: str) -> None:
         if self._done or not self._expected.startswith(content, self._received):
-            self._wrong = True
+            self._has_wrong_content = True
         self._received += len(content)
         self.content_chunks += 1
--- a/src/orchidpath/emulators/worker/frames.py
+++ b/src/orchidpath/emulators/worker/frames.py
@@ -24,7 +24,7 @@
 
 
 def content_pieces(plan: StreamPlan) -> Iterator[str]:
-    """Yield the text of each content frame."""
+    """Yield the text of each content frame, at most ``tokens_per_frame`` tokens long."""
     for start in range(0, plan.max_tokens, plan.tokens_per_frame):
         end = min(start + plan.tokens_per_frame, plan.max_tokens)
         text = "".join(expected_token(plan.request_id, index) for index in range(start, end))
