--- a/src/orchidpath/emulators/worker/frames.py
+++ b/src/orchidpath/emulators/worker/frames.py
@@ -1,4 +1,4 @@
-"""The frames of an emulated decode stream, with the ways in which they can be damaged."""
+"""Frames of an emulated decode stream, with optional injected faults."""
 
 from collections.abc import Iterator
 
@@ -9,10 +9,10 @@
 
 
 class StreamPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What is streamed and what is wrong with it.
+    """Content of one decode stream and the faults injected into it.
 
-    ``lost_frame`` counts content frames from 0; the frame of that number takes a sequence number
-    and is not sent.
+    ``lost_frame`` is the index of a content frame, from 0, that uses up its sequence number but is
+    not sent. ``without_terminal`` omits the USAGE and DONE frames.
     """
 
     request_id: str
@@ -24,7 +24,7 @@
 
 
 def content_pieces(plan: StreamPlan) -> Iterator[str]:
-    """Yield the text of each content frame."""
+    """Yield the text of each content frame, at most ``tokens_per_frame`` tokens long."""
     for start in range(0, plan.max_tokens, plan.tokens_per_frame):
         end = min(start + plan.tokens_per_frame, plan.max_tokens)
         text = "".join(expected_token(plan.request_id, index) for index in range(start, end))
@@ -32,12 +32,12 @@
 
 
 def decode_frames(plan: StreamPlan) -> Iterator[DecodeFrame]:
-    """Yield the frames of a stream: ROLE, CONTENT and so on, USAGE, DONE.
+    """Yield the frames of a stream: ROLE, any number of CONTENT frames, USAGE, DONE.
 
     Parameters
     ----------
     plan : StreamPlan
-        What to stream.
+        Content and faults of the stream.
 
     Yields
     ------
