--- a/src/orchidpath/simulation/requests/backend_dispatches.py
+++ b/src/orchidpath/simulation/requests/backend_dispatches.py
@@ -1,4 +1,4 @@
-"""What simulated back ends make of orders: what admission sees, answers, streams under way."""
+"""Conversions from requests to attempt dispatches, and state of response streams."""
 
 from collections.abc import Iterator
 
@@ -20,14 +20,14 @@
 
 
 class StreamProgress:
-    """A stream under way and what is to befall it.
+    """Progress of one decode stream, with the faults to inject into it.
 
     Parameters
     ----------
     frames
-        What is left to send.
-    cut, stall
-        Faults that end it early, or hold it up.
+        Frames that are still to be sent.
+    truncation, stall
+        Faults that end the stream early or delay a frame; None for no fault.
     """
 
     def __init__(
@@ -39,33 +39,33 @@
         self._stall = stall
 
     def is_interrupted(self) -> bool:
-        """Tell whether the connection is to be cut before the next frame."""
+        """Return whether the connection must be closed before the next frame."""
         return self._truncation is not None and self.sent > self._truncation.after_frames
 
     def stall_seconds(self) -> float:
-        """Return how long the next frame is held up."""
+        """Return the injected delay of the next frame, in seconds."""
         if self._stall is None or self.sent != self._stall.after_frames + 1:
             return 0.0
         return self._stall.seconds
 
 
 def complete_reply(sender: AttemptDispatch, reply: PrefillReply | CallReply) -> HttpReply:
-    """Return a whole answer with its header."""
+    """Return a complete response with the attempt id of its header."""
     return HttpReply(echoed_attempt_id=sender.attempt_id, reply=reply)
 
 
-def claim_of(order: AttemptDispatch, handle: CacheHandle) -> HandleClaim:
-    """Return what a decode worker says of itself when it asks for a KV cache."""
+def claim_of(dispatch: AttemptDispatch, handle: CacheHandle) -> HandleClaim:
+    """Return the claim that a decode worker presents to pull a KV cache."""
     return HandleClaim(
         handle_id=handle.handle_id,
-        request_id=order.request_id,
-        attempt_id=order.attempt_id,
+        request_id=dispatch.request_id,
+        attempt_id=dispatch.attempt_id,
         incarnation=handle.incarnation,
     )
 
 
-def prefill_order(message: PrefillRequest) -> AttemptDispatch:
-    """Return what admission looks at in a prefill."""
+def prefill_dispatch(message: PrefillRequest) -> AttemptDispatch:
+    """Return the dispatch that admission evaluates for a prefill request."""
     return AttemptDispatch(
         request_id=message.request_id,
         attempt_id=message.attempt_id,
@@ -75,8 +75,8 @@
     )
 
 
-def decode_order(message: DecodeRequest) -> AttemptDispatch:
-    """Return what admission looks at in a decode."""
+def decode_dispatch(message: DecodeRequest) -> AttemptDispatch:
+    """Return the dispatch that admission evaluates for a decode request."""
     return AttemptDispatch(
         request_id=message.request_id,
         attempt_id=message.attempt_id,
@@ -86,8 +86,8 @@
     )
 
 
-def call_order(message: CallRequest) -> AttemptDispatch:
-    """Return what admission looks at in a plain call."""
+def call_dispatch(message: CallRequest) -> AttemptDispatch:
+    """Return the dispatch that admission evaluates for a plain call."""
     return AttemptDispatch(
         request_id=message.request_id,
         attempt_id=message.attempt_id,
--- a/src/orchidpath/simulation/requests/backend_faults.py
+++ b/src/orchidpath/simulation/requests/backend_faults.py
@@ -26,12 +26,12 @@
 
 
 class RequestFaultDriver:
-    """Strikes faults upon the request path of a simulated fleet.
+    """Injects faults into the request path of a simulated fleet.
 
     Parameters
     ----------
     fleet
-        The fleet.
+        Fleet to inject faults into.
     """
 
     def __init__(self, fleet: RequestFleet) -> None:
@@ -41,17 +41,17 @@
         self._active = True
 
     def stop(self) -> None:
-        """Strike no more."""
+        """Stop the injection of further faults."""
         self._active = False
 
     def crash_workers(self) -> None:
-        """Crash back ends, some of which are back at once, and spoil their answers."""
+        """Crash back ends, some of which restart immediately, and inject faults into responses."""
         self._repeat(CRASH_PERIOD_SECONDS, self._crash)
-        self._repeat(BACKEND_FAULT_PERIOD_SECONDS, self._spoil)
-        self._repeat(6.0, self._leave_one_and_spoil_it)
+        self._repeat(BACKEND_FAULT_PERIOD_SECONDS, self._inject_response_fault)
+        self._repeat(6.0, self._keep_one_plain_worker_and_fail_it)
 
     def drain_workers(self) -> None:
-        """Drain back ends while prompts are prefilled slowly, cut routers off and freeze them."""
+        """Drain back ends during slow prefills, and partition and freeze routers."""
         self._repeat(0.8, self._drain)
         self._repeat(1.5, self._slow_down)
         self._repeat(3.0, self._freeze_router)
@@ -59,12 +59,12 @@
         self._repeat(0.3, self._restart_drained)
 
     def expire_handles(self) -> None:
-        """Let all handles expire at once, again and again, and mix some up."""
+        """Expire all handles at a short interval, and return handles of other attempts."""
         self._repeat(0.02, self._expire_all)
-        self._repeat(1.0, self._mix_up_handles)
+        self._repeat(1.0, self._return_foreign_handle)
 
     def slow_links(self) -> None:
-        """Cut one prefill worker from one decode worker, and slow the other KV transfers."""
+        """Partition one prefill worker from one decode worker, and slow other KV transfers."""
         prefill = self._pick(Stage.PREFILL).address
         decode = self._pick(Stage.DECODE).address
         self._fleet.requests.partitioned_pairs.add((prefill, decode))
@@ -72,18 +72,18 @@
         self._repeat(1.0, self._slow_link)
 
     def crowd(self) -> None:
-        """Let many more arrive than are admitted, on back ends that refuse at times."""
+        """Submit bursts of more requests than are admitted, while back ends reject some."""
         self._repeat(BURST_PERIOD_SECONDS, lambda: self._fleet.callers.burst(BURST_REQUESTS))
         self._repeat(1.0, self._go_dark)
         self._repeat(5.0, self._refuse_calls)
 
     def lose_control(self) -> None:
-        """Lose the whole control tier under load, while back ends fail."""
+        """Kill all control processes under load, while back ends fail."""
         self._environment.schedule(2.0, self._lose_control_tier)
-        self._repeat(BACKEND_FAULT_PERIOD_SECONDS, self._spoil)
+        self._repeat(BACKEND_FAULT_PERIOD_SECONDS, self._inject_response_fault)
 
     def replace_services(self) -> None:
-        """Drain, stop and start every back end again, one after the other."""
+        """Drain, stop and restart all back ends, one after the other."""
         for number, backend in enumerate(self._fleet.backends):
             at = 0.5 + 2.0 * number
             self._environment.schedule(at, backend.drain)
@@ -91,48 +91,48 @@
             self._environment.schedule(at + 1.5, backend.start)
 
     def spoil_anything(self) -> None:
-        """Strike everything above now and then, for the mixed scenario."""
+        """Inject back end faults that are selected at random, for the mixed scenario."""
         choices = (
             self._crash,
-            self._spoil,
+            self._inject_response_fault,
             self._drain,
             self._slow_down,
             self._expire_all,
-            self._mix_up_handles,
+            self._return_foreign_handle,
             self._slow_link,
             self._go_dark,
             self._freeze_backend,
             self._restart_drained,
         )
 
-        def strike() -> None:
+        def inject() -> None:
             self._random.choice(choices)()
 
-        self._repeat(BACKEND_FAULT_PERIOD_SECONDS, strike)
+        self._repeat(BACKEND_FAULT_PERIOD_SECONDS, inject)
 
-    def _repeat(self, interval_seconds: float, strike: Callable[[], None]) -> None:
+    def _repeat(self, interval_seconds: float, inject: Callable[[], None]) -> None:
         def run() -> None:
             if self._active:
-                strike()
+                inject()
 
         self._environment.repeat(interval_seconds, run)
 
     def _pick(self, stage: Stage | None = None) -> SimulatedBackend:
         backends = self._fleet.backends
         if stage is not None:
-            backends = [one for one in backends if one.record.stage is stage]
+            backends = [backend for backend in backends if backend.record.stage is stage]
         return self._random.choice(backends)
 
     def _crash(self) -> None:
         backend = self._pick()
         backend.kill()
-        # Half of them are back before anybody has noticed.
+        # Half of the crashed back ends restart before any router detects the crash.
         seconds = 0.0 if self._random.random() < 0.5 else self._random.uniform(0.1, 3.0)
         self._environment.schedule(seconds, backend.start)
 
-    def _leave_one_and_spoil_it(self) -> None:
-        """Leave one plain worker, and let it fail once the others are known to be gone."""
-        plain = [one for one in self._fleet.backends if one.record.stage is Stage.PLAIN]
+    def _keep_one_plain_worker_and_fail_it(self) -> None:
+        """Keep one plain worker, which fails once the fleet has removed the others."""
+        plain = [backend for backend in self._fleet.backends if backend.record.stage is Stage.PLAIN]
         last = self._random.choice(plain)
         for backend in plain:
             if backend is not last:
@@ -141,16 +141,16 @@
         fault = Fault(kind=FaultKind.FAIL_NEXT, seconds=2.0)
         self._environment.schedule(2.6, lambda: last.inject(fault))
 
-    def _spoil(self) -> None:
+    def _inject_response_fault(self) -> None:
         backend = self._pick()
-        way = self._random.randrange(10)
-        if way == 0:
+        variant = self._random.randrange(10)
+        if variant == 0:
             backend.foreign_guarantees = 3
-        elif way == 1:
+        elif variant == 1:
             backend.inject(Fault(kind=FaultKind.ANSWER_LATE, count=3, delay_seconds=1.0))
-        elif way == 2:
+        elif variant == 2:
             backend.inject(Fault(kind=FaultKind.STALL, count=2, seconds=2.5))
-        elif way == 3:
+        elif variant == 3:
             self._go_dark()
         else:
             kind = self._random.choice(SINGLE_FAULTS)
@@ -187,7 +187,7 @@
         for backend in self._fleet.backends:
             backend.expire_handles()
 
-    def _mix_up_handles(self) -> None:
+    def _return_foreign_handle(self) -> None:
         self._pick(Stage.PREFILL).foreign_handles = 1
 
     def _slow_link(self) -> None:
@@ -199,7 +199,7 @@
         self._pick().inject(Fault(kind=FaultKind.GO_DARK, seconds=seconds))
 
     def _refuse_calls(self) -> None:
-        """Let every plain worker refuse for a moment, and ask for a long pause."""
+        """Make every plain worker reject calls for 0.5 s with a long retry-after."""
         for backend in self._fleet.backends:
             if backend.record.stage is Stage.PLAIN:
                 backend.retry_after_seconds = REQUESTED_RETRY_AFTER_SECONDS
--- a/src/orchidpath/simulation/requests/backend_process.py
+++ b/src/orchidpath/simulation/requests/backend_process.py
@@ -1,4 +1,4 @@
-"""A simulated back end's process: its incarnations, its announcements and its faults."""
+"""The process of a simulated back end: its incarnations, announcements and faults."""
 
 import msgspec
 
@@ -26,20 +26,21 @@
 
 
 class BackendProcess(ExchangeServer):
-    """One back end without its work.
+    """Process of one back end, without the execution of attempts.
 
     Parameters
     ----------
     environment
-        Where it runs.
+        Simulated environment of the run.
     exchanges
-        Makes its connections.
+        Opens the connections to other processes.
     history
-        Told of what it runs.
+        Records and checks what the back end executes.
     record
-        How it announces itself; ``url`` is its address.
+        Template of the record that it announces, without incarnation; its ``worker_id`` is the
+        address.
     routers
-        Routers that it may announce itself to.
+        Routers that receive its announcements, one selected at random each time.
     """
 
     def __init__(
@@ -66,7 +67,7 @@
 
     @property
     def node_id(self) -> str:
-        """The worker's name."""
+        """Id of the worker, which is also its address."""
         return self.address
 
     @property
@@ -76,28 +77,28 @@
 
     @property
     def record(self) -> WorkerRecord:
-        """How it announces itself now."""
+        """Record that the current incarnation announces."""
         return self.core.record
 
     def die(self) -> None:
-        """Crash."""
+        """Crash the process."""
         self.kill()
 
     def drain(self) -> None:
-        """Take no new order from now on, and say so."""
+        """Accept no new attempts from now on, and announce the draining."""
         self.core.drain()
         self._announce()
 
     def inject(self, fault: Fault) -> None:
-        """Let a fault begin."""
+        """Activate a fault."""
         self.faults.add(fault, self.now)
 
     def expire_handles(self) -> None:
-        """Drop every handle."""
+        """Expire every handle."""
         self.handles.expire_all()
 
     def heal(self) -> None:
-        """End every fault and take orders again."""
+        """End every fault and accept new attempts again."""
         self.faults.clear()
         self.foreign_handles = 0
         self.foreign_guarantees = 0
@@ -105,19 +106,17 @@
         self.core.resume()
 
     def on_start(self) -> None:
-        """Begin as a new incarnation that remembers nothing."""
+        """Start a new incarnation without the state of the previous one."""
         self._begin_incarnation()
         self._announce()
         self.every(ANNOUNCE_PERIOD_SECONDS, self._announce)
 
     def on_kill(self) -> None:
-        """Break every connection."""
-        self.exchanges.process_died(self.address)
+        """Close every connection of the process."""
+        self.exchanges.process_killed(self.address)
 
     def on_message(self, sender_id: str, message: Message) -> None:
-        """Take nothing: back ends speak over exchanges only."""
-
-    # Announcements
+        """Ignore the message; back ends communicate over exchanges only."""
 
     def _begin_incarnation(self) -> None:
         record = msgspec.structs.replace(
@@ -147,5 +146,5 @@
         self.environment.schedule(delay_seconds, arrive)
 
     def is_dark(self) -> bool:
-        """Tell whether it answers nothing at present."""
+        """Return whether the fault GO_DARK is active, so that the back end sends no replies."""
         return self.faults.active(FaultKind.GO_DARK, self.now) is not None
--- a/src/orchidpath/simulation/requests/cache_pull.py
+++ b/src/orchidpath/simulation/requests/cache_pull.py
@@ -1,4 +1,4 @@
-"""A simulated decode worker pulls a KV cache from the prefill worker that holds it."""
+"""Pull of a KV cache by a simulated decode worker from the prefill worker that holds it."""
 
 from collections.abc import Callable
 
@@ -11,16 +11,16 @@
 
 
 class CachePull:
-    """One pull; it ends once, with None or with the code of its failure.
+    """One KV transfer; it completes once, with None or with the error code of its failure.
 
     Parameters
     ----------
     process
-        The decode worker.
+        Decode worker that pulls the KV cache.
     exchanges
-        Makes the connection.
+        Opens the connection to the prefill worker.
     on_done
-        Takes the end.
+        Called once with None after a success, or with the error code.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._is_done = False
 
     def start(self, claim: HandleClaim, prefill_worker: str, timeout_seconds: float) -> None:
-        """Ask the prefill worker for the KV cache."""
+        """Request the KV cache from the prefill worker."""
         self._process.after(timeout_seconds, lambda: self._end(ErrorCode.UPSTREAM_FAILED))
         self._exchanges.connect(
             self._process,
@@ -45,16 +45,16 @@
         )
 
     def _connected(self, exchange: Exchange, claim: HandleClaim) -> None:
-        def take(answer: object) -> None:
+        def receive_reply(answer: object) -> None:
             exchange.close_client()
-            self._take(answer)
+            self._handle_reply(answer)
 
-        exchange.client.on_message = take
+        exchange.client.on_message = receive_reply
         exchange.client.on_broken = lambda: self._end(ErrorCode.UPSTREAM_FAILED)
         open_server(exchange)
         exchange.send(PullCache(claim=claim, decode_worker=self._process.address))
 
-    def _take(self, answer: object) -> None:
+    def _handle_reply(self, answer: object) -> None:
         if isinstance(answer, CacheMoved):
             self._end(None)
         elif isinstance(answer, HttpError):
--- a/src/orchidpath/simulation/requests/exchange_messages.py
+++ b/src/orchidpath/simulation/requests/exchange_messages.py
@@ -1,4 +1,4 @@
-"""What travels on the simulated exchanges between callers, routers and back ends."""
+"""Messages on the simulated exchanges between callers, routers and back ends."""
 
 from enum import StrEnum
 
@@ -9,14 +9,14 @@
 
 
 class RequestKind(StrEnum):
-    """What a caller asks for; each has a route of its own."""
+    """Kind of a caller's request; each kind has a separate route."""
 
     CHAT = "chat"
-    """May be repeated."""
+    """A chat request that may be executed more than once."""
     CHAT_ONCE = "chat-once"
-    """Must run at most once, its prefill included."""
+    """A chat request that must run at most once, including its prefill."""
     CHAT_PREFILL_REPEATED = "chat-read-again"
-    """Must run at most once; its prompt may be read again."""
+    """A chat request that must run at most once; only its prefill may be repeated."""
     LOOKUP = "lookup"
     """A plain call that may be repeated."""
     ORDER = "order"
@@ -30,7 +30,7 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One request as a caller sends it; ``submission`` counts its tries over all routers."""
+    """One request as a caller sends it; ``submission`` numbers its submissions from 1."""
 
     request_id: str
     submission: int
@@ -43,31 +43,31 @@
 
 
 class Relayed(msgspec.Struct, frozen=True, kw_only=True):
-    """Frames that reach the caller as they come."""
+    """Frames of a stream, relayed to the caller as they arrive."""
 
     frames: tuple[DecodeFrame, ...]
 
 
 class Finished(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole answer, or the clean end of a stream."""
+    """The complete response, or the regular end of a stream."""
 
     text: str = ""
     body: bytes | None = None
 
 
 class Refused(msgspec.Struct, frozen=True, kw_only=True):
-    """An error instead of an answer."""
+    """An error reply in place of a response."""
 
     error: ErrorBody
 
 
 class Broken(msgspec.Struct, frozen=True, kw_only=True):
-    """A stream that has begun and ends visibly broken."""
+    """The end of a stream that fails after content was sent, with an explicit error."""
 
     error: ErrorBody
 
 
-class CancelOrder(msgspec.Struct, frozen=True, kw_only=True):
+class CancelAttempt(msgspec.Struct, frozen=True, kw_only=True):
     """``POST /v1/attempts/{attempt_id}/cancel``."""
 
     attempt_id: str
@@ -81,7 +81,7 @@
 
 
 class CacheMoved(msgspec.Struct, frozen=True, kw_only=True):
-    """The KV cache itself."""
+    """The transferred KV cache."""
 
     claim: HandleClaim
 
@@ -94,7 +94,7 @@
 
 
 class HttpReply(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer."""
+    """A complete response."""
 
     echoed_attempt_id: str
     reply: PrefillReply | CallReply | CancelReply
@@ -107,4 +107,4 @@
 
 
 class EndOfBody(msgspec.Struct, frozen=True):
-    """The response body ended without an error of the transport."""
+    """The end of a response body, without a transport error."""
--- a/src/orchidpath/simulation/requests/exchanges.py
+++ b/src/orchidpath/simulation/requests/exchanges.py
@@ -1,8 +1,8 @@
-"""Exchanges of one request and one response stream between simulated processes, as HTTP over TCP.
+"""Simulated connections that carry one request and its response stream, like HTTP over TCP.
 
-Messages of one direction arrive in order or not at all. Either side can break off; a cut link ends
-an exchange after a while; what is in flight may still arrive after its sender has given up or died.
-Nothing is ever delivered twice.
+Messages of one direction arrive in order or not at all, and never twice. Either side can close the
+connection. A partitioned link ends an exchange after ``PARTITIONED_LINK_SECONDS``. Messages in
+flight may still arrive after their sender has closed its side or crashed.
 """
 
 from abc import abstractmethod
@@ -18,13 +18,13 @@
 )
 
 RETRANSMIT_SECONDS = 0.2
-"""A lost segment comes this much later."""
+"""Additional delay of a message whose segment was lost and retransmitted."""
 
 PARTITIONED_LINK_SECONDS = 3.0
-"""A message that can't get through for this long ends its exchange."""
+"""A message that can't be delivered for this long ends its exchange."""
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""A connection that is not accepted by then has failed (as in the router's client)."""
+"""A connection that is not accepted within this time has failed, as in the router's client."""
 
 
 class _Sent(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
 
 
 class _Closed:
-    """Travels in order like a message and ends the exchange for the receiver."""
+    """Marker that is delivered in order like a message and ends the exchange for the receiver."""
 
 
 class End:
@@ -43,7 +43,7 @@
     Parameters
     ----------
     process
-        Whose side it is; it dies with this run of the process.
+        Process that owns this side. The side is usable only during the current run of the process.
     """
 
     def __init__(self, process: SimulatedProcess) -> None:
@@ -57,19 +57,19 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether the run of the process that this side belongs to still lives."""
+        """Whether the run of the process that owns this side still continues."""
         return self.process.alive and self.process.epoch == self.epoch
 
 
 class Exchange:
-    """One exchange; made by :meth:`Exchanges.connect`.
+    """One exchange between two processes, created by :meth:`Exchanges.connect`.
 
     Parameters
     ----------
     environment
-        Virtual time and chance.
+        Source of virtual time, network faults and random values.
     client, server
-        Both sides.
+        The two processes.
     """
 
     def __init__(
@@ -80,23 +80,23 @@
         self.server = End(server)
 
     def send(self, message: object) -> None:
-        """Send from the client to the server."""
+        """Send a message from the client to the server."""
         self._send(self.client, self.server, message)
 
     def answer(self, message: object) -> None:
-        """Send from the server to the client."""
+        """Send a message from the server to the client."""
         self._send(self.server, self.client, message)
 
     def close_client(self) -> None:
-        """Break off from the client's side."""
+        """Close the client's side; the server is notified in order."""
         self._close(self.client, self.server)
 
     def close_server(self) -> None:
-        """Break off from the server's side."""
+        """Close the server's side; the client is notified in order."""
         self._close(self.server, self.client)
 
-    def process_died(self, address: str) -> None:
-        """Tell the other side that this one has died."""
+    def process_killed(self, address: str) -> None:
+        """Close the side of the crashed process at ``address``; the other side is notified."""
         if self.client.process.address == address:
             self._close(self.client, self.server)
         else:
@@ -136,7 +136,7 @@
         receiver.is_pumping = False
         if not receiver.is_open or not receiver.is_alive:
             receiver.queue.clear()
-            # The other side learns of it as by a reset; a dead process answers nothing else.
+            # Like a TCP reset, this notifies the sender; a crashed process sends no other reply.
             self._end(sender)
             return
         head = receiver.queue[0]
@@ -159,34 +159,34 @@
             self._end(receiver)
             return
 
-        def take() -> None:
+        def deliver() -> None:
             if receiver.is_open:
                 receiver.on_message(message)
 
-        receiver.process.after(0.0, take)
+        receiver.process.after(0.0, deliver)
 
     def _end(self, end: End) -> None:
         if not end.is_open or not end.is_alive:
             return
 
-        def take() -> None:
+        def end_exchange() -> None:
             if end.is_open:
                 end.is_open = False
                 end.on_broken()
 
-        end.process.after(0.0, take)
+        end.process.after(0.0, end_exchange)
 
 
 class ExchangeServer(SimulatedProcess):
-    """A process that takes requests over exchanges."""
+    """A process that handles requests from exchanges."""
 
     @abstractmethod
     def accept(self, exchange: Exchange, message: object) -> None:
-        """Take the request of an exchange."""
+        """Handle a request that arrives on an exchange."""
 
 
 def open_server(exchange: Exchange) -> ExchangeServer:
-    """Let the process at the server's end take what comes on an exchange, and return it."""
+    """Pass the messages of an exchange to its server process, and return that process."""
     server = exchange.server.process
     assert isinstance(server, ExchangeServer)
     exchange.server.on_message = lambda message: server.accept(exchange, message)
@@ -194,17 +194,17 @@
 
 
 class Exchanges:
-    """Makes exchanges and ends those of a process that dies.
+    """Opens exchanges, and closes the exchanges of a process that crashes.
 
     Parameters
     ----------
     environment
-        Virtual time, links and processes.
+        Source of virtual time, links and processes.
     """
 
     def __init__(self, environment: SimulatedEnvironment) -> None:
         self._environment = environment
-        self._of_process: dict[str, list[Exchange]] = {}
+        self._by_process: dict[str, list[Exchange]] = {}
 
     def connect(
         self,
@@ -218,13 +218,13 @@
         Parameters
         ----------
         client
-            Who connects.
+            Process that connects.
         server_address
-            Whom it connects to.
+            Address of the process to connect to.
         on_connected
-            Takes the exchange before anything was sent on it.
+            Receives the exchange before any message is sent on it.
         on_failed
-            Called when nothing listens or nothing answers in time.
+            Called when the server process is down or the link is partitioned until the time-out.
         """
         random = self._environment.random
         seconds = random.uniform(0.0005, self._environment.network.delay_seconds)
@@ -241,16 +241,18 @@
 
         client.after(seconds, accept)
 
-    def process_died(self, address: str) -> None:
-        """End every exchange of a process that was killed."""
-        for exchange in self._of_process.pop(address, []):
-            exchange.process_died(address)
+    def process_killed(self, address: str) -> None:
+        """Close every exchange of a process that was killed."""
+        for exchange in self._by_process.pop(address, []):
+            exchange.process_killed(address)
 
     def _open(self, client: SimulatedProcess, server: SimulatedProcess) -> Exchange:
         exchange = Exchange(self._environment, client, server)
         for process in (client, server):
-            known = self._of_process.setdefault(process.address, [])
-            known.append(exchange)
-            if len(known) > 256:
-                known[:] = [one for one in known if one.client.is_open and one.server.is_open]
+            exchanges = self._by_process.setdefault(process.address, [])
+            exchanges.append(exchange)
+            if len(exchanges) > 256:
+                exchanges[:] = [
+                    entry for entry in exchanges if entry.client.is_open and entry.server.is_open
+                ]
         return exchange
--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -1,8 +1,9 @@
-"""Invariants of the request path, read from what callers got and back ends did.
+"""Invariants of the request path, checked on what callers receive and back ends execute.
 
-Each check speaks of what was observed at the fleet's rim: bytes that reached a caller, orders that
-left a router, work that a back end began. Nothing asks the routers' own opinion, apart from the
-reports that they send, which are what two of the checks are about.
+The checks use what is observable from outside the routers: bytes that reached a caller, dispatches
+that left a router, work that a back end started. No check relies on
+a router's own assessment. :meth:`RequestHistory.check_report` reads the attempt reports of routers,
+because these reports are what it verifies.
 """
 
 import msgspec
@@ -23,17 +24,17 @@
 from orchidpath.wire.messages import AttemptEffect, AttemptReport, Choice
 from orchidpath.wire.records import WorkerRecord, WorkerStatus
 
-NO_ORDER_AFTER_SECONDS = 2.0
-"""No worker gets a new order this long after its draining or end was applied (brief)."""
+NO_DISPATCH_AFTER_SECONDS = 2.0
+"""No worker receives a new dispatch this long after its draining or removal was applied."""
 
 DEADLINE_SLACK_SECONDS = 0.05
-"""Time for a router's turn once a deadline has passed."""
+"""Time that a router may take to act once a deadline has passed."""
 
 BUDGET_SLACK_RETRIES = 1
 
 
 class Submission(msgspec.Struct, kw_only=True):
-    """One try of a caller at one router, and everything that came of it."""
+    """One submission of a request by a caller to one router, with all that was observed of it."""
 
     request: CallerRequest
     arrived_at: float
@@ -45,8 +46,8 @@
     transients: list[str] = []
 
 
-class Spending(msgspec.Struct, kw_only=True):
-    """First attempts and retries of one service on one run of one router."""
+class RetryUsage(msgspec.Struct, kw_only=True):
+    """Number of first attempts and retries of one service during one run of one router."""
 
     since: float
     firsts: int = 0
@@ -55,12 +56,12 @@
     most_routers: int = 1
 
 
-class Unusable(msgspec.Struct, kw_only=True):
-    """Since when an incarnation is to get no new order.
+class UnusableIncarnation(msgspec.Struct, kw_only=True):
+    """Times from which an incarnation must not receive new dispatches.
 
-    ``majority_adopted_at`` is when a majority of the witnesses had adopted that: a leader that is
-    partitioned from them may have applied it long before, and the fleet's rule counts from here
-    (docs/design/freshness.md).
+    ``majority_adopted_at`` is the time at which a majority of the witnesses had adopted the
+    revision. A leader that is partitioned from the witnesses may have applied the revision long
+    before, and the fleet's rule counts from the adoption (docs/design/freshness.md).
     """
 
     applied_at: float
@@ -69,7 +70,7 @@
 
 
 class RequestCounts(msgspec.Struct, kw_only=True):
-    """How much a run has shown; a run that shows nothing proves nothing."""
+    """Counters of one run; tests use them to ensure that the run exercised the checks."""
 
     submitted: int = 0
     completed: int = 0
@@ -85,14 +86,14 @@
 
 
 class RequestHistory:
-    """Everything observed so far on the request path, checked as it is observed.
+    """All observations on the request path so far; each is checked when it is recorded.
 
     Parameters
     ----------
     environment
-        Gives the true time.
+        Source of the true virtual time.
     retry
-        The retry policy applied.
+        Retry policy that the routers apply.
     """
 
     def __init__(self, environment: SimulatedEnvironment, retry: RetryPolicy) -> None:
@@ -105,19 +106,17 @@
         self._issued: dict[str, CacheHandle] = {}
         self._granted: set[str] = set()
         self.witnesses_reachable = True
-        self._unusable: dict[tuple[str, str], Unusable] = {}
-        self._agreed: dict[str, str] = {}
-        self._heard_draining: set[tuple[str, int, str, str]] = set()
-        self._spending: dict[tuple[str, int, str], Spending] = {}
+        self._unusable: dict[tuple[str, str], UnusableIncarnation] = {}
+        self._applied_incarnations: dict[str, str] = {}
+        self._announced_draining: set[tuple[str, int, str, str]] = set()
+        self._retry_usage: dict[tuple[str, int, str], RetryUsage] = {}
         self._probe_choices: dict[tuple[str, str], int] = {}
         self._probes: dict[tuple[str, str, int], str] = {}
         self._partitioned_attempts: set[str] = set()
         self.partitioned_pairs: set[tuple[str, str]] = set()
 
-    # Callers and routers
-
     def record_submission(self, request: CallerRequest) -> Submission:
-        """Record that a router has got a request."""
+        """Record that a router has received a request, and return the new submission."""
         self.counts.submitted += 1
         submission = Submission(
             request=request, arrived_at=self._environment.time, texts=[], transients=[]
@@ -126,12 +125,15 @@
         return submission
 
     def check_immediate_rejection(self, submission: Submission) -> None:
-        """Check that a router which takes a request not in says so without waiting."""
+        """Check that a router which does not admit a request rejects it without delay."""
         waited = self._environment.time - submission.arrived_at
-        self._check(waited < DEADLINE_SLACK_SECONDS, f"a refusal waited for {waited:.3f} s")
+        self._check(waited < DEADLINE_SLACK_SECONDS, f"a rejection waited for {waited:.3f} s")
 
     def check_response_time(self, submission: Submission, was_frozen: bool) -> None:
-        """Check that an answer, or its first content, does not come after the deadline."""
+        """Check that a response, or its first content, does not arrive after the deadline.
+
+        Does nothing when the router was frozen or content has already been sent.
+        """
         if was_frozen or submission.has_content:
             return
         allowed = submission.request.deadline_seconds * (1 + MAX_CLOCK_RATE_ERROR)
@@ -142,7 +144,7 @@
         )
 
     def check_backoff(self, submission: Submission, seconds: float) -> None:
-        """Check that nobody waits for a retry which its deadline does not allow."""
+        """Check that a backoff before a retry ends before the deadline of the request."""
         left = submission.arrived_at + submission.request.deadline_seconds - self._environment.time
         allowed = max(left, 0.0) * (1 + 2 * MAX_CLOCK_RATE_ERROR) + DEADLINE_SLACK_SECONDS
         self._check(
@@ -151,7 +153,7 @@
         )
 
     def check_relayed_frames(self, submission: Submission, frames: tuple[DecodeFrame, ...]) -> None:
-        """Check frames as the caller gets them."""
+        """Check frames that a router relays to the caller, and record their text."""
         self._check(not submission.is_ended, f"{_name(submission)} got frames after its end")
         is_first = not submission.has_content
         if is_first:
@@ -164,45 +166,43 @@
         submission.texts += [frame.text for frame in frames if frame.kind is FrameKind.CONTENT]
 
     def check_end(self, submission: Submission) -> None:
-        """Check that an answer ends once."""
+        """Check that a response ends only once."""
         self._check(not submission.is_ended, f"{_name(submission)} ended twice")
         submission.is_ended = True
 
     def record_error_reply(self, submission: Submission, error: ErrorBody) -> None:
-        """Check the guarantee that a caller is given together with an error."""
+        """Check that a request reported with ``ran=no`` has not run, and record that report."""
         if error.ran is not Ran.NO:
             return
         self._check(not submission.has_run, f"{_name(submission)} has run and was told ran=no")
         submission.reported_not_executed = True
 
-    # Orders
-
     def record_first_attempt(
         self, router: str, epoch: int, service: str, router_count: int
     ) -> None:
-        """Count a first attempt towards a service's budget on one run of a router."""
-        self._spending_of(router, epoch, service, router_count).firsts += 1
+        """Count a first attempt towards the retry budget of a service in one run of a router."""
+        self._retry_usage_of(router, epoch, service, router_count).firsts += 1
 
     def check_retry(
         self, submission: Submission, router: str, epoch: int, service: str, router_count: int
     ) -> None:
-        """Check a retry against the commit rule and the service's budget."""
+        """Check a retry against the commit rule and against the retry budget of the service."""
         self.counts.retries += 1
         self._check(
             not submission.has_content,
             f"{_name(submission)} was tried again after content had reached its caller",
         )
-        spending = self._spending_of(router, epoch, service, router_count)
-        spending.retries += 1
-        allowed = self._allowed_retries(spending)
+        usage = self._retry_usage_of(router, epoch, service, router_count)
+        usage.retries += 1
+        allowed = self._allowed_retries(usage)
         self._check(
-            spending.retries <= allowed,
-            f"{router} made {spending.retries} retries of {service} after {spending.firsts} first "
+            usage.retries <= allowed,
+            f"{router} made {usage.retries} retries of {service} after {usage.firsts} first "
             f"attempts; the budget allows {allowed:.1f}",
         )
 
     def record_decision(self, attempt_id: str, choices: tuple[Choice, ...]) -> None:
-        """Note which workers the leader granted as probes."""
+        """Record which workers the leader chose as circuit breaker probes for an attempt."""
         for choice in choices:
             if choice.probe_generation is not None:
                 self._probe_choices[attempt_id, choice.worker_id] = choice.probe_generation
@@ -210,9 +210,10 @@
     def check_dispatch(
         self, submission: Submission, router: str, epoch: int, worker: WorkerRecord, attempt_id: str
     ) -> None:
-        """Check an order at the moment at which its first byte leaves a router.
+        """Check a dispatch at the moment at which its first byte leaves a router.
 
-        ``worker`` is the process at the other end, whatever the router takes it for.
+        ``worker`` is the record of the process that receives the dispatch, which may be another
+        incarnation than the router assumes.
         """
         self.counts.orders += 1
         self._submission_of_attempt[attempt_id] = submission
@@ -223,44 +224,50 @@
         key = (worker.worker_id, worker.incarnation)
         self._check_usable(router, key)
         self._check(
-            (router, epoch, *key) not in self._heard_draining,
+            (router, epoch, *key) not in self._announced_draining,
             f"{router} sent an order to {worker.incarnation}, which had told it of its draining",
         )
         self._check_probe(worker, attempt_id)
 
     def record_announcement(self, router: str, epoch: int, record: WorkerRecord) -> None:
-        """Record what a worker told a router of itself."""
+        """Record the status that a worker announced to a router."""
         key = (router, epoch, record.worker_id, record.incarnation)
         if record.status is WorkerStatus.READY:
-            self._heard_draining.discard(key)
+            self._announced_draining.discard(key)
         else:
-            self._heard_draining.add(key)
+            self._announced_draining.add(key)
 
     def record_applied_view(self, revision: int, workers: tuple[WorkerRecord, ...]) -> None:
-        """Note which workers may get orders, as the control tier has just applied it."""
+        """Record which workers may receive dispatches in a revision that has just been applied."""
         now = self._environment.time
         usable = {
-            (one.worker_id, one.incarnation)
-            for one in workers
-            if one.status is WorkerStatus.READY and not one.cordoned
+            (worker.worker_id, worker.incarnation)
+            for worker in workers
+            if worker.status is WorkerStatus.READY and not worker.cordoned
         }
-        present = {one.worker_id: one.incarnation for one in workers}
-        for worker_id, incarnation in [*self._agreed.items(), *present.items()]:
+        present = {worker.worker_id: worker.incarnation for worker in workers}
+        for worker_id, incarnation in [*self._applied_incarnations.items(), *present.items()]:
             key = (worker_id, incarnation)
             if key in usable:
                 self._unusable.pop(key, None)
             else:
-                self._unusable.setdefault(key, Unusable(applied_at=now, revision=revision))
-        self._agreed = present
+                self._unusable.setdefault(
+                    key, UnusableIncarnation(applied_at=now, revision=revision)
+                )
+        self._applied_incarnations = present
 
     def record_majority_adoption(self, revision: int) -> None:
-        """Record that a majority of the witnesses has adopted a revision."""
+        """Record that a majority of the witnesses has adopted a revision and all before it."""
         for unusable in self._unusable.values():
             if unusable.majority_adopted_at is None and unusable.revision <= revision:
                 unusable.majority_adopted_at = self._environment.time
 
     def check_report(self, submission: Submission, report: AttemptReport) -> None:
-        """Check what a router is about to count against a worker."""
+        """Check a failure that a router is about to report against a worker.
+
+        A submission counts at most one transient failure against each worker, and none for a KV
+        transfer that a partitioned link prevented.
+        """
         if report.effect is not AttemptEffect.TRANSIENT:
             return
         self._check(
@@ -270,46 +277,53 @@
         submission.transients.append(report.worker_id)
         self._check(
             report.attempt_id not in self._partitioned_attempts,
-            f"{report.worker_id} was charged for a hand-over that a cut link prevented",
+            f"{report.worker_id} was charged for a KV transfer that a cut link prevented",
         )
 
-    # Back ends
+    def check_execution(self, incarnation: str, dispatch: AttemptDispatch) -> None:
+        """Check the start of a prefill or of an execution on a back end.
 
-    def check_execution(self, incarnation: str, order: AttemptDispatch) -> None:
-        """Check the start of a prefill or an execution on a back end."""
-        submission = self._submission_of_attempt.get(order.attempt_id)
+        Raises
+        ------
+        InvariantError
+            When no router dispatched the attempt, when the caller has been informed that the
+            request did not run, or when a phase that must run at most once runs again.
+        """
+        submission = self._submission_of_attempt.get(dispatch.attempt_id)
         if submission is None:
             raise InvariantError(f"{incarnation} runs an attempt that no router ordered")
-        if order.phase is Phase.EXECUTION:
+        if dispatch.phase is Phase.EXECUTION:
             self.counts.executions += 1
         submission.has_run = True
         self._check(
             not submission.reported_not_executed,
             f"{incarnation} runs {_name(submission)}, whose caller was told ran=no",
         )
-        key = (order.request_id, order.phase)
+        key = (dispatch.request_id, dispatch.phase)
         self._executed[key] = self._executed.get(key, 0) + 1
         self._check(
-            self._executed[key] == 1 or _may_execute_twice(submission.request.kind, order.phase),
-            f"{order.request_id} ({submission.request.kind.value}) has its {order.phase.value} "
-            f"run a second time, on {incarnation}",
+            self._executed[key] == 1 or _may_execute_twice(submission.request.kind, dispatch.phase),
+            f"{dispatch.request_id} ({submission.request.kind.value}) has its "
+            f"{dispatch.phase.value} run a second time, on {incarnation}",
         )
 
     def handle_issued(self, handle: CacheHandle) -> None:
-        """Note whom a handle was made for."""
+        """Record the request and attempt for which a prefill worker issued a handle."""
         self._issued[handle.handle_id] = handle
 
-    def handle_presented(self, order: AttemptDispatch, handle: CacheHandle) -> None:
-        """Check a handle that a router sends along with an order."""
+    def handle_presented(self, dispatch: AttemptDispatch, handle: CacheHandle) -> None:
+        """Check a handle that a router sends with a decode request."""
         issued = self._issued.get(handle.handle_id)
         if issued is None:
-            raise InvariantError(f"a handle that nobody issued came with {order.attempt_id}")
+            raise InvariantError(
+                f"a handle that no worker issued was sent with {dispatch.attempt_id}"
+            )
         bound_to = (issued.request_id, issued.attempt_id, issued.incarnation)
-        used_by = (order.request_id, order.attempt_id, handle.incarnation)
+        used_by = (dispatch.request_id, dispatch.attempt_id, handle.incarnation)
         self._check(bound_to == used_by, f"the handle of {bound_to} was used by {used_by}")
 
     def handle_granted(self, claim: HandleClaim) -> None:
-        """Check a KV cache that a prefill worker hands over."""
+        """Check a claim for which a prefill worker transfers a KV cache."""
         issued = self._issued.get(claim.handle_id)
         bound_to = (issued.request_id, issued.attempt_id) if issued is not None else ("", "")
         accepted_by = (claim.request_id, claim.attempt_id)
@@ -320,7 +334,7 @@
         self._granted.add(claim.handle_id)
 
     def kv_transfer_failed(self, attempt_id: str, prefill: str, decode: str) -> None:
-        """Record a KV transfer that failed while only the link of this pair was cut."""
+        """Record a failed KV transfer between two workers whose link the scenario has cut."""
         if (prefill, decode) not in self.partitioned_pairs:
             return
         self.counts.kv_transfers_interrupted += 1
@@ -335,7 +349,7 @@
             return
         late = self._environment.time - since
         self._check(
-            late <= NO_ORDER_AFTER_SECONDS * (1 + MAX_CLOCK_RATE_ERROR),
+            late <= NO_DISPATCH_AFTER_SECONDS * (1 + MAX_CLOCK_RATE_ERROR),
             f"{router} sent an order to {key[1]} {late:.3f} s after its draining or end was known",
         )
 
@@ -351,25 +365,27 @@
             f"{owner} and {attempt_id} both probe {worker.incarnation} in generation {generation}",
         )
 
-    def _spending_of(self, router: str, epoch: int, service: str, router_count: int) -> Spending:
-        spending = self._spending.setdefault(
+    def _retry_usage_of(
+        self, router: str, epoch: int, service: str, router_count: int
+    ) -> RetryUsage:
+        usage = self._retry_usage.setdefault(
             (router, epoch, service),
-            Spending(
+            RetryUsage(
                 since=self._environment.time, min_routers=router_count, most_routers=router_count
             ),
         )
-        spending.min_routers = min(spending.min_routers, router_count)
-        spending.most_routers = max(spending.most_routers, router_count)
-        return spending
+        usage.min_routers = min(usage.min_routers, router_count)
+        usage.most_routers = max(usage.most_routers, router_count)
+        return usage
 
-    def _allowed_retries(self, spending: Spending) -> float:
-        """Return the documented bound, summed over the windows of the run so far."""
+    def _allowed_retries(self, usage: RetryUsage) -> float:
+        """Return the documented bound on retries, summed over all budget windows of the run."""
         policy = self._retry
         minimum = policy.budget_minimum_per_second
-        window = max(policy.budget_window_seconds, spending.most_routers / minimum)
-        seconds = self._environment.time - spending.since + min(window, MAXIMUM_WINDOW_SECONDS)
-        share = policy.budget_ratio * spending.firsts
-        return share + minimum * seconds / spending.min_routers + BUDGET_SLACK_RETRIES
+        window = max(policy.budget_window_seconds, usage.most_routers / minimum)
+        seconds = self._environment.time - usage.since + min(window, MAXIMUM_WINDOW_SECONDS)
+        share = policy.budget_ratio * usage.firsts
+        return share + minimum * seconds / usage.min_routers + BUDGET_SLACK_RETRIES
 
     def _check(self, holds: bool, message: str) -> None:
         if not holds:
--- a/src/orchidpath/simulation/requests/response_reader.py
+++ b/src/orchidpath/simulation/requests/response_reader.py
@@ -1,7 +1,7 @@
-"""Reads the answer to one order on a simulated exchange and turns it into events.
+"""Reader that converts the response to one dispatch on a simulated exchange into events.
 
-The counterpart of :class:`orchidpath.router.chat.backend_client.BackendClient`, whose timeouts and
-checks it keeps.
+It applies the same timeouts and checks as
+:class:`orchidpath.router.chat.backend_client.BackendClient`.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
     require_echo,
     require_success,
 )
-from orchidpath.router.chat.backend_exchange import Exchange as OrderExchange
+from orchidpath.router.chat.backend_exchange import Exchange as BackendExchange
 from orchidpath.routing.request import events
 from orchidpath.simulation.environment import SimulatedProcess
 from orchidpath.simulation.requests.exchange_messages import (
@@ -37,98 +37,108 @@
 )
 
 ERROR_STATUS = 500
-"""Any status but 200 stands for an error; its body says which."""
+"""HTTP status of every simulated error; the error body carries the error code."""
 
 Post = Callable[[events.RequestEvent], None]
 
 
-class OrderReader:
-    """One order from its connection to the end of its answer.
+class ResponseReader:
+    """Handles one dispatch from the connection to the end of the response.
 
     Parameters
     ----------
     process
-        The router; its timers are used.
+        Router whose timers are used.
     target
-        Whose answer is expected, and how long its parts may take.
+        Expected ids of the response, and its timeouts.
     post
-        Takes the events.
+        Receives the events.
     """
 
     def __init__(self, process: SimulatedProcess, target: OrderTarget, post: Post) -> None:
         self.is_over = False
         self._process = process
-        self._order = OrderExchange(target, lambda: None)
+        self._backend_exchange = BackendExchange(target, lambda: None)
         self._target = target
         self._post = post
         self._exchange: Exchange | None = None
         self._has_content = False
         self._is_complete = False
-        self._expected_by = 0
+        self._timer_number = 0
 
     def connect_failed(self) -> None:
-        """Tell that no connection was made: the order never left."""
+        """Report that no connection was made, so that nothing was sent."""
         if not self.is_over:
-            self._fail(failed_by_exception(self._order, Observed.CONNECT_FAILED, ConnectionError()))
+            self._fail(
+                failed_by_exception(
+                    self._backend_exchange, Observed.CONNECT_FAILED, ConnectionError()
+                )
+            )
 
     def read(self, exchange: Exchange) -> None:
-        """Read the answer; the order leaves right after this."""
+        """Start to read the response; the caller sends the dispatch right after this call."""
         self._exchange = exchange
-        self._order.dispatch_left = True
-        exchange.client.on_message = self._take
+        self._backend_exchange.dispatch_left = True
+        exchange.client.on_message = self._receive
         exchange.client.on_broken = self._broken
         self._expect_within(self._target.first_answer_seconds, Observed.TIMED_OUT)
 
     def abort(self) -> None:
-        """Read no further and close the connection."""
+        """Stop reading and close the connection."""
         self.is_over = True
         if self._exchange is not None:
             self._exchange.close_client()
 
     def _expect_within(self, seconds: float, observed: Observed) -> None:
-        """Fail unless something of the expected kind comes in time."""
-        self._expected_by += 1
-        number = self._expected_by
+        """Fail the attempt unless this method or :meth:`abort` is called again within the time."""
+        self._timer_number += 1
+        number = self._timer_number
 
         def elapsed() -> None:
-            if not self.is_over and number == self._expected_by:
+            if not self.is_over and number == self._timer_number:
                 observation = AttemptObservation(observed=observed)
-                self._fail(failed(self._order, observation, observed.value, None))
+                self._fail(failed(self._backend_exchange, observation, observed.value, None))
 
         self._process.after(seconds, elapsed)
 
     def _broken(self) -> None:
         if not self.is_over:
             self._fail(
-                failed_by_exception(self._order, Observed.CONNECTION_RESET, ConnectionError())
+                failed_by_exception(
+                    self._backend_exchange, Observed.CONNECTION_RESET, ConnectionError()
+                )
             )
 
     def _fail(self, event: events.RequestEvent) -> None:
         self.abort()
         self._post(event)
 
-    def _take(self, message: object) -> None:
+    def _receive(self, message: object) -> None:
         if self.is_over:
             return
         try:
-            self._judge(message)
+            self._handle_message(message)
         except AttemptError as failure:
-            self._fail(failed(self._order, failure.observation, str(failure), failure.error))
+            self._fail(
+                failed(self._backend_exchange, failure.observation, str(failure), failure.error)
+            )
 
-    def _judge(self, message: object) -> None:
+    def _handle_message(self, message: object) -> None:
         match message:
             case HttpError():
-                self._order.echoed_attempt_id = message.echoed_attempt_id
+                self._backend_exchange.echoed_attempt_id = message.echoed_attempt_id
                 envelope = ErrorEnvelope(error=message.error)
-                require_success(self._order, ERROR_STATUS, msgspec.json.encode(envelope))
+                require_success(self._backend_exchange, ERROR_STATUS, msgspec.json.encode(envelope))
             case HttpReply():
-                self._order.echoed_attempt_id = message.echoed_attempt_id
+                self._backend_exchange.echoed_attempt_id = message.echoed_attempt_id
                 self._complete_body(message.reply)
             case StreamHead():
-                self._order.echoed_attempt_id = message.echoed_attempt_id
-                require_echo(self._order, self._target.request_id, message.echoed_attempt_id)
+                self._backend_exchange.echoed_attempt_id = message.echoed_attempt_id
+                require_echo(
+                    self._backend_exchange, self._target.request_id, message.echoed_attempt_id
+                )
             case DecodeFrame():
-                self._frame(message)
+                self._handle_frame(message)
             case EndOfBody():
                 self.abort()
                 self._post(events.DecodeEnded(attempt_id=self._target.attempt_id))
@@ -137,7 +147,7 @@
 
     def _complete_body(self, reply: object) -> None:
         assert isinstance(reply, PrefillReply | CallReply)
-        require_echo(self._order, reply.request_id, reply.attempt_id)
+        require_echo(self._backend_exchange, reply.request_id, reply.attempt_id)
         self.abort()
         attempt_id = self._target.attempt_id
         if isinstance(reply, PrefillReply):
@@ -156,8 +166,8 @@
             )
         )
 
-    def _frame(self, frame: DecodeFrame) -> None:
-        # Roles, usage and keepalives don't stop the clock of the first token.
+    def _handle_frame(self, frame: DecodeFrame) -> None:
+        # Role, usage and keepalive frames don't stop the time-out of the first token.
         self._has_content = self._has_content or frame.kind is FrameKind.CONTENT
         self._is_complete = self._is_complete or frame.kind is FrameKind.DONE
         if self._is_complete:
--- a/src/orchidpath/simulation/requests/served_request.py
+++ b/src/orchidpath/simulation/requests/served_request.py
@@ -1,8 +1,8 @@
-"""One request on a simulated router: the real request machine, driven in virtual time.
+"""One request on a simulated router: the production request machine, driven in virtual time.
 
-Does what :mod:`orchidpath.router.chat.request_runner` and
-:mod:`orchidpath.router.chat.backend_client` do with tasks and connections; their
-pure helpers judge every answer here, too.
+This module replaces :mod:`orchidpath.router.chat.request_runner` and
+:mod:`orchidpath.router.chat.backend_client`, which use tasks and connections. Their pure helper
+functions validate every backend response here as well.
 """
 
 from typing import TYPE_CHECKING
@@ -20,7 +20,7 @@
 from orchidpath.simulation.requests.exchange_messages import (
     MODEL_KINDS,
     Broken,
-    CancelOrder,
+    CancelAttempt,
     Finished,
     HttpReply,
     Refused,
@@ -29,7 +29,7 @@
 from orchidpath.simulation.requests.exchanges import Exchange, open_server
 from orchidpath.simulation.requests.path_checks import Submission
 from orchidpath.simulation.requests.path_guards import PathGuard
-from orchidpath.simulation.requests.response_reader import OrderReader
+from orchidpath.simulation.requests.response_reader import ResponseReader
 from orchidpath.simulation.requests.simulated_backend import SimulatedBackend
 from orchidpath.simulation.requests.simulated_fleet_access import NOT_FRESH_RETRY_SECONDS, drive
 from orchidpath.wire.backend import (
@@ -56,18 +56,18 @@
 
 
 class ServedRequest:
-    """Serves one admitted request.
+    """Serves one admitted request until its response ends.
 
     Parameters
     ----------
     router
-        The router that it is on.
+        Router that serves the request.
     exchange
-        Leads to the caller.
+        Exchange with the caller.
     submission
-        The request and its history.
+        The request, with all that the checks have observed of it.
     match
-        Its route.
+        Route and service of the request.
     """
 
     def __init__(
@@ -108,13 +108,13 @@
         )
         self._machine = RequestMachine(self._plan, shared, router.request_guards)
         self._trace = AttemptTrace(request.request_id, lambda: router.now)
-        self._ordered: dict[str, WorkerRecord] = {}
-        self._reader: OrderReader | None = None
+        self._dispatched_workers: dict[str, WorkerRecord] = {}
+        self._reader: ResponseReader | None = None
         self._attempts = 0
         self._texts: list[str] = []
 
     def run(self) -> None:
-        """Serve the request."""
+        """Start to serve the request; the rest runs in callbacks of the simulation."""
         self._caller.server.on_broken = lambda: self._post(events.ClientDisconnected())
         if PathGuard.DEADLINE_TIMER not in self._router.path_guards:
             seconds = max(self._plan.deadline - self._router.now, 0.0)
@@ -157,8 +157,6 @@
             case _:
                 self._respond(instruction)
 
-    # Responses
-
     def _respond(self, instruction: events.RequestInstruction) -> None:
         match instruction:
             case events.Relay():
@@ -166,7 +164,7 @@
             case events.Finish():
                 self._finish(instruction)
             case events.Reject():
-                self._answered()
+                self._check_response_time()
                 self._history.record_error_reply(self._submission, instruction.error)
                 self._history.check_end(self._submission)
                 self._caller.answer(Refused(error=instruction.error))
@@ -179,23 +177,21 @@
     def _relay(self, instruction: events.Relay) -> None:
         if not self._plan.streaming:
             frames = instruction.frames
-            self._texts += [one.text for one in frames if one.kind is FrameKind.CONTENT]
+            self._texts += [frame.text for frame in frames if frame.kind is FrameKind.CONTENT]
             return
-        self._answered()
+        self._check_response_time()
         self._history.check_relayed_frames(self._submission, instruction.frames)
         self._caller.answer(Relayed(frames=instruction.frames))
 
     def _finish(self, instruction: events.Finish) -> None:
-        self._answered()
+        self._check_response_time()
         self._history.check_end(self._submission)
         self._caller.answer(Finished(text="".join(self._texts), body=instruction.body))
 
-    def _answered(self) -> None:
+    def _check_response_time(self) -> None:
         was_frozen = self._router.last_frozen_at >= self._submission.arrived_at
         self._history.check_response_time(self._submission, was_frozen)
 
-    # Decisions
-
     def _apply_decision_request(self, instruction: events.RequestDecision) -> None:
         router = self._router
         place = (router.address, router.epoch, self._match.service.name, router.router_count())
@@ -204,9 +200,9 @@
             self._history.record_first_attempt(*place)
         else:
             self._history.check_retry(self._submission, *place)
-        drive(router.decisions.decide(self._subject, instruction), self._decided)
+        drive(router.decisions.decide(self._subject, instruction), self._apply_decision)
 
-    def _decided(self, decided: events.DecisionMade | events.NoCandidates) -> None:
+    def _apply_decision(self, decided: events.DecisionMade | events.NoCandidates) -> None:
         if isinstance(decided, events.DecisionMade):
             self._history.record_decision(decided.attempt_id, decided.reply.choices)
         self._router.after(0.0, lambda: self._post(decided))
@@ -217,8 +213,6 @@
         elapsed = events.TimerElapsed(kind=instruction.kind, number=instruction.number)
         self._router.after(max(instruction.seconds, 0.0), lambda: self._post(elapsed))
 
-    # Orders
-
     def _send(self, instruction: _Send) -> None:
         stage = _STAGES[type(instruction)]
         worker = self._router.state.worker(instruction.worker_id)
@@ -226,9 +220,9 @@
             refused = self._refused(instruction.attempt_id, events.SendRefusal.WORKER_UNAVAILABLE)
             self._router.after(0.0, lambda: self._post(refused))
             return
-        self._ordered[worker.worker_id] = worker
+        self._dispatched_workers[worker.worker_id] = worker
         self._trace.sent(worker.worker_id, stage)
-        reader = OrderReader(self._router, self._target(worker, instruction), self._post)
+        reader = ResponseReader(self._router, self._target(worker, instruction), self._post)
         self._reader = reader
         self._router.exchanges.connect(
             self._router,
@@ -238,7 +232,7 @@
         )
 
     def _connected(
-        self, reader: OrderReader, exchange: Exchange, instruction: _Send, worker: WorkerRecord
+        self, reader: ResponseReader, exchange: Exchange, instruction: _Send, worker: WorkerRecord
     ) -> None:
         if reader.is_over:
             return
@@ -257,7 +251,7 @@
             instruction.attempt_id,
         )
         reader.read(exchange)
-        exchange.send(self._order(instruction))
+        exchange.send(self._backend_request(instruction))
 
     def _refused(self, attempt_id: str, refusal: events.SendRefusal) -> events.SendRefused:
         return events.SendRefused(
@@ -277,7 +271,7 @@
             refused_retry_after_seconds=NOT_FRESH_RETRY_SECONDS,
         )
 
-    def _order(self, instruction: _Send) -> PrefillRequest | DecodeRequest | CallRequest:
+    def _backend_request(self, instruction: _Send) -> PrefillRequest | DecodeRequest | CallRequest:
         request_id, attempt_id = self._plan.request_id, instruction.attempt_id
         if isinstance(instruction, events.SendPrefill):
             return PrefillRequest(
@@ -302,12 +296,12 @@
             self._reader = None
 
     def _cancel(self, instruction: events.Cancel) -> None:
-        worker = self._ordered.get(instruction.worker_id)
+        worker = self._dispatched_workers.get(instruction.worker_id)
         if worker is None:
             return
         until = self._router.now + instruction.timeout_seconds
 
-        def take(answer: object) -> None:
+        def receive_reply(answer: object) -> None:
             reply = answer.reply if isinstance(answer, HttpReply) else None
             if not isinstance(reply, CancelReply) or self._router.now > until:
                 return
@@ -321,7 +315,7 @@
 
         def connected(exchange: Exchange) -> None:
             open_server(exchange)
-            exchange.client.on_message = take
-            exchange.send(CancelOrder(attempt_id=instruction.attempt_id))
+            exchange.client.on_message = receive_reply
+            exchange.send(CancelAttempt(attempt_id=instruction.attempt_id))
 
         self._router.exchanges.connect(self._router, instruction.worker_id, connected, lambda: None)
--- a/src/orchidpath/simulation/requests/serving_fleet.py
+++ b/src/orchidpath/simulation/requests/serving_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet with its request path: routers that serve, back ends, callers."""
+"""A simulated fleet with its request path: serving routers, back ends and callers."""
 
 import msgspec
 
@@ -35,7 +35,7 @@
 MODEL_SERVICE = "chat"
 PLAIN_SERVICE = "plain"
 CONVERGENCE_SECONDS = 3.0
-"""Time for workers and the first configuration to be known everywhere."""
+"""Time for workers and the first configuration to reach every router."""
 
 DEADLINE_SECONDS = 6.0
 CIRCUIT = CircuitPolicy(cooldown_seconds=2.0, max_cooldown_seconds=8.0)
@@ -77,10 +77,10 @@
 
 
 class RequestOperators(Operators):
-    """Operators whose orders keep the services that requests need."""
+    """Operators whose configuration updates keep the services that the requests use."""
 
     def new_order(self, base_version: int) -> SubmitConfiguration:
-        """Make an order with content of its own, on top of what is served."""
+        """Return a configuration update that adds unique content to the served configuration."""
         order = super().new_order(base_version)
         served = request_configuration()
         configuration = msgspec.structs.replace(
@@ -94,7 +94,7 @@
 
 
 class RequestFleet(FleetSimulation):
-    """One fleet with requests.
+    """Simulated fleet whose callers send requests.
 
     Parameters
     ----------
@@ -110,18 +110,18 @@
         )
 
     def prepare(self, disabled: DisabledGuards) -> None:
-        """Make what the processes of this fleet share, before any of them."""
+        """Create the objects that the processes share, before any process is created."""
         self.exchanges = Exchanges(self.environment)
         self.requests = RequestHistory(self.environment, RETRY)
         self.serving: list[ServingRouter] = []
-        self._agreed_revision = -1
-        self._in_force_revision = -1
+        self._applied_revision = -1
+        self._majority_revision = -1
         self._witnesses: tuple[str, ...] = ()
 
     def make_router(
         self, name: str, zone: str, seeds: list[str], disabled: DisabledGuards
     ) -> RouterNode:
-        """Make a router that serves requests."""
+        """Return a new router that serves requests."""
         router = ServingRouter(
             self.environment,
             name,
@@ -138,7 +138,7 @@
         return router
 
     def make_workers(self, shape: FleetShape) -> None:
-        """Make back ends: a third each for prefills, decodes and plain calls."""
+        """Create the back ends, a third each for prefill, decode and plain calls."""
         stages = (Stage.PREFILL, Stage.DECODE, Stage.PLAIN)
         self.backends = [
             SimulatedBackend(
@@ -152,7 +152,7 @@
         ]
 
     def start(self) -> None:
-        """Start everything, then let the operators name what is served."""
+        """Start all processes, submit the first configuration and wait until it is applied."""
         super().start()
         for backend in self.backends:
             backend.start()
@@ -161,7 +161,7 @@
         self.environment.run_until(self.environment.time + CONVERGENCE_SECONDS)
 
     def heal(self) -> None:
-        """End every fault and start what is down."""
+        """End every fault and start the processes that are down."""
         super().heal()
         self.requests.partitioned_pairs.clear()
         for backend in self.backends:
@@ -174,30 +174,31 @@
         if core is None or not core.has_authority(control.now):
             return
         view = core.state.view()
-        if view.revision != self._agreed_revision:
-            self._record_agreed(view)
-            self._check_in_force()
+        if view.revision != self._applied_revision:
+            self._record_applied_view(view)
+            self._record_majority_adoption()
 
     def _view_adopted(self, view: FleetView) -> None:
-        """Learn what is agreed from a router too.
+        """Record a revision that a router has adopted before a control process showed it.
 
-        A leader may commit and push a revision in the same turn in which its lease ends, and then
-        no control process has shown it to the checks when the first router applies it.
+        A leader may commit and push a revision in the same turn in which its lease ends. In that
+        case no control process has shown the revision to the checks when the first router adopts
+        it.
         """
-        if view.revision > self._agreed_revision:
-            self._record_agreed(view)
-        self._check_in_force()
+        if view.revision > self._applied_revision:
+            self._record_applied_view(view)
+        self._record_majority_adoption()
 
-    def _record_agreed(self, view: FleetView) -> None:
-        self._agreed_revision = view.revision
+    def _record_applied_view(self, view: FleetView) -> None:
+        self._applied_revision = view.revision
         self.requests.record_applied_view(view.revision, view.workers)
         self._witnesses = view.witnesses
 
-    def _check_in_force(self) -> None:
-        """Tell the history of the newest revision that every set of witnesses applies by majority.
+    def _record_majority_adoption(self) -> None:
+        """Record the newest revision that a majority of every witness set in use has adopted.
 
-        A router goes by the witnesses of the view that it has, so an older set counts as long as
-        any router has it (docs/design/freshness.md, condition 1).
+        A router uses the witnesses of its current view, so an older witness set counts as long as
+        any router has a view with it (docs/design/freshness.md, condition 1).
         """
         revisions: dict[str, int] = {}
         sets = {self._witnesses}
@@ -206,10 +207,13 @@
             revisions[router.address] = view.revision if view is not None else 0
             if view is not None:
                 sets.add(view.witnesses)
-        in_force = min((_adopted_by_majority(one, revisions) for one in sets if one), default=0)
-        if in_force > self._in_force_revision:
-            self._in_force_revision = in_force
-            self.requests.record_majority_adoption(in_force)
+        majority_revision = min(
+            (_adopted_by_majority(witnesses, revisions) for witnesses in sets if witnesses),
+            default=0,
+        )
+        if majority_revision > self._majority_revision:
+            self._majority_revision = majority_revision
+            self.requests.record_majority_adoption(majority_revision)
 
 
 def _adopted_by_majority(witnesses: tuple[str, ...], revisions: dict[str, int]) -> int:
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -1,4 +1,4 @@
-"""A simulated router that serves requests: the real routing state, decision maker and admission."""
+"""A simulated router that serves requests with the production routing state and admission."""
 
 from collections.abc import Callable, Sequence
 
@@ -43,32 +43,35 @@
 from orchidpath.wire.records import FleetView, Stage, WorkerRecord
 
 DECISION_TIMEOUT_SECONDS = 0.25
-"""As in the routers' settings."""
+"""The default of the routers' settings."""
 
 
-class CredulousDispatchLog(TransferEvidenceTable):
-    """Charges the prefill worker on the decode worker's word alone; for a guard left out."""
+class PrefillFaultEvidence(TransferEvidenceTable):
+    """Charges the prefill worker with every failed KV transfer, without further evidence.
+
+    Used when the guard ``path.pair_evidence`` is disabled.
+    """
 
     def record_failure(self, failure: TransferFailure, now: float) -> TransferVerdict:
-        """Take every failure for the prefill worker's."""
+        """Return the verdict that the prefill worker caused the failure."""
         return TransferVerdict.PREFILL_SIDE
 
 
 class ServingRouter(RouterNode):
-    """One router with its request path.
+    """Simulated router that admits, routes and answers requests.
 
     Parameters
     ----------
     environment, address, zone, seeds, guards
         As for :class:`~orchidpath.simulation.router_node.RouterNode`.
     exchanges
-        Makes its connections to back ends.
+        Opens the connections to back ends.
     history
-        Told of what it sends and answers.
+        Records and checks the dispatches and responses of the router.
     path_guards
-        Rules of the request path to leave out.
+        Guards of the request path that are disabled.
     request_guards
-        Rules of the request machine to leave out.
+        Guards of the request machine that are disabled.
     """
 
     def __init__(
@@ -93,32 +96,35 @@
         self._term = 0
 
     def on_start(self) -> None:
-        """Begin without any view and without any request."""
+        """Start the router without a fleet view and without requests."""
         super().on_start()
         assert self.core is not None
         self._term = 0
         self.access = SimulatedFleetAccess(self, self.core, self._try_leader, self.path_guards)
         self.state = RoutingState(self.access, self.environment.random)
         if PathGuard.PAIR_EVIDENCE in self.path_guards:
-            self.state.kv_transfer_evidence = CredulousDispatchLog()
+            self.state.kv_transfer_evidence = PrefillFaultEvidence()
             self.state.selector = PairSelector(self.state.kv_transfer_evidence.avoidance)
         self.decisions = DecisionMaker(
             self.access, self.state, DECISION_TIMEOUT_SECONDS, lambda: self.now
         )
 
     def on_kill(self) -> None:
-        """Lose everything, and every connection."""
+        """Drop the router's state and close its connections."""
         super().on_kill()
-        self.exchanges.process_died(self.address)
+        self.exchanges.process_killed(self.address)
 
     def freeze(self, duration_seconds: float) -> None:
-        """Stop the process; what it was to do in time cannot be done in time."""
+        """Freeze the process and record when the freeze ends.
+
+        Requests that arrived before the end of a freeze are exempt from the response time check.
+        """
         super().freeze(duration_seconds)
         if self.frozen:
             self.last_frozen_at = self.environment.time + duration_seconds
 
     def announce(self, announcement: Announcement) -> None:
-        """Take a worker's announcement, remember and forward it."""
+        """Record a worker's announcement and forward it, if it is newer than the last."""
         if not self.alive or self.frozen:
             return
         if self.access.receive_announcement(announcement):
@@ -126,13 +132,13 @@
             super().announce(announcement)
 
     def on_view_adopted(self, view: FleetView) -> None:
-        """Apply a newly adopted view."""
+        """Update the fleet access and the routing state with a newly adopted view."""
         self.access.view_adopted(view)
         self.state.adopt(view)
         self.on_adopted(view)
 
     def on_message(self, sender_id: str, message: Message) -> None:
-        """Take a message as the control link does."""
+        """Handle a message from the control plane as the control link does."""
         match message:
             case DecisionReply():
                 self.access.decision_answered(message)
@@ -150,12 +156,12 @@
             )
 
     def router_count(self) -> int:
-        """Return how many routers share the retry budgets' minimum, as this one knows."""
+        """Return how many routers share the minimum of the retry budgets, by the adopted view."""
         view = self.view
         return max(len(view.routers), 1) if view is not None else 1
 
     def send_refusal(self, worker: WorkerRecord, stage: Stage) -> SendRefusal | None:
-        """Say why an order may not be sent at this very moment."""
+        """Return why a dispatch may not be sent to this worker now, or None when it may."""
         refused = self.state.send_refusal(worker.worker_id, worker.incarnation, stage, self.now)
         if refused is SendRefusal.WORKER_UNAVAILABLE:
             ignores = PathGuard.STATUS_BEFORE_SEND in self.path_guards
@@ -163,9 +169,7 @@
         return refused
 
     def accept(self, exchange: Exchange, request: CallerRequest) -> None:
-        """Take a caller's request in, or refuse it at once."""
-        # Imported late: a served request needs its router's type.
-
+        """Admit a caller's request and serve it, or reject it immediately."""
         submission = self.history.record_submission(request)
         refused = self._refusal(request)
         match = self._match(request) if refused is None else None
--- a/src/orchidpath/simulation/requests/simulated_backend.py
+++ b/src/orchidpath/simulation/requests/simulated_backend.py
@@ -1,4 +1,4 @@
-"""Simulated back ends: model workers and plain services on the real pure cores, in virtual time."""
+"""Simulated back ends: the emulated model workers and plain services, in virtual time."""
 
 from collections.abc import Callable
 
@@ -15,17 +15,17 @@
 from orchidpath.emulators.worker.kv_cache import HandleVerdict
 from orchidpath.simulation.requests.backend_dispatches import (
     StreamProgress,
-    call_order,
+    call_dispatch,
     claim_of,
     complete_reply,
-    decode_order,
-    prefill_order,
+    decode_dispatch,
+    prefill_dispatch,
 )
 from orchidpath.simulation.requests.backend_process import TIMING, BackendProcess
 from orchidpath.simulation.requests.cache_pull import CachePull
 from orchidpath.simulation.requests.exchange_messages import (
     CacheMoved,
-    CancelOrder,
+    CancelAttempt,
     EndOfBody,
     HttpError,
     HttpReply,
@@ -57,74 +57,81 @@
 
 
 class SimulatedBackend(BackendProcess):
-    """One back end that takes orders, works on them and can fail in many ways."""
+    """Simulated back end that admits attempts, executes them and injects faults."""
 
     def accept(self, exchange: Exchange, message: object) -> None:
-        """Take the request of an exchange."""
+        """Handle a request that arrives on an exchange.
+
+        While the fault GO_DARK is active, requests other than KV transfers wait for its end.
+        """
         if self.is_dark() and not isinstance(message, PullCache):
             self.after(DARK_POLL_SECONDS, lambda: self.accept(exchange, message))
             return
         match message:
             case PrefillRequest():
-                self._take_in(exchange, prefill_order(message), self._start_prefill)
+                self._admit(exchange, prefill_dispatch(message), self._start_prefill)
             case DecodeRequest():
-                order = decode_order(message)
-                self.history.handle_presented(order, message.handle)
-                self._take_in(exchange, order, lambda x, o: self._pull(x, o, message))
+                dispatch = decode_dispatch(message)
+                self.history.handle_presented(dispatch, message.handle)
+                self._admit(
+                    exchange,
+                    dispatch,
+                    lambda opened, admitted: self._pull(opened, admitted, message),
+                )
             case CallRequest():
-                self._take_in(exchange, call_order(message), self._call)
-            case CancelOrder():
+                self._admit(exchange, call_dispatch(message), self._call)
+            case CancelAttempt():
                 self._cancel(exchange, message)
             case PullCache():
                 self._transfer_kv(exchange, message)
             case _:
                 pass
 
-    # Admission
-
-    def _take_in(
+    def _admit(
         self,
         exchange: Exchange,
-        order: AttemptDispatch,
+        dispatch: AttemptDispatch,
         work: Callable[[Exchange, AttemptDispatch], None],
     ) -> None:
         refuse_all = self.faults.take(FaultKind.REFUSE_ALL, self.now) is not None
-        refusal = self.core.admit(order, self.now, refuse_all)
+        refusal = self.core.admit(dispatch, self.now, refuse_all)
         if refusal is not None:
             if refusal.code is ErrorCode.OVERLOADED:
                 refusal = msgspec.structs.replace(
                     refusal, retry_after_seconds=self.retry_after_seconds
                 )
-            self._refuse(exchange, order, refusal)
+            self._reject(exchange, dispatch, refusal)
             return
-        work(exchange, order)
+        work(exchange, dispatch)
 
-    def _begin(self, exchange: Exchange, order: AttemptDispatch) -> bool:
-        if self.core.start(order, self.now):
-            self.history.check_execution(self.record.incarnation, order)
+    def _begin(self, exchange: Exchange, dispatch: AttemptDispatch) -> bool:
+        if self.core.start(dispatch, self.now):
+            self.history.check_execution(self.record.incarnation, dispatch)
             return True
-        ran = self.core.attempts.ran(order.attempt_id, order.phase)
-        error = self.core.error(order, ErrorCode.ATTEMPT_REFUSED, "cancelled before", ran)
-        self._leave(exchange, order, error)
+        ran = self.core.attempts.ran(dispatch.attempt_id, dispatch.phase)
+        error = self.core.error(
+            dispatch, ErrorCode.ATTEMPT_REFUSED, "cancelled before it started", ran
+        )
+        self._fail_attempt(exchange, dispatch, error)
         return False
 
-    def _refuse(self, exchange: Exchange, order: AttemptDispatch, error: ErrorBody) -> None:
-        exchange.answer(HttpError(echoed_attempt_id=order.attempt_id, error=error))
+    def _reject(self, exchange: Exchange, dispatch: AttemptDispatch, error: ErrorBody) -> None:
+        exchange.answer(HttpError(echoed_attempt_id=dispatch.attempt_id, error=error))
         exchange.answer(EndOfBody())
 
-    def _leave(self, exchange: Exchange, order: AttemptDispatch, error: ErrorBody) -> None:
-        self.core.leave(order, self.now)
-        self._refuse(exchange, order, error)
+    def _fail_attempt(
+        self, exchange: Exchange, dispatch: AttemptDispatch, error: ErrorBody
+    ) -> None:
+        self.core.leave(dispatch, self.now)
+        self._reject(exchange, dispatch, error)
 
-    def _cancel(self, exchange: Exchange, message: CancelOrder) -> None:
+    def _cancel(self, exchange: Exchange, message: CancelAttempt) -> None:
         reply = self.core.cancel(message.attempt_id, self.now)
         self.handles.release(message.attempt_id)
         exchange.answer(HttpReply(echoed_attempt_id=message.attempt_id, reply=reply))
 
-    # Work that is answered whole
-
-    def _call(self, exchange: Exchange, order: AttemptDispatch) -> None:
-        if not self._begin(exchange, order):
+    def _call(self, exchange: Exchange, dispatch: AttemptDispatch) -> None:
+        if not self._begin(exchange, dispatch):
             return
         seconds = self.environment.random.uniform(0.5, 2.0) * CALL_SECONDS
         seconds *= self.faults.factor(FaultKind.SLOW, self.now)
@@ -140,17 +147,17 @@
                 ),
             )
 
-        self.after(seconds, lambda: self._answer(exchange, order, reply))
+        self.after(seconds, lambda: self._answer(exchange, dispatch, reply))
 
-    def _start_prefill(self, exchange: Exchange, order: AttemptDispatch) -> None:
-        if not self._begin(exchange, order):
+    def _start_prefill(self, exchange: Exchange, dispatch: AttemptDispatch) -> None:
+        if not self._begin(exchange, dispatch):
             return
         prompt_tokens = self.environment.random.choice((20, 100, 400))
         seconds = prefill_seconds(TIMING, prompt_tokens, 0)
         seconds *= self.faults.factor(FaultKind.SLOW, self.now)
 
         def reply(sender: AttemptDispatch) -> HttpReply:
-            handle = self._issue(order, prompt_tokens)
+            handle = self._issue(dispatch, prompt_tokens)
             return complete_reply(
                 sender,
                 PrefillReply(
@@ -161,59 +168,64 @@
                 ),
             )
 
-        self.after(seconds, lambda: self._answer(exchange, order, reply))
+        self.after(seconds, lambda: self._answer(exchange, dispatch, reply))
 
     def _answer(
         self,
         exchange: Exchange,
-        order: AttemptDispatch,
+        dispatch: AttemptDispatch,
         reply: Callable[[AttemptDispatch], HttpReply],
         is_late: bool = False,
     ) -> None:
         late = self.faults.take(FaultKind.ANSWER_LATE, self.now)
         if late is not None and not is_late:
             self.after(
-                late.delay_seconds, lambda: self._answer(exchange, order, reply, is_late=True)
+                late.delay_seconds, lambda: self._answer(exchange, dispatch, reply, is_late=True)
             )
             return
-        if self.core.attempts.is_cancelled(order.attempt_id):
-            error = self.core.error(order, ErrorCode.ATTEMPT_REFUSED, "cancelled", Ran.YES)
-            self._leave(exchange, order, error)
+        if self.core.attempts.is_cancelled(dispatch.attempt_id):
+            error = self.core.error(dispatch, ErrorCode.ATTEMPT_REFUSED, "cancelled", Ran.YES)
+            self._fail_attempt(exchange, dispatch, error)
             return
-        error_or_none = self._failure(order)
+        error_or_none = self._failure(dispatch)
         if error_or_none is not None:
-            self._leave(exchange, order, error_or_none)
+            self._fail_attempt(exchange, dispatch, error_or_none)
             return
-        self.core.leave(order, self.now)
+        self.core.leave(dispatch, self.now)
         if self.faults.take(FaultKind.TRUNCATE, self.now) is not None:
             exchange.close_server()
             return
-        exchange.answer(reply(self._answer_identity(order)))
+        exchange.answer(reply(self._answer_identity(dispatch)))
 
-    def _failure(self, order: AttemptDispatch) -> ErrorBody | None:
-        """Return an injected failure of work that has been done."""
+    def _failure(self, dispatch: AttemptDispatch) -> ErrorBody | None:
+        """Return the injected failure of work that has been executed, or None."""
         if self.foreign_guarantees > 0:
-            # A guarantee about another attempt, such as a confused intermediary would pass on.
+            # The error guarantees ran=no for another attempt, as from an intermediary that mixes up
+            # responses.
             self.foreign_guarantees -= 1
-            error = self.core.error(order, ErrorCode.INTERNAL, "not run", Ran.NO)
-            return msgspec.structs.replace(error, attempt_id=f"{order.attempt_id}-other")
+            error = self.core.error(dispatch, ErrorCode.INTERNAL, "not run", Ran.NO)
+            return msgspec.structs.replace(error, attempt_id=f"{dispatch.attempt_id}-other")
         if self.faults.take(FaultKind.FAIL_NEXT, self.now) is not None:
-            return self.core.error(order, ErrorCode.INTERNAL, "injected failure", Ran.UNKNOWN)
+            return self.core.error(dispatch, ErrorCode.INTERNAL, "injected failure", Ran.UNKNOWN)
         return None
 
-    def _answer_identity(self, order: AttemptDispatch) -> AttemptDispatch:
+    def _answer_identity(self, dispatch: AttemptDispatch) -> AttemptDispatch:
         if self.faults.take(FaultKind.WRONG_ATTEMPT_ECHO, self.now) is None:
-            return order
+            return dispatch
         return msgspec.structs.replace(
-            order, request_id=f"{order.request_id}-other", attempt_id=f"{order.attempt_id}-other"
+            dispatch,
+            request_id=f"{dispatch.request_id}-other",
+            attempt_id=f"{dispatch.attempt_id}-other",
         )
 
-    def _issue(self, order: AttemptDispatch, prompt_tokens: int) -> CacheHandle:
-        handle_id = self.handles.issue(order.request_id, order.attempt_id, prompt_tokens, self.now)
+    def _issue(self, dispatch: AttemptDispatch, prompt_tokens: int) -> CacheHandle:
+        handle_id = self.handles.issue(
+            dispatch.request_id, dispatch.attempt_id, prompt_tokens, self.now
+        )
         handle = CacheHandle(
             handle_id=handle_id,
-            request_id=order.request_id,
-            attempt_id=order.attempt_id,
+            request_id=dispatch.request_id,
+            attempt_id=dispatch.attempt_id,
             worker_id=self.address,
             incarnation=self.record.incarnation,
             url=self.record.url,
@@ -227,8 +239,6 @@
             return former
         return handle
 
-    # KV transfer
-
     def _transfer_kv(self, exchange: Exchange, message: PullCache) -> None:
         answer = self.handles.take(message.claim, self.now)
         if answer.verdict is HandleVerdict.GRANTED:
@@ -241,19 +251,19 @@
         )
         exchange.answer(HttpError(echoed_attempt_id="", error=error))
 
-    def _pull(self, exchange: Exchange, order: AttemptDispatch, message: DecodeRequest) -> None:
+    def _pull(self, exchange: Exchange, dispatch: AttemptDispatch, message: DecodeRequest) -> None:
         def done(failure: ErrorCode | None) -> None:
             if failure is None:
-                self._decode(exchange, order, message.max_tokens)
+                self._decode(exchange, dispatch, message.max_tokens)
                 return
             prefill = message.handle.worker_id
             if self._is_link_partitioned(prefill):
-                self.history.kv_transfer_failed(order.attempt_id, prefill, self.address)
-            error = self.core.refuse(order, failure, "no KV cache", self.now)
-            self._leave(exchange, order, error)
+                self.history.kv_transfer_failed(dispatch.attempt_id, prefill, self.address)
+            error = self.core.refuse(dispatch, failure, "KV transfer failed", self.now)
+            self._fail_attempt(exchange, dispatch, error)
 
         CachePull(self, self.exchanges, done).start(
-            claim_of(order, message.handle),
+            claim_of(dispatch, message.handle),
             message.handle.worker_id,
             TIMING.transfer_timeout_seconds,
         )
@@ -265,21 +275,19 @@
             self.address,
         ) in partitioned_links
 
-    # Streams
-
-    def _decode(self, exchange: Exchange, order: AttemptDispatch, max_tokens: int) -> None:
-        if not self._begin(exchange, order):
+    def _decode(self, exchange: Exchange, dispatch: AttemptDispatch, max_tokens: int) -> None:
+        if not self._begin(exchange, dispatch):
             return
         late = self.faults.take(FaultKind.ANSWER_LATE, self.now)
         seconds = late.delay_seconds if late is not None else 0.0
-        self.after(seconds, lambda: self._stream(exchange, order, max_tokens))
+        self.after(seconds, lambda: self._stream(exchange, dispatch, max_tokens))
 
-    def _stream(self, exchange: Exchange, order: AttemptDispatch, max_tokens: int) -> None:
-        failure = self._failure(order)
+    def _stream(self, exchange: Exchange, dispatch: AttemptDispatch, max_tokens: int) -> None:
+        failure = self._failure(dispatch)
         if failure is not None:
-            self._leave(exchange, order, failure)
+            self._fail_attempt(exchange, dispatch, failure)
             return
-        sender = self._answer_identity(order)
+        sender = self._answer_identity(dispatch)
         gap = self.faults.take(FaultKind.SEQUENCE_GAP, self.now)
         plan = StreamPlan(
             request_id=sender.request_id,
@@ -294,41 +302,47 @@
         stream = StreamProgress(decode_frames(plan), truncation, stall)
         self.streams += 1
         exchange.answer(StreamHead(echoed_attempt_id=sender.attempt_id))
-        self._next_frame(exchange, order, stream)
+        self._next_frame(exchange, dispatch, stream)
 
     def _next_frame(
-        self, exchange: Exchange, order: AttemptDispatch, stream: StreamProgress
+        self, exchange: Exchange, dispatch: AttemptDispatch, stream: StreamProgress
     ) -> None:
         frame = next(stream.frames, None)
         if frame is None:
             exchange.answer(EndOfBody())
-            self._end_stream(order)
+            self._end_stream(dispatch)
             return
         seconds = stream.stall_seconds()
         if frame.kind is FrameKind.CONTENT:
             interval = decode_interval_seconds(TIMING, self.streams) * TIMING.tokens_per_frame
             seconds += interval * self.faults.factor(FaultKind.SLOW, self.now)
-        self.after(seconds, lambda: self._send_frame(exchange, order, stream, frame))
+        self.after(seconds, lambda: self._send_frame(exchange, dispatch, stream, frame))
 
     def _send_frame(
-        self, exchange: Exchange, order: AttemptDispatch, stream: StreamProgress, frame: DecodeFrame
+        self,
+        exchange: Exchange,
+        dispatch: AttemptDispatch,
+        stream: StreamProgress,
+        frame: DecodeFrame,
     ) -> None:
         if self.is_dark():
-            self.after(DARK_POLL_SECONDS, lambda: self._send_frame(exchange, order, stream, frame))
+            self.after(
+                DARK_POLL_SECONDS, lambda: self._send_frame(exchange, dispatch, stream, frame)
+            )
             return
-        is_removed = not exchange.server.is_open
+        is_disconnected = not exchange.server.is_open
         if (
-            is_removed
+            is_disconnected
             or stream.is_interrupted()
-            or self.core.attempts.is_cancelled(order.attempt_id)
+            or self.core.attempts.is_cancelled(dispatch.attempt_id)
         ):
             exchange.close_server()
-            self._end_stream(order)
+            self._end_stream(dispatch)
             return
         stream.sent += 1
         exchange.answer(frame)
-        self._next_frame(exchange, order, stream)
+        self._next_frame(exchange, dispatch, stream)
 
-    def _end_stream(self, order: AttemptDispatch) -> None:
+    def _end_stream(self, dispatch: AttemptDispatch) -> None:
         self.streams -= 1
-        self.core.leave(order, self.now)
+        self.core.leave(dispatch, self.now)
--- a/src/orchidpath/simulation/requests/simulated_caller.py
+++ b/src/orchidpath/simulation/requests/simulated_caller.py
@@ -1,6 +1,8 @@
-"""Simulated callers: open loop, mixed kinds, some leave early, and all come back only when allowed.
+"""Simulated callers: open-loop arrivals of requests of all kinds.
 
-They check what they get: their own answer, whole and in order, or a visible error.
+Some callers disconnect early. A caller submits a request again only after a failed connection, or
+after an error with ``ran=no`` and a retry-after. Each caller checks that it receives its own
+response, complete and in order, or an explicit error.
 """
 
 import msgspec
@@ -25,29 +27,29 @@
 from orchidpath.wire.messages import Message
 
 ADDRESS = "callers"
-LEAVING_SHARE = 0.05
-MAX_RETURNS = 2
-LONGEST_PAUSE_SECONDS = 3.0
+EARLY_DISCONNECT_FRACTION = 0.05
+MAX_RESUBMISSIONS = 2
+MAX_PAUSE_SECONDS = 3.0
 TENANTS = 4
 
 DEADLINES_SECONDS = (2.0, 6.0, 6.0)
 
 
 class Callers(SimulatedProcess):
-    """All callers of a run; one process, since they fail in no way of their own.
+    """All callers of a run, in one process because no scenario crashes a caller.
 
     Parameters
     ----------
     environment
-        Where they run.
+        Simulated environment of the run.
     exchanges
-        Makes their connections.
+        Opens the connections to routers.
     routers
-        Whom they may ask.
+        Routers that may receive requests.
     history
-        Counts what they got.
+        Counts the outcomes of requests.
     guards
-        Rules to leave out.
+        Guards of the request path that are disabled.
     """
 
     def __init__(
@@ -68,21 +70,21 @@
 
     @property
     def node_id(self) -> str:
-        """Their one name."""
+        """Address that all callers share."""
         return self.address
 
     def on_start(self) -> None:
-        """Begin to arrive."""
+        """Start the arrivals of requests."""
         self._next_arrival()
 
     def on_kill(self) -> None:
-        """Never killed."""
+        """Do nothing; scenarios never kill the callers."""
 
     def on_message(self, sender_id: str, message: Message) -> None:
-        """Take nothing: callers speak over exchanges only."""
+        """Ignore the message; callers communicate over exchanges only."""
 
     def burst(self, count: int) -> None:
-        """Let many arrive at once."""
+        """Submit ``count`` new requests immediately."""
         for _ in range(count):
             self._arrive()
 
@@ -112,14 +114,14 @@
 
 
 class SimulatedCaller:
-    """One request of one caller, over all its tries.
+    """One request of one caller, with all its submissions.
 
     Parameters
     ----------
     callers
-        The process that it belongs to.
+        Process that the caller runs in.
     request
-        What it asks for.
+        The request to submit.
     """
 
     def __init__(self, callers: Callers, request: CallerRequest) -> None:
@@ -131,7 +133,7 @@
         self._is_over = False
 
     def submit(self) -> None:
-        """Send the request to any router."""
+        """Send the request to a router that is selected at random."""
         router = self._callers.environment.random.choice(self._callers.routers)
         self._texts.clear()
         self._is_over = False
@@ -145,21 +147,21 @@
     def _connected(self, exchange: Exchange, router: ServingRouter) -> None:
         request = self._request
         exchange.server.on_message = lambda _message: router.accept(exchange, request)
-        exchange.client.on_message = lambda message: self._take(exchange, message)
-        exchange.client.on_broken = self._disconnect
+        exchange.client.on_message = lambda message: self._receive(exchange, message)
+        exchange.client.on_broken = self._connection_lost
         exchange.send(request)
-        if self._callers.environment.random.random() < LEAVING_SHARE:
+        if self._callers.environment.random.random() < EARLY_DISCONNECT_FRACTION:
             seconds = self._callers.environment.random.uniform(0.0, 1.0)
-            self._callers.after(seconds, lambda: self._leave(exchange))
+            self._callers.after(seconds, lambda: self._disconnect_early(exchange))
 
-    def _leave(self, exchange: Exchange) -> None:
-        # Only from the try in which this was planned; another one may be under way by now.
+    def _disconnect_early(self, exchange: Exchange) -> None:
+        # This disconnect was scheduled for one submission; a later one may have begun by now.
         if exchange.client.is_open and not self._is_over:
             self._is_over = True
             self._counts.left += 1
             exchange.close_client()
 
-    def _take(self, exchange: Exchange, message: object) -> None:
+    def _receive(self, exchange: Exchange, message: object) -> None:
         if self._is_over:
             raise InvariantError(f"{self._request.request_id} got more after its end")
         match message:
@@ -197,7 +199,9 @@
             return
         text = "".join(self._texts) if request.streaming else finished.text
         if text != self._expected:
-            raise InvariantError(f"{request.request_id} got a part that looks complete")
+            raise InvariantError(
+                f"{request.request_id} received a partial response that looks complete"
+            )
 
     def _refused(self, refused: Refused) -> None:
         self._counts.refused += 1
@@ -207,20 +211,18 @@
         if refused.error.retry_after_seconds is not None:
             self._retry_later(refused.error.retry_after_seconds)
 
-    def _disconnect(self) -> None:
+    def _connection_lost(self) -> None:
         if self._is_over:
             return
-        # Nothing is known of the request's fate: a strict caller never sends it again.
+        # The request may have run, so a strict caller never submits it again.
         self._is_over = True
         self._counts.unknown += 1
 
     def _retry_later(self, seconds: float) -> None:
-        if self._request.submission > MAX_RETURNS:
+        if self._request.submission > MAX_RESUBMISSIONS:
             return
         self._request = msgspec.structs.replace(
             self._request, submission=self._request.submission + 1
         )
-        pause = min(seconds, LONGEST_PAUSE_SECONDS) * self._callers.environment.random.uniform(
-            1.0, 1.2
-        )
+        pause = min(seconds, MAX_PAUSE_SECONDS) * self._callers.environment.random.uniform(1.0, 1.2)
         self._callers.after(pause, self.submit)
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -1,7 +1,7 @@
-"""A simulated router's access to the fleet: decisions, reports, lease and what workers told it.
+"""A simulated router's access to the fleet: decisions, reports, lease and worker announcements.
 
-Plays the part of the router's control link with its pure parts; waiting is virtual. Coroutines of
-the router's decision maker are driven by :func:`drive`.
+Replaces the router's control link, with the same pure components and virtual timeouts.
+:func:`drive` runs the coroutines of the router's decision maker.
 """
 
 from collections.abc import Callable, Collection, Coroutine, Generator, Sequence
@@ -35,21 +35,21 @@
 
 
 class Waiting:
-    """What a coroutine awaits: it is resumed once, with an answer or with None."""
+    """Awaitable that resumes its coroutine once, with a decision reply or with None."""
 
     def __init__(self) -> None:
         self._resume: Callable[[DecisionReply | None], None] | None = None
 
     def __await__(self) -> Generator["Waiting", DecisionReply | None, DecisionReply | None]:
-        """Hand this object to :func:`drive` and return what it is resumed with."""
+        """Yield this object to :func:`drive` and return the value passed to :meth:`resume`."""
         return (yield self)
 
-    def wake_with(self, resume: Callable[[DecisionReply | None], None]) -> None:
-        """Name what continues the coroutine."""
+    def set_continuation(self, resume: Callable[[DecisionReply | None], None]) -> None:
+        """Set the callback that continues the coroutine."""
         self._resume = resume
 
     def resume(self, reply: DecisionReply | None) -> None:
-        """Continue the coroutine, the first time only."""
+        """Continue the coroutine; later calls have no effect."""
         resume, self._resume = self._resume, None
         if resume is not None:
             resume(reply)
@@ -65,24 +65,24 @@
             on_result(stop.value)
             return
         assert isinstance(waiting, Waiting)
-        waiting.wake_with(step)
+        waiting.set_continuation(step)
 
     step(None)
 
 
 class SimulatedFleetAccess(FleetAccess):
-    """The fleet as one run of one simulated router sees it.
+    """Fleet access of one run of one simulated router.
 
     Parameters
     ----------
     process
-        The router; its clock and its timers are used.
+        Router whose clock and timers are used.
     core
-        Its lease and view.
+        Lease and adopted view of the router.
     send_to_leader
-        Sends to the leader, if one is known; tells whether one is.
+        Sends a message to the leader, and returns whether a leader is known.
     guards
-        Rules to leave out.
+        Guards of the request path that are disabled.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         self._announced = AnnouncedWorkers()
         self._decisions: dict[int, Waiting] = {}
         self._correlation = 0
-        self._tier_retry_at = float("-inf")
+        self._next_leader_request_at = float("-inf")
         self._keeps_probes = PathGuard.ONE_PROBE in guards
         self._retained_probes: dict[Stage, Choice] = {}
 
@@ -110,7 +110,7 @@
         return self._core.view
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether the router holds a lease to serve by its view."""
+        """Return whether the router holds a lease that allows it to serve by its view."""
         return PathGuard.FRESH_TO_SERVE in self._guards or self._core.is_fresh(now)
 
     def freshness_reason(self, now: float) -> str:
@@ -118,29 +118,33 @@
         return self._core.reason(now)
 
     def seconds_until_fresh_hint(self) -> float:
-        """Return when a refused caller should come back."""
+        """Return after how many seconds a rejected caller should retry."""
         return NOT_FRESH_RETRY_SECONDS
 
     async def decide(
         self, request: DecisionRequest, timeout_seconds: float
     ) -> DecisionReply | None:
-        """Ask the leader; None when it is slow or lost."""
-        if self._process.now < self._tier_retry_at:
+        """Request a decision from the leader.
+
+        Returns None when no leader is known, when the leader does not reply in time or is no
+        longer the leader, and for a short time after a request has timed out.
+        """
+        if self._process.now < self._next_leader_request_at:
             return None
         self._correlation += 1
         request = msgspec.structs.replace(request, correlation=self._correlation)
         if not self._send_to_leader(request):
             return None
         waiting = self._decisions[request.correlation] = Waiting()
-        self._process.after(timeout_seconds, lambda: self._give_up(request))
+        self._process.after(timeout_seconds, lambda: self._decision_timed_out(request))
         reply = await waiting
         if reply is None or reply.rejection is Rejection.NOT_LEADER:
             return None
         return self._with_retained_probes(reply) if self._keeps_probes else reply
 
     def decision_answered(self, reply: DecisionReply) -> None:
-        """Take the leader's answer, in time or late."""
-        self._tier_retry_at = self._process.now
+        """Handle the leader's reply, which may arrive after the request has timed out."""
+        self._next_leader_request_at = self._process.now
         waiting = self._decisions.pop(reply.correlation, None)
         if waiting is not None:
             waiting.resume(reply)
@@ -148,7 +152,7 @@
         self.reports.add(self._late_decisions.answered(reply))
 
     def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
-        """Learn which workers the router chose by itself."""
+        """Record which workers the router chose without the leader."""
         self._late_decisions.decided_alone(attempt_id, worker_ids)
 
     def report(self, reports: Sequence[AttemptReport]) -> None:
@@ -156,39 +160,39 @@
         self.reports.add(reports)
 
     def observe_capacity(self, observed: CapacityObserved) -> None:
-        """Tell the leader of a derived throttle."""
+        """Send a capacity observation to the leader."""
         self._send_to_leader(observed)
 
     async def announce(self, announcement: Announcement) -> AnnouncementReply:
-        """Take a worker's announcement."""
+        """Record a worker's announcement and return whether it was accepted."""
         return AnnouncementReply(accepted=self.receive_announcement(announcement))
 
     def receive_announcement(self, announcement: Announcement) -> bool:
-        """Remember what a worker says of itself; false for one that is not newer."""
+        """Record a worker's announcement; return False when it is not newer than the last."""
         return self._announced.record_announcement(announcement)
 
     def locally_draining(self, worker_id: str) -> bool:
-        """Return whether the worker itself told this router that it is draining."""
+        """Return whether the worker has announced to this router that it is draining."""
         if PathGuard.DRAINING_HEARD in self._guards:
             return False
         return self._announced.is_draining(worker_id)
 
     def view_adopted(self, view: FleetView) -> None:
-        """Forget what incarnations have said that are no more."""
+        """Remove the announcements of incarnations that the view no longer contains."""
         self._announced.view_adopted(view)
 
     def _with_retained_probes(self, reply: DecisionReply) -> DecisionReply:
-        """Use a granted probe for later attempts as well; for a guard left out."""
+        """Reuse a granted probe for later attempts, for the disabled guard ``path.one_probe``."""
         for choice in reply.choices:
             if choice.probe_generation is not None:
                 self._retained_probes[choice.stage] = choice
-        choices = tuple(self._retained_probes.get(one.stage, one) for one in reply.choices)
+        choices = tuple(self._retained_probes.get(choice.stage, choice) for choice in reply.choices)
         return msgspec.structs.replace(reply, choices=choices)
 
-    def _give_up(self, request: DecisionRequest) -> None:
+    def _decision_timed_out(self, request: DecisionRequest) -> None:
         waiting = self._decisions.pop(request.correlation, None)
         if waiting is None:
             return
-        self._tier_retry_at = self._process.now + RETRY_TIER_SECONDS
+        self._next_leader_request_at = self._process.now + RETRY_TIER_SECONDS
         self._late_decisions.record_abandoned(request)
         waiting.resume(None)
--- a/tests/simulation/test_exchanges.py
+++ b/tests/simulation/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Simulated exchanges: messages in order and once; failures as on real connections."""
+"""Simulated exchanges deliver messages in order and once, and fail as TCP connections do."""
 
 import pytest
 
@@ -25,12 +25,12 @@
         pass
 
     def on_kill(self) -> None:
-        self.exchanges.process_died(self.address)
+        self.exchanges.process_killed(self.address)
 
     def on_message(self, sender_id: str, message: Message) -> None:
         pass
 
-    def note_broken(self) -> None:
+    def count_broken(self) -> None:
         self.broken += 1
 
 
@@ -44,15 +44,15 @@
         self.server = Peer(self.environment, "server", exchanges)
         self.opened: list[Exchange] = []
         self.failed = 0
-        exchanges.connect(self.client, "server", self.connected, self.note_failed)
+        exchanges.connect(self.client, "server", self.connected, self.count_failed)
 
     def connected(self, exchange: Exchange) -> None:
         self.opened.append(exchange)
         for end, peer in ((exchange.client, self.client), (exchange.server, self.server)):
             end.on_message = peer.received.append
-            end.on_broken = peer.note_broken
+            end.on_broken = peer.count_broken
 
-    def note_failed(self) -> None:
+    def count_failed(self) -> None:
         self.failed += 1
 
     def open(self) -> Exchange:
@@ -68,7 +68,7 @@
     return Pair()
 
 
-def test_messages_arrive_in_order_and_once_on_a_bad_network(pair: Pair) -> None:
+def test_messages_arrive_in_order_and_once_on_an_unreliable_network(pair: Pair) -> None:
     exchange = pair.open()
     pair.environment.network = NetworkFaults(loss=0.3, duplication=0.5, late=0.3)
     for number in range(50):
@@ -77,7 +77,7 @@
     assert pair.server.received == list(range(50))
 
 
-def test_a_sent_message_arrives_after_its_sender_died(pair: Pair) -> None:
+def test_a_sent_message_arrives_after_its_sender_was_killed(pair: Pair) -> None:
     exchange = pair.open()
     exchange.send("request")
     pair.client.kill()
@@ -130,7 +130,7 @@
     assert (pair.client.broken, pair.server.broken) == (0, 1)
 
 
-def test_a_connection_to_a_dead_process_fails(pair: Pair) -> None:
+def test_a_connection_to_a_killed_process_fails(pair: Pair) -> None:
     pair.server.kill()
     pair.wait(2.0)
     assert pair.opened == []
--- a/tests/simulation/test_path_checks.py
+++ b/tests/simulation/test_path_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the request path on constructed histories, where no scenario reaches them."""
+"""Request path checks on constructed histories, for violations that no scenario provokes."""
 
 import msgspec
 import pytest
--- a/tests/simulation/test_request_simulation.py
+++ b/tests/simulation/test_request_simulation.py
@@ -44,17 +44,18 @@
     "path.one_probe": (Scenario.WORKERS_CRASH, "both probe"),
     "path.strict_caller": (Scenario.WORKERS_CRASH, "run a second time"),
 }
-"""Scenario that provokes the failure prevented by a guard, and the message of the check."""
+"""For each guard, the scenario that provokes the failure which the guard prevents, and a part of
+the violation message."""
 
 MAX_SEEDS = 20
-"""Seeds tried for each guard; a change of timing changes the seed that detects it."""
+"""Number of seeds tried per guard; a change in timing changes which seeds detect it."""
 
 PROVOKED_ELSEWHERE = {
-    # Emulated workers guarantee only for their own attempts; tests/routing has others.
+    # Emulated workers send guarantees only for their own attempts; tests/routing covers others.
     "request.promise_of_the_ordered_worker",
-    # Redundant with the reader, which posts no event of an exchange that it has left.
+    # Redundant with the response reader, which posts no events of an exchange that it has closed.
     "request.events_of_this_attempt",
-    # Needs a retry-after of a worker beyond the deadline; tests/routing has it.
+    # Requires a retry-after of a worker beyond the deadline; tests/routing covers this case.
     "request.wait_fits_deadline",
 }
 
@@ -126,7 +127,11 @@
 
 
 def test_a_worker_is_usable_again_once_a_router_has_adopted_its_return() -> None:
-    """Seed 918317 of an earlier revision: the leader lost its lease right after its push."""
+    """A router may adopt a revision before any control process has shown it to the checks.
+
+    The leader's lease ended right after it had pushed the revision (seed 918317 of an earlier
+    revision of the code).
+    """
     fleet = RequestFleet(1, AGENCY, DisabledGuards())
     fleet.start()
     router = fleet.serving[0]
