--- a/src/orchidpath/simulation/requests/served_request.py
+++ b/src/orchidpath/simulation/requests/served_request.py
@@ -141,7 +141,7 @@
     def _execute(self, instruction: events.RequestInstruction) -> None:
         match instruction:
             case events.RequestDecision():
-                self._apply_decision_request(instruction)
+                self._request_decision(instruction)
             case events.SendPrefill() | events.SendDecode() | events.SendCall():
                 self._send(instruction)
             case events.AbortExchange():
@@ -192,14 +192,14 @@
         was_frozen = self._router.last_frozen_at >= self._submission.arrived_at
         self._history.check_response_time(self._submission, was_frozen)
 
-    def _apply_decision_request(self, instruction: events.RequestDecision) -> None:
+    def _request_decision(self, instruction: events.RequestDecision) -> None:
         router = self._router
-        place = (router.address, router.epoch, self._match.service.name, router.router_count())
+        router_run = (router.address, router.epoch, self._match.service.name, router.router_count())
         self._attempts += 1
         if self._attempts == 1:
-            self._history.record_first_attempt(*place)
+            self._history.record_first_attempt(*router_run)
         else:
-            self._history.check_retry(self._submission, *place)
+            self._history.check_retry(self._submission, *router_run)
         drive(router.decisions.decide(self._subject, instruction), self._apply_decision)
 
     def _apply_decision(self, decided: events.DecisionMade | events.NoCandidates) -> None:
--- a/src/orchidpath/simulation/requests/serving_fleet.py
+++ b/src/orchidpath/simulation/requests/serving_fleet.py
@@ -152,7 +152,7 @@
         ]
 
     def start(self) -> None:
-        """Start all processes, submit the first configuration and wait until it is applied."""
+        """Start all processes, submit the first configuration and run for the convergence time."""
         super().start()
         for backend in self.backends:
             backend.start()
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -34,13 +34,13 @@
 ResultT = TypeVar("ResultT")
 
 
-class Waiting:
+class PendingDecision:
     """Awaitable that resumes its coroutine once, with a decision reply or with None."""
 
     def __init__(self) -> None:
         self._resume: Callable[[DecisionReply | None], None] | None = None
 
-    def __await__(self) -> Generator["Waiting", DecisionReply | None, DecisionReply | None]:
+    def __await__(self) -> Generator["PendingDecision", DecisionReply | None, DecisionReply | None]:
         """Yield this object to :func:`drive` and return the value passed to :meth:`resume`."""
         return (yield self)
 
@@ -56,7 +56,7 @@
 
 
 def drive(coroutine: Coroutine[Any, Any, ResultT], on_result: Callable[[ResultT], None]) -> None:
-    """Run a coroutine that awaits nothing but :class:`Waiting`, without an event loop."""
+    """Run a coroutine that awaits nothing but :class:`PendingDecision`, without an event loop."""
 
     def step(value: DecisionReply | None) -> None:
         try:
@@ -64,7 +64,7 @@
         except StopIteration as stop:
             on_result(stop.value)
             return
-        assert isinstance(waiting, Waiting)
+        assert isinstance(waiting, PendingDecision)
         waiting.set_continuation(step)
 
     step(None)
@@ -99,7 +99,7 @@
         self._guards = guards
         self._late_decisions = LateDecisions()
         self._announced = AnnouncedWorkers()
-        self._decisions: dict[int, Waiting] = {}
+        self._decisions: dict[int, PendingDecision] = {}
         self._correlation = 0
         self._next_leader_request_at = float("-inf")
         self._keeps_probes = PathGuard.ONE_PROBE in guards
@@ -135,7 +135,7 @@
         request = msgspec.structs.replace(request, correlation=self._correlation)
         if not self._send_to_leader(request):
             return None
-        waiting = self._decisions[request.correlation] = Waiting()
+        waiting = self._decisions[request.correlation] = PendingDecision()
         self._process.after(timeout_seconds, lambda: self._decision_timed_out(request))
         reply = await waiting
         if reply is None or reply.rejection is Rejection.NOT_LEADER:
