--- a/src/orchidpath/fleet/__init__.py
+++ b/src/orchidpath/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Local fleet on loopback: start, watch, fault and stop every role."""
+"""Local fleet on loopback: starts, monitors and stops every role, and injects faults."""
--- a/src/orchidpath/fleet/executions.py
+++ b/src/orchidpath/fleet/executions.py
@@ -1,4 +1,4 @@
-"""Finds calls that ran more often than their route allows, from the back ends' own records."""
+"""Finds calls that ran more often than their route allows, using the back ends' records."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -17,14 +17,14 @@
 
 
 class ExecutionKey(msgspec.Struct, frozen=True):
-    """What must happen at most once: one phase of one request."""
+    """Key of an execution that must happen at most once: one phase of one request."""
 
     request_id: str
     phase: Phase
 
 
 class ExecutionPolicy:
-    """Says of each service which phases of a request must happen at most once.
+    """Determines which phases of a request must run at most once for each service.
 
     Parameters
     ----------
@@ -37,25 +37,25 @@
     def __init__(self, configuration: Configuration, service_by_worker: dict[str, str]) -> None:
         self._service_by_worker = service_by_worker
         self._repeatable = {route.service for route in configuration.routes if route.repeatable}
-        self._prompt_read_repeatable = self._repeatable | {
+        self._prefill_repeatable = self._repeatable | {
             route.service for route in configuration.routes if route.repeat_prompt_read
         }
 
-    def must_be_once(self, record: ExecutionRecord) -> bool:
-        """Tell whether this start must be the only one of its phase and request."""
+    def must_run_once(self, record: ExecutionRecord) -> bool:
+        """Return whether this execution must be the only one of its phase and request."""
         service = self._service_by_worker.get(record.worker_id, "")
         if record.phase is Phase.PREFILL_DONE:
-            return service not in self._prompt_read_repeatable
+            return service not in self._prefill_repeatable
         return service not in self._repeatable
 
 
 def repeated_executions(
     records: Iterable[ExecutionRecord], policy: ExecutionPolicy
 ) -> list[ExecutionKey]:
-    """Return every phase of a request that started more than once although it must not."""
+    """Return each phase of a request that started more than once against the policy."""
     starts: Counter[ExecutionKey] = Counter()
     for record in records:
-        if policy.must_be_once(record):
+        if policy.must_run_once(record):
             starts[ExecutionKey(record.request_id, record.phase)] += 1
     return [key for key, count in starts.items() if count > 1]
 
@@ -65,17 +65,17 @@
     results: Sequence[RequestResult],
     policy: ExecutionPolicy,
 ) -> list[str]:
-    """Return the requests whose last answer guaranteed "not run" and that ran all the same."""
+    """Return the ids of requests that ran although their last response guaranteed "not run"."""
     guaranteed = {
         result.request_id
         for result in results
         if result.outcome is Outcome.REFUSED and result.ran == Ran.NO
     }
-    ran = {record.request_id for record in records if policy.must_be_once(record)}
+    ran = {record.request_id for record in records if policy.must_run_once(record)}
     return sorted(guaranteed & ran)
 
 
 def decode_lines(content: bytes, expected: type[StructT]) -> list[StructT]:
-    """Decode JSON lines; a torn last line, as a killed process leaves it, is dropped."""
+    """Decode JSON lines; an incomplete last line, as a killed process leaves it, is dropped."""
     lines = content.split(b"\n")
     return [msgspec.json.decode(line, type=expected) for line in lines[:-1] if line]
--- a/src/orchidpath/fleet/fault_runner.py
+++ b/src/orchidpath/fleet/fault_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the fault script on a running fleet."""
+"""Executes the fault script on a running fleet."""
 
 import asyncio
 import os
@@ -17,20 +17,20 @@
 from orchidpath.fleet.processes import ChildProcess
 
 POST_TIMEOUT_SECONDS = 5.0
-"""Bound on posting a fault to an emulated worker."""
+"""Timeout of the request that posts a fault to an emulated worker."""
 
 
 class FaultRunner:
-    """Does the actions of a timeline one after another.
+    """Executes the actions of a timeline one after another.
 
     Parameters
     ----------
     layout
-        The fleet.
+        Layout of the fleet.
     children
-        Its processes by name.
+        Processes of the fleet by name.
     leader_name
-        Returns the name of the leading control process, or nothing.
+        Returns the name of the leading control process, or an empty string if there is none.
     seed
         Seed of the link faults.
     """
@@ -50,22 +50,22 @@
         self._plans = {plan.name: plan for plan in layout.processes}
 
     async def run(self, actions: list[TimedAction], report: Callable[[str], None]) -> None:
-        """Wait for the time of each action and do it."""
+        """Execute each action at its time; times are measured from this call."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         for action in actions:
             await asyncio.sleep(max(0.0, started_at + action.at_seconds - loop.time()))
             names = self._names(action)
             report(f"fault: {action.kind} {', '.join(names) or action.fault.target}")
-            await self._do(action, names)
+            await self._execute(action, names)
 
     def _names(self, action: TimedAction) -> tuple[str, ...]:
-        # The end of a step is done to the processes of its begin, also if the leader has changed.
-        known = self._names_by_step.get(action.number)
-        if known is None:
-            known = self._resolve(action.fault.target)
-            self._names_by_step[action.number] = known
-        return known
+        # The end of a fault applies to the processes of its start, even if the leader has changed.
+        names = self._names_by_step.get(action.number)
+        if names is None:
+            names = self._resolve(action.fault.target)
+            self._names_by_step[action.number] = names
+        return names
 
     def _resolve(self, target: str) -> tuple[str, ...]:
         if not target:
@@ -73,7 +73,7 @@
         name = self._leader_name() if target == LEADER_TARGET else target
         return self._layout.process_names(name)
 
-    async def _do(self, action: TimedAction, names: tuple[str, ...]) -> None:
+    async def _execute(self, action: TimedAction, names: tuple[str, ...]) -> None:
         children = [self._children[name] for name in names]
         match action.kind:
             case ScriptedFaultKind.KILL:
@@ -105,7 +105,7 @@
 
     async def _start(self, children: list[ChildProcess]) -> None:
         for child in children:
-            await child.kill()  # one that is still draining must be gone first
+            await child.kill()  # a process that is still draining must exit first
             await child.start()
 
     async def _replace_disks(self, names: tuple[str, ...]) -> None:
@@ -125,7 +125,7 @@
         async with aiohttp.ClientSession(timeout=timeout) as session:
             for name in names:
                 if fault.kind is FaultKind.CRASH:
-                    self._children[name].expect_end()
+                    self._children[name].expect_exit()
                 await self._post(session, self._plans[name].http_address, fault)
 
     async def _post(
@@ -136,11 +136,11 @@
             async with session.post(f"http://{address}/v1/faults", data=content) as response:
                 await response.read()
         except (aiohttp.ClientError, TimeoutError):
-            return  # a crash gives no answer; a worker that was removed needs no fault
+            return  # a crashing worker does not answer; a stopped worker needs no fault
 
 
 def write_fault_file(path: Path, partitions: PartitionTable) -> None:
-    """Replace the fault file in one step, so that no process reads half of it."""
+    """Replace the fault file atomically, so that no process reads a partial file."""
     new_path = path.with_suffix(".new")
     new_path.write_bytes(msgspec.json.encode(partitions.as_file()))
     os.replace(new_path, path)
--- a/src/orchidpath/fleet/fault_timeline.py
+++ b/src/orchidpath/fleet/fault_timeline.py
@@ -1,4 +1,4 @@
-"""The fault script as a timeline of single actions, and the table of cut links."""
+"""The fault script as a timeline of actions, and the table of partitioned links."""
 
 from collections.abc import Sequence
 
@@ -7,17 +7,17 @@
 from orchidpath.fleet.file import ScriptedFault, ScriptedFaultKind
 from orchidpath.wire.link_faults import ANY_NODE, LinkFault, LinkFaultFile
 
-_ENDED_BY = {
+_ENDING_ACTION = {
     ScriptedFaultKind.KILL: ScriptedFaultKind.START,
     ScriptedFaultKind.STOP: ScriptedFaultKind.START,
     ScriptedFaultKind.FREEZE: ScriptedFaultKind.WAKE,
     ScriptedFaultKind.PARTITION: ScriptedFaultKind.HEAL,
 }
-"""What ends a fault that lasts for a time."""
+"""Action that ends a fault which has a duration."""
 
 
 class TimedAction(msgspec.Struct, frozen=True, kw_only=True):
-    """One action at one time; ``number`` is the step of the script that it belongs to."""
+    """One action at one time; ``number`` is the index of its step in the fault script."""
 
     at_seconds: float
     number: int
@@ -26,16 +26,16 @@
 
 
 def timeline(faults: Sequence[ScriptedFault]) -> list[TimedAction]:
-    """Expand a fault script into single actions in the order of their times.
+    """Expand a fault script into single actions, sorted by time.
 
-    A fault with ``for_seconds`` gives two actions: its begin and its end.
+    A fault with ``for_seconds`` becomes two actions: its start and its end.
     """
     actions: list[TimedAction] = []
     for number, fault in enumerate(faults):
         actions.append(
             TimedAction(at_seconds=fault.at_seconds, number=number, kind=fault.kind, fault=fault)
         )
-        end = _ENDED_BY.get(fault.kind)
+        end = _ENDING_ACTION.get(fault.kind)
         if end is not None and fault.for_seconds > 0:
             end_seconds = fault.at_seconds + fault.for_seconds
             actions.append(
@@ -45,7 +45,7 @@
 
 
 class PartitionTable:
-    """The links that are cut now."""
+    """The links that are currently partitioned."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
@@ -54,16 +54,16 @@
     def cut(
         self, number: int, sources: Sequence[str], destinations: Sequence[str], *, one_way: bool
     ) -> None:
-        """Cut every link from the sources to the destinations; no destination means all.
+        """Cut every link from the sources to the destinations; no destinations means all nodes.
 
         Parameters
         ----------
         number
-            Step of the script; :meth:`heal` takes the same one.
+            Step of the script; pass the same number to :meth:`heal`.
         sources, destinations
             Names of processes.
         one_way
-            Whether messages in the other direction still pass.
+            Whether messages in the other direction are still delivered.
         """
         self._partitions[number] = [
             LinkFault(
--- a/src/orchidpath/fleet/file.py
+++ b/src/orchidpath/fleet/file.py
@@ -1,4 +1,4 @@
-"""The fleet file: which processes the local fleet runs, with which traffic and faults."""
+"""The fleet file: the processes, traffic and fault script of a local fleet."""
 
 from collections.abc import Iterator
 from enum import StrEnum
@@ -17,13 +17,13 @@
 from orchidpath.wire.records import Stage
 
 LEADER_TARGET = "leader"
-"""Target of a fault: the process that leads the control tier at that moment."""
+"""Target of a fault: the control process that is the leader when the fault is injected."""
 
 
 class Machine(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """One router machine; with a disk it also runs a control process.
 
-    Its processes are called ``router-NAME`` and ``control-NAME``.
+    Its processes are named ``router-NAME`` and ``control-NAME``.
     """
 
     name: str
@@ -32,7 +32,10 @@
 
 
 class FleetWorker(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One emulated back end; ``options`` go to its ``orchidpath emulator`` command as they are."""
+    """One emulated back end.
+
+    ``options`` are appended unchanged to its ``orchidpath emulator`` command.
+    """
 
     name: str
     service: str
@@ -44,31 +47,33 @@
 
 
 class ScriptedFaultKind(StrEnum):
-    """What the fault script can do to a process."""
+    """Actions of the fault script."""
 
     KILL = "kill"
-    """SIGKILL; started again after ``for_seconds``, or by a later ``start``."""
+    """Send SIGKILL; the process starts again after ``for_seconds`` or by a later ``start``."""
     FREEZE = "freeze"
-    """SIGSTOP; woken after ``for_seconds``, or by a later ``wake``."""
+    """Send SIGSTOP; the process gets SIGCONT after ``for_seconds`` or by a later ``wake``."""
     WAKE = "wake"
     STOP = "stop"
-    """SIGTERM; started again after ``for_seconds``, or by a later ``start``."""
+    """Send SIGTERM; the process starts again after ``for_seconds`` or by a later ``start``."""
     START = "start"
     REPLACE_DISK = "replace_disk"
-    """SIGKILL, the data folder is deleted, and the process is started again."""
+    """Send SIGKILL to a control process, delete its data folder, and start it again."""
     PARTITION = "cut"
-    """The links between ``target`` and ``other`` (all when empty) lose everything, for
-    ``for_seconds`` or until ``heal``."""
+    """Drop every message between ``target`` and ``other`` for ``for_seconds`` or until ``heal``.
+
+    An empty ``other`` means all processes.
+    """
     HEAL = "heal"
     WORKER = "worker"
-    """``worker_fault`` is posted to the worker."""
+    """Post ``worker_fault`` to the emulated worker."""
 
 
 class ScriptedFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """One step of the fault script.
 
-    ``target`` is the name of a machine (all its processes), of a process, of a worker, or
-    ``leader``. Times count from the start of the traffic.
+    ``target`` is the name of a machine (meaning all its processes), the name of a process, the
+    name of a worker, or ``leader``. Times are measured from the start of the traffic.
     """
 
     at_seconds: float
@@ -81,7 +86,7 @@
 
 
 class FleetFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A whole fleet file."""
+    """Content of a fleet file."""
 
     fleet: str
     machines: list[Machine]
@@ -100,7 +105,7 @@
     Raises
     ------
     SettingsError
-        Holds every problem.
+        The file has problems; the error lists all of them.
     """
     return convert_fleet(read_table(path), str(path))
 
@@ -111,7 +116,7 @@
 
 
 def check_fleet(fleet: FleetFile) -> list[Problem]:
-    """Return every problem of a fleet file whose types are right."""
+    """Return every problem of a fleet file whose values have the right types."""
     return [
         *check_name("fleet", fleet.fleet),
         *_check_machines(fleet),
@@ -122,7 +127,7 @@
     ]
 
 
-def targets_of(fleet: FleetFile) -> frozenset[str]:
+def fault_targets(fleet: FleetFile) -> frozenset[str]:
     """Return every name that a fault may have as its target."""
     names = {LEADER_TARGET}
     for machine in fleet.machines:
@@ -137,11 +142,11 @@
     for index, machine in enumerate(fleet.machines):
         yield from check_name(f"machines[{index}].name", machine.name)
         if machine.name in names[:index]:
-            yield Problem(path=f"machines[{index}].name", message=f"{machine.name!r} stands twice")
+            yield Problem(path=f"machines[{index}].name", message=f"{machine.name!r} is used twice")
     if not any(machine.disk for machine in fleet.machines):
         yield Problem(path="machines", message="expected at least one machine with disk = true")
     if len(fleet.machines) < 3:
-        yield Problem(path="machines", message="expected at least three, for three seeds")
+        yield Problem(path="machines", message="expected at least three machines, for three seeds")
 
 
 def _check_workers(fleet: FleetFile) -> Iterator[Problem]:
@@ -151,7 +156,7 @@
         path = f"workers[{index}]"
         yield from check_name(f"{path}.name", worker.name)
         if worker.name in names[:index]:
-            yield Problem(path=f"{path}.name", message=f"{worker.name!r} stands twice")
+            yield Problem(path=f"{path}.name", message=f"{worker.name!r} is used twice")
         kind = kinds.get(worker.service)
         if kind is None:
             message = f"the configuration has no service {worker.service!r}"
@@ -178,19 +183,22 @@
 
 
 def _check_faults(fleet: FleetFile) -> Iterator[Problem]:
-    targets = targets_of(fleet)
+    targets = fault_targets(fleet)
     workers = {worker.name for worker in fleet.workers}
     for index, fault in enumerate(fleet.faults):
         path = f"faults[{index}]"
         if not fault.at_seconds >= 0 or not fault.for_seconds >= 0:
             yield Problem(path=path, message="expected times of zero or more seconds")
         if fault.target not in targets:
-            message = f"nothing is called {fault.target!r}"
+            message = f"no machine, process or worker is named {fault.target!r}"
             yield Problem(path=f"{path}.target", message=message)
         if fault.other and fault.other not in targets:
-            yield Problem(path=f"{path}.other", message=f"nothing is called {fault.other!r}")
+            yield Problem(
+                path=f"{path}.other",
+                message=f"no machine, process or worker is named {fault.other!r}",
+            )
         if (fault.kind is ScriptedFaultKind.WORKER) != (fault.worker_fault is not None):
-            message = "expected with kind = 'worker' and only there"
+            message = "expected if, and only if, kind = 'worker'"
             yield Problem(path=f"{path}.worker_fault", message=message)
         if fault.kind is ScriptedFaultKind.WORKER and fault.target not in workers:
             yield Problem(path=f"{path}.target", message="expected the name of a worker")
--- a/src/orchidpath/fleet/layout.py
+++ b/src/orchidpath/fleet/layout.py
@@ -1,4 +1,4 @@
-"""Turns a fleet file into the processes to start: names, addresses, settings, commands."""
+"""Plans the processes of a fleet file: their names, addresses, settings and command lines."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -10,15 +10,15 @@
 from orchidpath.fleet.ports import LOOPBACK_HOST
 from orchidpath.wire.records import Stage
 
-PORTS_BY_MACHINE = 2
-"""A router or control process has a wire and an HTTP port."""
+PORTS_PER_PROCESS = 2
+"""Ports of a router or control process: one for the wire protocol and one for HTTP."""
 
 ANNOUNCE_ADDRESSES = 3
-"""How many routers a worker is told of; it learns of the others."""
+"""Number of routers passed to a worker; it discovers the others at run time."""
 
 
 class ProcessKind(StrEnum):
-    """Kinds of processes in the order in which they are started."""
+    """Kinds of processes, in the order in which they are started."""
 
     CONTROL = "control"
     ROUTER = "router"
@@ -26,7 +26,7 @@
 
 
 class ProcessPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """One process: ``arguments`` follow ``orchidpath`` on its command line."""
+    """Plan of one process; ``arguments`` follow ``orchidpath`` on its command line."""
 
     name: str
     machine: str
@@ -44,7 +44,7 @@
 
 
 class FleetLayout(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that is started, and what must be written before."""
+    """Processes of a fleet, and the files and folders that they use."""
 
     folder: Path
     processes: tuple[ProcessPlan, ...]
@@ -60,35 +60,35 @@
         return tuple(process for process in self.processes if process.kind is kind)
 
     def process_names(self, target: str) -> tuple[str, ...]:
-        """Return the processes that a name means: a machine's all, or the one of that name."""
+        """Return all processes of the machine ``target``, or the one process of that name."""
         return tuple(
             process.name for process in self.processes if target in (process.machine, process.name)
         )
 
 
 def ports_needed(fleet: FleetFile) -> int:
-    """Return how many ports a fleet needs."""
+    """Return the number of ports that a fleet needs."""
     disks = sum(machine.disk for machine in fleet.machines)
-    return PORTS_BY_MACHINE * (len(fleet.machines) + disks) + len(fleet.workers)
+    return PORTS_PER_PROCESS * (len(fleet.machines) + disks) + len(fleet.workers)
 
 
 def make_layout(fleet: FleetFile, folder: Path, ports: list[int]) -> FleetLayout:
-    """Lay out a fleet.
+    """Return the layout of a fleet.
 
     Parameters
     ----------
     fleet
         A checked fleet file.
     folder
-        Everything of this run lives here.
+        All files of the run are written here.
     ports
-        As many as :func:`ports_needed` says.
+        Free ports; as many as :func:`ports_needed` returns.
     """
     return _LayoutMaker(fleet, folder, ports).make()
 
 
 class _LayoutMaker:
-    """Hands out the ports in order and makes the plans."""
+    """Assigns the ports in order and creates the process plans."""
 
     def __init__(self, fleet: FleetFile, folder: Path, ports: list[int]) -> None:
         self._fleet = fleet
--- a/src/orchidpath/fleet/ports.py
+++ b/src/orchidpath/fleet/ports.py
@@ -1,4 +1,4 @@
-"""Free loopback ports for processes that must keep theirs across a restart."""
+"""Chooses free loopback ports for processes that must keep their ports across a restart."""
 
 import socket
 from collections.abc import Callable
@@ -8,21 +8,21 @@
 from orchidpath.common.errors import OrchidpathError
 
 LOOPBACK_HOST = "127.0.0.1"
-"""The local fleet listens here only."""
+"""The only address on which the local fleet listens."""
 
 LOWEST_PORT = 10_000
-"""Ports below are left to well-known services."""
+"""Lower ports are left to well-known services."""
 
 _EPHEMERAL_RANGE_FILE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 _DEFAULT_FIRST_EPHEMERAL_PORT = 32_768
 
 
 class NoFreePortsError(OrchidpathError):
-    """The machine has not enough free ports."""
+    """The machine does not have enough free ports."""
 
 
 def first_ephemeral_port() -> int:
-    """Return the first port that the system gives to outgoing connections."""
+    """Return the first port of the range that the system assigns to outgoing connections."""
     try:
         return int(_EPHEMERAL_RANGE_FILE.read_text().split()[0])
     except (OSError, ValueError, IndexError):
@@ -30,7 +30,7 @@
 
 
 def is_free(port: int) -> bool:
-    """Tell whether a loopback port can be bound now."""
+    """Return whether a loopback port can be bound now."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -47,26 +47,26 @@
     end: int | None = None,
     probe: Callable[[int], bool] = is_free,
 ) -> list[int]:
-    """Choose ports that no outgoing connection will take.
+    """Return free ports below the ephemeral range.
 
-    A port that the system chose by itself would be of the ephemeral range, where an outgoing
-    connection could take it while its process is stopped.
+    A port chosen by the system would be in the ephemeral range, where an outgoing connection could
+    take it while its process is stopped.
 
     Parameters
     ----------
     count
-        How many ports.
+        Number of ports.
     random
-        Chooses where to begin, so that two fleets on one machine rarely meet.
+        Chooses the first port to try, so that two fleets on one machine rarely collide.
     end
-        First port not to be used; by default the first ephemeral one.
+        End of the range (exclusive); by default the first ephemeral port.
     probe
-        Tells whether a port is free.
+        Returns whether a port is free.
 
     Raises
     ------
     NoFreePortsError
-        There are not as many free ports.
+        There are fewer than ``count`` free ports.
     """
     end = end or first_ephemeral_port()
     if end <= LOWEST_PORT:
--- a/src/orchidpath/fleet/processes.py
+++ b/src/orchidpath/fleet/processes.py
@@ -1,4 +1,7 @@
-"""Child processes of the local fleet: started, signalled and ended by their own id only."""
+"""Child processes of the local fleet.
+
+A process is signalled only by its own process id, so that no other process can be hit.
+"""
 
 import asyncio
 import os
@@ -11,31 +14,31 @@
 from orchidpath.common.errors import OrchidpathError
 
 KILL_WAIT_SECONDS = 5.0
-"""Bound on the end of a process after SIGKILL."""
+"""Longest wait for the exit of a process after SIGKILL."""
 
 STREAM_LIMIT_BYTES = 16 * 1024 * 1024
 """Longest line that a child may write to its piped standard output."""
 
 
 class ChildProcess:
-    """One child process, which may be started and ended many times.
+    """One child process, which can be started and stopped any number of times.
 
     Parameters
     ----------
     name
         Name of the process in the fleet.
     arguments
-        What follows ``orchidpath`` on the command line.
+        Command-line arguments after ``orchidpath``.
     log_path
-        Takes everything that the child writes; it is appended to.
+        File to which the output of the child is appended.
     pipe_output
-        Whether standard output goes to :meth:`read_line` instead.
+        Whether standard output is read with :meth:`read_line` instead of going to the log.
 
     Attributes
     ----------
     source_folder
-        Folder that holds the package to run, from the next start on; None for the one that this
-        process runs. With it, processes of two versions form one fleet.
+        Folder with the package that the child runs from its next start; None for the package of
+        this process. It allows a fleet with processes of two versions.
     """
 
     def __init__(
@@ -47,36 +50,36 @@
         self._log_path = log_path
         self._pipe_output = pipe_output
         self._process: asyncio.subprocess.Process | None = None
-        self._end_expected = False
+        self._exit_expected = False
 
     @property
     def is_running(self) -> bool:
-        """Whether the process was started and has not ended; a frozen one is running."""
+        """Whether the process was started and has not exited; true while it is frozen."""
         return self._process is not None and self._process.returncode is None
 
     @property
-    def ended_by_itself(self) -> bool:
-        """Whether the process ended although nothing here ended it."""
-        return self._process is not None and not self.is_running and not self._end_expected
+    def exited_unexpectedly(self) -> bool:
+        """Whether the process exited without :meth:`stop`, :meth:`kill` or :meth:`expect_exit`."""
+        return self._process is not None and not self.is_running and not self._exit_expected
 
     @property
     def exit_code(self) -> int | None:
-        """Exit code of the newest start; negative for a signal, None while it is running."""
+        """Exit code of the last start; negative for a signal, None while the process runs."""
         return None if self._process is None else self._process.returncode
 
-    def expect_end(self) -> None:
-        """Take the end of the process, by whatever cause, as wanted."""
-        self._end_expected = True
+    def expect_exit(self) -> None:
+        """Treat the next exit of the process as expected, whatever its cause."""
+        self._exit_expected = True
 
     async def start(self) -> None:
         """Start the process unless it is running.
 
-        The child gets a session of its own, so that Ctrl-C reaches the fleet's runner alone and
-        the runner ends everything in order.
+        The child gets its own session, so that Ctrl-C reaches only the fleet's runner, which stops
+        the processes in order.
         """
         if self.is_running:
             return
-        self._end_expected = False
+        self._exit_expected = False
         with open(self._log_path, "ab") as log:  # noqa: ASYNC230 - a local file, opened once
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -102,18 +105,18 @@
         if self._process is None or not self.is_running:
             return
         if number in (signal.SIGTERM, signal.SIGKILL):
-            self._end_expected = True
+            self._exit_expected = True
         with suppress(ProcessLookupError):
             self._process.send_signal(number)
 
     async def read_line(self) -> bytes:
-        """Return the next line of the piped standard output; empty at its end."""
+        """Return the next line of the piped standard output, or empty bytes at its end."""
         if self._process is None or self._process.stdout is None:
             return b""
         return await self._process.stdout.readline()
 
     async def wait(self, timeout_seconds: float) -> bool:
-        """Wait for the end of the process; returns whether it has ended."""
+        """Wait for the exit of the process and return whether it has exited."""
         if self._process is None:
             return True
         with suppress(TimeoutError):
@@ -122,24 +125,32 @@
         return not self.is_running
 
     async def kill(self) -> None:
-        """End the process at once and wait for its end."""
+        """Send SIGKILL and wait for the exit of the process.
+
+        Raises
+        ------
+        ChildNotExitedError
+            The process still exists after :data:`KILL_WAIT_SECONDS`.
+        """
         self.signal(signal.SIGKILL)
         if not await self.wait(KILL_WAIT_SECONDS):
-            raise ChildNotEndedError(f"{self.name} did not end after SIGKILL")
+            raise ChildNotExitedError(
+                f"{self.name} did not exit within {KILL_WAIT_SECONDS:.0f} s after SIGKILL"
+            )
 
     async def stop(self, timeout_seconds: float) -> None:
-        """End the process politely, and hard when that takes too long."""
-        # A frozen process can't act on SIGTERM until it is woken.
+        """Send SIGTERM, and SIGKILL if the process has not exited after the timeout."""
+        # A process that is frozen by SIGSTOP handles SIGTERM only after SIGCONT.
         self.signal(signal.SIGTERM)
         self.signal(signal.SIGCONT)
         if not await self.wait(timeout_seconds):
             await self.kill()
 
 
-class ChildNotEndedError(OrchidpathError):
-    """A child process is still there after SIGKILL."""
+class ChildNotExitedError(OrchidpathError):
+    """A child process did not exit after SIGKILL."""
 
 
 async def stop_all(children: Iterable[ChildProcess], timeout_seconds: float) -> None:
-    """Stop processes side by side; see :meth:`ChildProcess.stop`."""
+    """Stop processes concurrently; see :meth:`ChildProcess.stop`."""
     await asyncio.gather(*(child.stop(timeout_seconds) for child in children))
--- a/src/orchidpath/fleet/runner.py
+++ b/src/orchidpath/fleet/runner.py
@@ -1,4 +1,8 @@
-"""Runs a whole fleet on loopback: start, traffic, faults, stop, verdict."""
+"""Runs a complete fleet on loopback.
+
+A run starts the processes, sends traffic, injects the scripted faults, stops the processes and
+summarises the result.
+"""
 
 import asyncio
 import signal
@@ -31,23 +35,26 @@
 from orchidpath.fleet.watch import ControlWatch
 
 UNBOUNDED_SECONDS = 10_000_000.0
-"""Time of the traffic when the run ends by Ctrl-C."""
+"""Duration of the traffic of a run that continues until Ctrl-C."""
 
 CALLER_DRAIN_SECONDS = 30.0
-"""Longest wait for outstanding requests at the end."""
+"""Longest time that the callers wait for outstanding requests at the end of the traffic."""
 
 STOP_SECONDS = 15.0
-"""Bound on the polite end of each process; more than any process's own drain time."""
+"""Time between SIGTERM and SIGKILL; longer than the drain time of any process."""
 
 CONTROL_READ_TIMEOUT_SECONDS = 5.0
-"""Bound on an answer while the fleet is brought into service."""
+"""Timeout of a request to a control process while the fleet is brought into service."""
 
 WATCH_READ_TIMEOUT_SECONDS = 0.5
-"""Bound on an answer while the fleet is watched: a frozen process must not hide a new leader."""
+"""Timeout of a status request during the run.
+
+It is short so that a frozen control process does not delay the detection of a new leader.
+"""
 
 
 class CallersFailedError(OrchidpathError):
-    """The callers ended without a summary."""
+    """The callers exited without a summary, or the run was stopped before any traffic."""
 
 
 class FleetRunner:
@@ -58,13 +65,13 @@
     fleet
         A checked fleet file.
     folder
-        Everything of this run is written here.
+        All files of this run are written here.
     for_seconds
-        Time of the traffic; None for until :meth:`stop`.
+        Duration of the traffic; None to continue until :meth:`stop` is called.
     report
-        Takes the lines that tell how the run goes.
+        Called with each line of progress output.
     random
-        Chooses the ports.
+        Source of randomness for the choice of ports.
     """
 
     def __init__(
@@ -89,20 +96,20 @@
         self._stop_requested = asyncio.Event()
 
     def stop(self) -> None:
-        """End the traffic and then the run; a second call does not wait for requests."""
+        """End the traffic and then the run; a second call drops outstanding requests."""
         if self._stop_requested.is_set():
             self._callers.signal(signal.SIGKILL)
         self._stop_requested.set()
 
     async def run(self) -> FleetSummary:
-        """Run the fleet to its end; whatever happens, every process is ended.
+        """Run the fleet to its end and return the summary; every process is stopped in any case.
 
         Raises
         ------
         FleetStartError
-            The fleet did not come into service, or one of its processes ended before.
+            The fleet did not come into service, or one of its processes exited before that.
         CallersFailedError
-            The callers ended without a summary.
+            The callers exited without a summary, or :meth:`stop` was called before any traffic.
         """
         _write_files(self._fleet, self._layout)
         addresses = [plan.http_address for plan in self._layout.of_kind(ProcessKind.CONTROL)]
@@ -118,22 +125,25 @@
     async def _run_with(self, client: OperatorClient, watch: ControlWatch) -> FleetSummary:
         for child in self._children.values():
             await child.start()
-        await self._until_stopped(bring_into_service(self._fleet, self._layout, client))
-        self._say_where()
-        helpers = [asyncio.create_task(watch.run()), asyncio.create_task(self._run_faults(watch))]
+        await self._start_unless_stopped(bring_into_service(self._fleet, self._layout, client))
+        self._report_addresses()
+        background_tasks = [
+            asyncio.create_task(watch.run()),
+            asyncio.create_task(self._run_faults(watch)),
+        ]
         try:
             callers = await self._run_callers(watch)
         finally:
-            await _cancel(helpers)
+            await _cancel(background_tasks)
         await watch.refresh()
-        unexpected = [child.name for child in self._children.values() if child.ended_by_itself]
+        unexpected = [child.name for child in self._children.values() if child.exited_unexpectedly]
         await self._stop_everything()
-        return self._judge(callers, watch, unexpected)
+        return self._summarise_run(callers, watch, unexpected)
 
-    async def _until_stopped(self, start: Coroutine[Any, Any, None]) -> None:
+    async def _start_unless_stopped(self, start: Coroutine[Any, Any, None]) -> None:
         starting = asyncio.create_task(start)
         stopped = asyncio.create_task(self._stop_requested.wait())
-        watching = asyncio.create_task(self._fail_when_one_ends())
+        watching = asyncio.create_task(self._fail_when_a_process_exits())
         waits: list[asyncio.Task[Any]] = [starting, stopped, watching]
         try:
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -142,11 +152,11 @@
         finally:
             await _cancel(waits)
 
-    async def _fail_when_one_ends(self) -> None:
+    async def _fail_when_a_process_exits(self) -> None:
         while True:
-            ended = [child.name for child in self._children.values() if child.ended_by_itself]
-            if ended:
-                raise FleetStartError(f"ended by itself while starting: {', '.join(ended)}")
+            exited = [child.name for child in self._children.values() if child.exited_unexpectedly]
+            if exited:
+                raise FleetStartError(f"exited while the fleet was starting: {', '.join(exited)}")
             await asyncio.sleep(POLL_SECONDS)
 
     async def _run_callers(self, watch: ControlWatch) -> CallerSummary:
@@ -159,10 +169,10 @@
                     await self._callers.wait(STOP_SECONDS)
                     return report
                 if report is not None:
-                    self._report(_live_line(report, watch))
+                    self._report(_progress_line(report, watch))
         finally:
             await _cancel([stopper])
-        raise CallersFailedError("the callers ended without a summary")
+        raise CallersFailedError("the callers exited without a summary")
 
     async def _stop_callers_on_request(self) -> None:
         await self._stop_requested.wait()
@@ -175,13 +185,14 @@
         await runner.run(timeline(self._fleet.faults), self._report)
 
     async def _stop_everything(self) -> None:
-        # Callers first, control last: each stops while those that it needs still answer.
+        # Callers stop first and control last, so that the processes on which a stopping process
+        # depends still answer while it drains.
         await self._callers.stop(STOP_SECONDS)
         for kind in (ProcessKind.ROUTER, ProcessKind.WORKER, ProcessKind.CONTROL):
             plans = self._layout.of_kind(kind)
             await stop_all([self._children[plan.name] for plan in plans], STOP_SECONDS)
 
-    def _judge(
+    def _summarise_run(
         self, callers: CallerSummary, watch: ControlWatch, unexpected: list[str]
     ) -> FleetSummary:
         records = _read_executions(self._layout)
@@ -202,10 +213,10 @@
         )
         return summarise(evidence)
 
-    def _say_where(self) -> None:
-        for kind, who in ((ProcessKind.ROUTER, "callers"), (ProcessKind.CONTROL, "operators")):
+    def _report_addresses(self) -> None:
+        for kind, users in ((ProcessKind.ROUTER, "callers"), (ProcessKind.CONTROL, "operators")):
             for plan in self._layout.of_kind(kind):
-                self._report(f"{who}: http://{plan.http_address} ({plan.name})")
+                self._report(f"{users}: http://{plan.http_address} ({plan.name})")
 
     def _log_path(self, name: str) -> Path:
         return self._layout.log_folder / f"{name}.log"
@@ -234,14 +245,14 @@
     return None
 
 
-def _live_line(progress: CallerProgress, watch: ControlWatch) -> str:
+def _progress_line(progress: CallerProgress, watch: ControlWatch) -> str:
     outcomes = progress.outcomes
-    bad = outcomes.refused + outcomes.broken + outcomes.timed_out + outcomes.unreachable
-    bad += outcomes.wrong_content + outcomes.incomplete_but_clean
+    errors = outcomes.refused + outcomes.broken + outcomes.timed_out + outcomes.unreachable
+    errors += outcomes.wrong_content + outcomes.incomplete_but_clean
     first_token = progress.first_token
     return (
         f"{progress.second:5d} s  {progress.due:4d} requests  {outcomes.answered:4d} answered  "
-        f"{bad:3d} errors  first token p50 {first_token.p50_seconds * 1000:.0f} ms "
+        f"{errors:3d} errors  first token p50 {first_token.p50_seconds * 1000:.0f} ms "
         f"p95 {first_token.p95_seconds * 1000:.0f} ms  leader {watch.leader_name or 'none'}  "
         f"configuration {watch.configuration_version}"
     )
--- a/src/orchidpath/fleet/startup.py
+++ b/src/orchidpath/fleet/startup.py
@@ -1,4 +1,8 @@
-"""Brings a started fleet into service: leader, initial configuration, ready routers, workers."""
+"""Brings a started fleet into service.
+
+The steps are: a leader is elected, the initial configuration is confirmed, every router is ready,
+and every worker is announced.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -16,21 +20,21 @@
 from orchidpath.fleet.layout import FleetLayout, ProcessKind
 
 STEP_TIMEOUT_SECONDS = 60.0
-"""Bound on each step of the start."""
+"""Timeout of each step of the start."""
 
 POLL_SECONDS = 0.2
-"""Time between two looks at anything that is awaited."""
+"""Time between two checks of a condition that is awaited."""
 
 PROBE_TIMEOUT_SECONDS = 1.0
 INITIAL_ORDER_ID = "fleet-initial-configuration"
 
 
 class FleetStartError(OrchidpathError):
-    """The fleet did not come into service in time."""
+    """The fleet did not come into service, because a step timed out or a process exited."""
 
 
 async def bring_into_service(fleet: FleetFile, layout: FleetLayout, client: OperatorClient) -> None:
-    """Wait for each step of the start in turn.
+    """Submit the initial configuration and wait until the fleet is in service.
 
     Raises
     ------
@@ -38,8 +42,8 @@
         A step took longer than :data:`STEP_TIMEOUT_SECONDS`.
     """
     routers = [plan.http_address for plan in layout.of_kind(ProcessKind.ROUTER)]
-    await _repeat("no leader", lambda: _has_leader(client))
-    await _repeat("configuration not confirmed", lambda: _configure(fleet, client))
+    await _repeat("no control leader", lambda: _has_leader(client))
+    await _repeat("initial configuration not confirmed", lambda: _configure(fleet, client))
     async with aiohttp.ClientSession() as session:
         await _repeat("not every router is ready", lambda: _all_ready(session, routers))
     await _repeat(
@@ -67,7 +71,8 @@
 
 
 async def _configure(fleet: FleetFile, client: OperatorClient) -> bool:
-    # A new fleet's newest version is 0, and the order id makes repetitions take effect once.
+    # The configuration of a new fleet has version 0. The order id makes the submission idempotent,
+    # so that repeated attempts take effect once.
     try:
         reply = await client.submit(INITIAL_ORDER_ID, 0, fleet.configuration)
     except (UpdateRejectedError, UpdateOutcomeUnknownError):
--- a/src/orchidpath/fleet/summary.py
+++ b/src/orchidpath/fleet/summary.py
@@ -1,4 +1,4 @@
-"""The verdict on one run of the local fleet."""
+"""Summarises one run of the local fleet and decides whether it succeeded."""
 
 from collections.abc import Sequence
 
@@ -10,13 +10,13 @@
 from orchidpath.wire.backend import ErrorCode, Ran
 
 MAX_EXAMPLES = 10
-"""Bound on the requests named for each kind of failure."""
+"""Maximum number of request ids listed for each kind of failure."""
 
-_CALLERS_FAULTS = (ErrorCode.BAD_REQUEST, ErrorCode.UNKNOWN_ROUTE)
+_CALLER_ERRORS = (ErrorCode.BAD_REQUEST, ErrorCode.UNKNOWN_ROUTE)
 
 
 class ErrorCount(msgspec.Struct, frozen=True, kw_only=True):
-    """How often an outcome came with a code and a word on whether the call ran."""
+    """Number of requests with the same outcome, error code and ``ran`` value."""
 
     outcome: Outcome
     code: str
@@ -25,7 +25,7 @@
 
 
 class FleetSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run of the local fleet showed; ``failures`` is empty when all went as expected."""
+    """Result of one run of the local fleet; ``failures`` is empty if the run succeeded."""
 
     fleet: str
     seconds: float
@@ -48,7 +48,7 @@
 
 
 class RunEvidence(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that the verdict is made of."""
+    """Observations of a run from which its summary is made."""
 
     fleet: str
     callers: CallerSummary
@@ -63,7 +63,7 @@
 
 
 def summarise(evidence: RunEvidence) -> FleetSummary:
-    """Return the summary of a run, with its verdict."""
+    """Return the summary of a run, including its failures."""
     callers = evidence.callers
     errors = tuple(
         ErrorCount(outcome=each.outcome, code=each.code, ran=each.ran, count=each.count)
@@ -98,18 +98,18 @@
         "streams broken": outcomes.broken,
         "requests timed out": outcomes.timed_out,
         "requests reached no router": outcomes.unreachable,
-        "answers with wrong content": outcomes.wrong_content,
-        "answers incomplete but clean": outcomes.incomplete_but_clean,
-        "requests not sent, the callers were too slow": evidence.callers.not_sent,
+        "responses with wrong content": outcomes.wrong_content,
+        "incomplete responses without an error": outcomes.incomplete_but_clean,
+        "requests not sent because the callers were too slow": evidence.callers.not_sent,
     }
     failures = [f"{count} {what}" for what, count in counted.items() if count]
     failures += _named("executions repeated", [key.request_id for key in evidence.repeated])
-    failures += _named("requests ran after a promise of not run", evidence.refused_but_ran)
-    dishonest = [
+    failures += _named("requests executed although reported as not run", evidence.refused_but_ran)
+    violations = [
         result.request_id for result in evidence.results if not _honoured_guarantee(result)
     ]
-    failures += _named("refusals without ran=no and Retry-After", dishonest)
-    failures += [f"process ended by itself: {name}" for name in evidence.unexpected_exits]
+    failures += _named("refusals without ran=no and Retry-After", violations)
+    failures += [f"process exited unexpectedly: {name}" for name in evidence.unexpected_exits]
     if evidence.callers.due == 0:
         failures.append("no request was due")
     return failures
@@ -122,13 +122,13 @@
 
 
 def _honoured_guarantee(result: RequestResult) -> bool:
-    """Tell whether a refusal said honestly that the call did not run and when to come back.
+    """Return whether a refusal guarantees that the call did not run and says when to retry.
 
-    The local fleet's callers send only valid requests, so a refusal of the request itself counts
-    as a broken guarantee as well.
+    The callers of the local fleet send only valid requests, so a refusal that blames the request
+    violates the guarantee as well. Every other outcome returns True.
     """
     if result.outcome is not Outcome.REFUSED:
         return True
-    if result.code in _CALLERS_FAULTS:
+    if result.code in _CALLER_ERRORS:
         return False
     return result.ran == Ran.NO and (result.retry_after_seconds or 0.0) > 0.0
--- a/src/orchidpath/fleet/watch.py
+++ b/src/orchidpath/fleet/watch.py
@@ -1,4 +1,4 @@
-"""Watches the control tier of a running fleet: who leads, and which version is the newest."""
+"""Monitors the control tier of a running fleet: its leader and newest configuration version."""
 
 import asyncio
 
@@ -7,11 +7,11 @@
 from orchidpath.control.api.operator_client import OperatorClient
 
 WATCH_PERIOD_SECONDS = 0.5
-"""Time between two looks."""
+"""Time between two status requests."""
 
 
 class ControlWatch:
-    """Newest known state of the control tier.
+    """Last observed state of the control tier.
 
     Parameters
     ----------
@@ -25,21 +25,21 @@
         self.configuration_version = 0
 
     async def run(self) -> None:
-        """Look each :data:`WATCH_PERIOD_SECONDS` until cancelled."""
+        """Refresh every :data:`WATCH_PERIOD_SECONDS` until cancelled."""
         while True:
             await self.refresh()
             await asyncio.sleep(WATCH_PERIOD_SECONDS)
 
     async def refresh(self) -> None:
-        """Look once."""
+        """Query the status of every control process once."""
         statuses = await self._client.statuses()
-        self.take([status for status in statuses.values() if status is not None])
+        self.update([status for status in statuses.values() if status is not None])
 
-    def take(self, statuses: list[StatusBody]) -> None:
-        """Take what the control processes say; of two leaders the one of the higher term leads."""
+    def update(self, statuses: list[StatusBody]) -> None:
+        """Update the state from statuses; of two leaders the one with the higher term counts."""
         leaders = [status for status in statuses if status.role is Role.LEADER]
         leader = max(leaders, key=lambda status: status.term, default=None)
-        # A replica is called "name.identity".
+        # The node id of a replica is "name.identity".
         self.leader_name = leader.node_id.rpartition(".")[0] if leader is not None else ""
         for status in statuses:
             version = max(self.configuration_version, status.configuration_version)
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -74,7 +74,7 @@
 
 
 class RecordingChild(ChildProcess):
-    """Fake process that records the actions on it."""
+    """Fake process that records the actions applied to it."""
 
     def __init__(self, name: str) -> None:
         super().__init__(name, (), Path())
@@ -139,8 +139,10 @@
         child.signal(signal.SIGSTOP)
         await child.stop(BOUND_SECONDS)
         assert not child.is_running
-        assert child.exit_code == 0, "it was woken and ended politely"
-        assert not child.ended_by_itself
+        assert child.exit_code == 0, (
+            "SIGCONT follows SIGTERM, so the frozen process shuts down gracefully"
+        )
+        assert not child.exited_unexpectedly
         await child.start()
         assert child.is_running
     finally:
@@ -152,5 +154,5 @@
     child = ChildProcess("broken", ("no-such-command",), tmp_path / "log")
     await child.start()
     assert await child.wait(BOUND_SECONDS)
-    assert child.ended_by_itself
+    assert child.exited_unexpectedly
     assert "no-such-command" in (tmp_path / "log").read_text()
--- a/tests/fleet/test_fleet_summary.py
+++ b/tests/fleet/test_fleet_summary.py
@@ -193,9 +193,9 @@
     watch = ControlWatch(OperatorClient([]))
     old = StatusBody(node_id="control-a.1", role=Role.LEADER, term=3, configuration_version=4)
     new = StatusBody(node_id="control-b.2", role=Role.LEADER, term=4, configuration_version=6)
-    watch.take([old, new])
+    watch.update([old, new])
     assert watch.leader_name == "control-b"
-    watch.take([old])
+    watch.update([old])
     assert watch.configuration_version == 6
-    watch.take([])
+    watch.update([])
     assert watch.leader_name == ""
