--- a/bench/consensus_replay.py
+++ b/bench/consensus_replay.py
@@ -1,6 +1,6 @@
-"""Measure how fast a replica's log is read back, and how many synced appends a disk takes.
+"""Measures the replay rate of a replica's log and the rate of synced appends of a disk.
 
-Prints one JSON object. The figures hold for the disk under ``--folder`` only.
+Prints one JSON object. The figures are valid only for the disk that holds ``--folder``.
 """
 
 import json
@@ -23,7 +23,7 @@
 
 
 def measure_replay(folder: str, entry_count: int, payload: bytes) -> dict[str, float]:
-    """Write a log, read it back, and return the rates."""
+    """Write a log, read it back, and return its size, the replay time and both rates."""
     storage = FileLogStorage(folder, RealFiles())
     storage.load()
     started = time.perf_counter()
@@ -49,7 +49,7 @@
 
 
 def measure_synced_appends(folder: str, seconds: float, payload: bytes) -> dict[str, float]:
-    """Append single entries, each synced, and return rate and delays."""
+    """Append single entries, each one synced to disk, and return their rate and latencies."""
     storage = FileLogStorage(folder, RealFiles())
     storage.load()
     delays: list[float] = []
@@ -69,10 +69,10 @@
 
 
 @click.command()
-@click.option("--folder", default=None, help="Parent of the scratch folder; decides the disk.")
+@click.option("--folder", default=None, help="Parent of the scratch folder; selects the disk.")
 @click.option("--entries", default=50_000, help="Entries in the log that is read back.")
 @click.option("--payload-bytes", default=200, help="Payload of each entry.")
-@click.option("--seconds", default=3.0, help="How long to append with syncs.")
+@click.option("--seconds", default=3.0, help="Duration of the synced appends.")
 def main(folder: str | None, entries: int, payload_bytes: int, seconds: float) -> None:
     """Run both measurements in a scratch folder."""
     payload = bytes(payload_bytes)
--- a/bench/control_cluster.py
+++ b/bench/control_cluster.py
@@ -1,4 +1,4 @@
-"""Real control processes with synthetic routers in front of them, shared by the measurements."""
+"""Cluster of real control processes for the measurements that use synthetic routers."""
 
 import asyncio
 import signal
@@ -34,11 +34,11 @@
 
 
 class MeasuredProcess(ChildProcess):
-    """A child process whose id is known."""
+    """A child process that exposes its process id."""
 
     @property
     def process_id(self) -> int:
-        """Id of the running process."""
+        """Process id of the last start."""
         assert self._process is not None, "not started"
         return self._process.pid
 
@@ -57,9 +57,9 @@
     Parameters
     ----------
     folder
-        Settings, data and logs go here.
+        Folder for settings, data and logs.
     count
-        Control processes; those beyond three are standbys.
+        Number of control processes; those beyond three are standbys.
     """
 
     def __init__(self, folder: Path, count: int) -> None:
@@ -67,7 +67,7 @@
         addresses = [f"{LOOPBACK_HOST}:{port}" for port in ports]
         self.seeds = addresses[:count]
         self._version = 0
-        self._order = 0
+        self._order_number = 0
         self.nodes = [
             self._make_node(folder, number, addresses[number], addresses[count + number])
             for number in range(count)
@@ -78,7 +78,7 @@
 
     @property
     def version(self) -> int:
-        """The newest accepted configuration version."""
+        """Version of the last accepted configuration."""
         return self._version
 
     async def start(self) -> None:
@@ -87,14 +87,14 @@
             await node.process.start()
         async with asyncio.timeout(START_TIMEOUT_SECONDS):
             await self.wait_for_voters(min(TARGET_VOTERS, len(self.nodes)))
-            await self.change()
+            await self.submit_change()
 
     async def stop(self) -> None:
-        """End every process."""
+        """Stop every process."""
         await stop_all([node.process for node in self.nodes], STOP_TIMEOUT_SECONDS)
 
     async def leader(self) -> ControlNode:
-        """Return the leader, once a process reports that it leads."""
+        """Wait until a process reports that it is the leader, and return it."""
         async with asyncio.timeout(START_TIMEOUT_SECONDS):
             while True:
                 for node, status in (await self.statuses()).items():
@@ -103,7 +103,7 @@
                 await asyncio.sleep(POLL_SECONDS)
 
     async def statuses(self) -> dict[int, StatusBody | None]:
-        """Return each process's own status by its number."""
+        """Return the status of each process by its number; None if the process did not answer."""
         found = await self.client.statuses()
         return dict(enumerate(found.values()))
 
@@ -115,20 +115,20 @@
             await asyncio.sleep(POLL_SECONDS)
         raise TimeoutError(f"{count} voters after {START_TIMEOUT_SECONDS:.0f} s")
 
-    async def change(self, client: OperatorClient | None = None) -> SubmitReplyBody:
-        """Submit a changed configuration until it is confirmed.
+    async def submit_change(self, client: OperatorClient | None = None) -> SubmitReplyBody:
+        """Submit a changed configuration, with retries until it is confirmed.
 
         Parameters
         ----------
         client
-            Reaches the processes to ask; all of them by default.
+            Client of the processes that are contacted; by default of all processes.
         """
-        self._order += 1
+        self._order_number += 1
         base_version = self._version
         while True:
             try:
                 reply = await (client or self.client).submit(
-                    f"order-{self._order}", base_version, configuration(self._order)
+                    f"order-{self._order_number}", base_version, configuration(self._order_number)
                 )
             except (UpdateRejectedError, UpdateOutcomeUnknownError):
                 await asyncio.sleep(0.01)
@@ -166,7 +166,11 @@
 
 
 def configuration(number: int) -> Configuration:
-    """Return a valid configuration that differs for each number: 5 models, 40 plain routes."""
+    """Return a valid configuration with 5 models and 40 plain routes.
+
+    The deadline of the first route depends on ``number``, so that configurations with consecutive
+    numbers differ.
+    """
     models = [MODEL, *(f"model-{index}" for index in range(4))]
     services = [Service(name=SERVICE, kind=ServiceKind.MODEL, models=models)]
     services.append(Service(name="stock", kind=ServiceKind.PLAIN))
@@ -180,7 +184,7 @@
 
 
 def end_on_sigterm() -> None:
-    """Let SIGTERM end this process as Ctrl-C does, so that its children are stopped too."""
+    """Handle SIGTERM like Ctrl-C, so that the child processes are stopped too."""
 
     def end(_number: int, _frame: FrameType | None) -> None:
         # A second signal must not interrupt the shutdown of the children.
@@ -193,7 +197,7 @@
 
 @asynccontextmanager
 async def running_cluster(count: int) -> AsyncIterator[ControlCluster]:
-    """Run control processes, and stop them in every case."""
+    """Run a cluster of control processes and stop it on exit, also after an error."""
     with tempfile.TemporaryDirectory(prefix="orchidpath-bench-") as folder:
         cluster = ControlCluster(Path(folder), count)
         try:
--- a/bench/control_load.py
+++ b/bench/control_load.py
@@ -1,8 +1,8 @@
-"""Measures the cost of the control tier by routers, workers, decisions and changes.
+"""Measures how the cost of the control tier grows with routers, workers, decisions and changes.
 
-Starts real control processes (three voters and a standby) and a synthetic fleet in this process,
-and prints one JSON line for each size that was measured, then the slopes. The figures are those of
-docs/CAPACITY.md.
+Starts real control processes (three voters and a standby) and a synthetic fleet in this process.
+Prints one JSON line for each measured size, then the slopes. docs/CAPACITY.md reports these
+figures.
 """
 
 import argparse
@@ -34,7 +34,7 @@
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
-    """One size of fleet, its load per second, and the duration of the measurement."""
+    """Parameters of one run: the size of the fleet, its load, and the measured time."""
 
     sweep: str
     routers: int
@@ -52,7 +52,11 @@
 
 
 class RunResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of one run; times in seconds."""
+    """Figures of one run; times are in seconds.
+
+    ``bytes_*`` and ``messages_*`` are per router and second; the other counts are totals. Fields
+    that begin with ``hollow_`` are figures of the process that runs the synthetic fleet.
+    """
 
     run: Run
     join_seconds: float
@@ -86,7 +90,7 @@
 
 
 class Slope(msgspec.Struct, frozen=True, kw_only=True):
-    """A figure's slope over one sweep."""
+    """Linear fit of one figure over one sweep."""
 
     sweep: str
     figure: str
@@ -94,7 +98,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One confirmed change and its times."""
+    """One confirmed configuration change and its times."""
 
     version: int
     submitted_at: float
@@ -102,7 +106,7 @@
 
 
 class Readings(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that is read at the start and at the end of the measured time."""
+    """Counters that are read at the start and at the end of the measured time."""
 
     control: list[ProcessUsage]
     own: ProcessUsage
@@ -110,7 +114,7 @@
 
 
 def growing(routers: int, seconds: float) -> list[Run]:
-    """Return the runs of one growing fleet: more routers, more workers, then more work."""
+    """Return the runs of one growing fleet: more routers, more workers, then more load."""
     runs = [
         Run(sweep="routers", routers=count, workers=60, seconds=seconds)
         for count in (routers // 6, routers // 2, routers)
@@ -129,14 +133,14 @@
 
 
 def today(seconds: float) -> list[Run]:
-    """Return the run of a fleet of today's size."""
+    """Return the run of a fleet with the present size: 10 routers and 9 workers."""
     return [
         Run(sweep="today", routers=10, workers=9, changes_per_second=2.0, seconds=2 * seconds),
     ]
 
 
 def at_once(seconds: float) -> list[list[Run]]:
-    """Return runs in each of which the whole fleet starts together."""
+    """Return runs in which all routers and workers start at the same time."""
     sizes = ((45, 90), (90, 180), (180, 360), (360, 710))
     return [
         [Run(sweep="at-once", routers=routers, workers=workers, seconds=seconds)]
@@ -145,7 +149,7 @@
 
 
 async def measure(runs: Sequence[Run], results: list[RunResult], *, at_once: bool = False) -> None:
-    """Measure a fleet that grows from run to run, and append what was measured."""
+    """Measure a fleet that grows from run to run, and append each result to ``results``."""
     routers = max(run.routers for run in runs)
     workers = max(run.workers for run in runs)
     size = SyntheticSize(routers=routers, workers=workers, at_once=at_once)
@@ -157,13 +161,13 @@
         with count_traffic() as traffic:
             try:
                 for run in runs:
-                    results.append(await _measure_one(run, cluster, fleet, traffic, memory_before))
+                    results.append(await _measure_run(run, cluster, fleet, traffic, memory_before))
                     _print(results[-1])
             finally:
                 await fleet.stop()
 
 
-async def _measure_one(
+async def _measure_run(
     run: Run,
     cluster: ControlCluster,
     fleet: SyntheticFleet,
@@ -180,11 +184,13 @@
     first = _read(cluster, traffic)
     changes = await _make_changes(run, cluster)
     last = _read(cluster, traffic)
-    stayed = terms_before == await _term(cluster)
+    leader_stayed = terms_before == await _term(cluster)
     if changes:
         await fleet.wait_until_adopted(changes[-1].version, ADOPT_TIMEOUT_SECONDS)
     grown = last.own.resident_bytes - memory_before
-    return await _result(run, cluster, fleet, changes, first, last, join_seconds, grown, stayed)
+    return await _result(
+        run, cluster, fleet, changes, first, last, join_seconds, grown, leader_stayed
+    )
 
 
 async def _term(cluster: ControlCluster) -> int:
@@ -199,7 +205,7 @@
     while run.changes_per_second and due < end:
         await asyncio.sleep(max(0.0, due - loop.time()))
         submitted_at = loop.time()
-        reply = await cluster.change()
+        reply = await cluster.submit_change()
         changes.append(Change(reply.version, submitted_at, loop.time()))
         due = max(due + 1.0 / run.changes_per_second, loop.time())
     await asyncio.sleep(max(0.0, end - loop.time()))
@@ -223,7 +229,7 @@
     last: Readings,
     join_seconds: float,
     grown_bytes: int,
-    stayed: bool,
+    leader_stayed: bool,
 ) -> RunResult:
     usages = [
         RoleUsage(
@@ -244,7 +250,7 @@
         leader=usages[leader],
         follower=usages[followers[0]],
         standby=usages[standbys[0]],
-        leader_stayed=stayed,
+        leader_stayed=leader_stayed,
         term=await _term(cluster),
         hollow_cpu_share=round(last.own.cpu_share_since(first.own), 3),
         hollow_kibibytes_per_router=round(grown_bytes / 1024 / run.routers, 1),
@@ -298,7 +304,7 @@
 
 
 def slopes(results: Sequence[RunResult]) -> list[Slope]:
-    """Fit a line for each figure of each sweep that has three sizes."""
+    """Fit a line to each figure of each sweep that has at least three results."""
     found = []
     for sweep in ("routers", "workers", "decisions", "changes"):
         chosen = [result for result in results if result.run.sweep == sweep]
@@ -340,7 +346,9 @@
     """Run the sweeps and print the results."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--part", choices=["growing", "today", "at-once"], required=True)
-    parser.add_argument("--routers", type=int, default=180, help="largest size of growing")
+    parser.add_argument(
+        "--routers", type=int, default=180, help="largest number of routers in part growing"
+    )
     parser.add_argument("--seconds", type=float, default=8.0)
     arguments = parser.parse_args()
     configure_logs("warning", node_id="bench", role="bench")
--- a/bench/decision_path.py
+++ b/bench/decision_path.py
@@ -1,7 +1,7 @@
-"""Measures the leader's memory for attempts in flight, and what the decisions' messages cost.
+"""Measures the leader's memory for attempts in flight and the cost of the decision messages.
 
-``bench/decisions.py`` measures the decision itself. Prints one JSON line; the figures are those of
-docs/CAPACITY.md.
+``bench/decisions.py`` measures the decision itself. Prints one JSON line; docs/CAPACITY.md reports
+these figures.
 """
 
 import argparse
@@ -31,7 +31,7 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """Measured figures; bytes are those of the interpreter's allocations."""
+    """Measured figures; ``table_bytes`` are bytes allocated by the interpreter."""
 
     workers: int
     in_flight: list[int]
@@ -46,7 +46,7 @@
 
 
 class Times(msgspec.Struct):
-    """Time spent in each part so far."""
+    """Total time spent in each part, in seconds."""
 
     decide: float = 0.0
     report: float = 0.0
@@ -54,7 +54,7 @@
 
 
 def make_table(workers: int) -> CircuitTable:
-    """Return a leader's table of so many workers."""
+    """Return a leader's circuit table with ``workers`` workers."""
     table = CircuitTable(CircuitPolicy(), random.Random(1), term=1)
     size = SyntheticSize(routers=1, workers=workers)
     table.set_workers([worker_record(number, size) for number in range(workers)])
@@ -62,9 +62,11 @@
 
 
 def make_request(number: int, workers: int) -> DecisionRequest:
-    """Return a request whose candidates differ from one to the next."""
+    """Return a decision request whose candidates depend on ``number``."""
     size = SyntheticSize(routers=1, workers=workers)
-    records = [worker_record((number * 7 + each) % workers, size) for each in range(8 * CANDIDATES)]
+    records = [
+        worker_record((number * 7 + offset) % workers, size) for offset in range(8 * CANDIDATES)
+    ]
     per_stage = []
     for stage in (Stage.PREFILL, Stage.DECODE):
         names = [record.worker_id for record in records if record.stage is stage]
@@ -79,27 +81,30 @@
 
 
 def fill(table: CircuitTable, first: int, last: int, workers: int) -> None:
-    """Register attempts."""
+    """Register the attempts ``first`` to ``last - 1`` in the table."""
     for number in range(first, last):
         table.decide(make_request(number, workers), number * 1e-4)
 
 
 def measure_memory(workers: int, sizes: list[int]) -> list[float]:
-    """Return the bytes of the table at each number of attempts in flight."""
+    """Return the bytes allocated for the table at each number of attempts in flight."""
     tracemalloc.start()
     table = make_table(workers)
-    found = []
+    table_bytes = []
     filled = 0
     for size in sizes:
         fill(table, filled, size, workers)
         filled = size
-        found.append(float(tracemalloc.get_traced_memory()[0]))
+        table_bytes.append(float(tracemalloc.get_traced_memory()[0]))
     tracemalloc.stop()
-    return found
+    return table_bytes
 
 
 def measure_times(workers: int, rounds: int) -> tuple[Times, AttemptReports, DecisionReply]:
-    """Time decisions, reports and the leader's part of their messages."""
+    """Time decisions, reports, and the decoding and encoding of messages by the leader.
+
+    The last reports and the last reply are returned too, so that their size can be measured.
+    """
     table = make_table(workers)
     times = Times()
     frames = [encode_frame(make_request(number, workers)) for number in range(rounds)]
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,8 +1,8 @@
-"""Decisions per second of the control leader's circuit table.
+"""Measures the decisions per second of the control leader's circuit table.
 
-Each round is what one attempt costs the leader: a decision with fresh reads of every candidate,
-the registration in flight and the report of its end. Prints one JSON object for each number of
-candidates.
+Each round does the leader's work for one attempt: the decision, which reads the state of every
+candidate, the registration of the attempt as in flight, and the report of its end. Prints one JSON
+object for each number of candidates.
 
 Run: ``python bench/decisions.py [--rounds N] [--repeats N]``
 """
@@ -23,14 +23,14 @@
 DEFAULT_ROUNDS = 5_000
 DEFAULT_REPEATS = 5
 IN_FLIGHT_ATTEMPTS = 32
-"""Attempts that are kept in flight, so that the load bound has something to read."""
+"""Attempts that are kept in flight, so that the load bound is evaluated with load."""
 
 ROUND_SECONDS = 0.001
 """Simulated time between two rounds."""
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of one number of candidates; a decision includes registration and report."""
+    """Figures for one number of candidates; a decision includes registration and report."""
 
     candidates: int
     rounds: int
@@ -41,7 +41,7 @@
 
 
 def make_table(worker_ids: tuple[str, ...]) -> CircuitTable:
-    """Return a table that knows these workers."""
+    """Return a circuit table that contains these workers."""
     table = CircuitTable(CircuitPolicy(), random.Random(1), term=1)
     table.set_workers(
         WorkerRecord(
@@ -58,7 +58,7 @@
 
 
 def decide(table: CircuitTable, candidates: tuple[str, ...], number: int) -> str:
-    """Decide one attempt and return the worker that was chosen."""
+    """Request a decision for one attempt and return the chosen worker."""
     start = number % len(candidates)
     stage_candidates = StageCandidates(
         stage=Stage.PLAIN, candidates=candidates[start:] + candidates[:start]
@@ -72,11 +72,11 @@
     )
     answer = table.decide(request, number * ROUND_SECONDS)
     if not isinstance(answer, Decided) or not answer.reply.choices:
-        raise RuntimeError(f"round {number} was not decided")
+        raise RuntimeError(f"round {number}: the table chose no worker")
     return answer.reply.choices[0].worker_id
 
 
-def end(table: CircuitTable, worker_id: str, number: int, now: float) -> None:
+def report_success(table: CircuitTable, worker_id: str, number: int, now: float) -> None:
     """Report the success of an earlier attempt."""
     report = AttemptReport(
         request_id=f"request-{number}",
@@ -88,7 +88,7 @@
 
 
 def measure_once(candidate_count: int, rounds: int) -> float:
-    """Return decisions per second of one run."""
+    """Return the decisions per second of one run."""
     candidates = tuple(f"worker-{position}" for position in range(candidate_count))
     table = make_table(candidates)
     chosen = [decide(table, candidates, number) for number in range(IN_FLIGHT_ATTEMPTS)]
@@ -96,7 +96,7 @@
     for number in range(IN_FLIGHT_ATTEMPTS, IN_FLIGHT_ATTEMPTS + rounds):
         chosen.append(decide(table, candidates, number))
         oldest = number - IN_FLIGHT_ATTEMPTS
-        end(table, chosen[oldest], oldest, number * ROUND_SECONDS)
+        report_success(table, chosen[oldest], oldest, number * ROUND_SECONDS)
     return rounds / (time.perf_counter() - started_at)
 
 
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -1,8 +1,8 @@
 """Measures confirmed changes, the time without a leader, a full restart and the replay of a log.
 
-``changes``, ``kill`` and ``freeze`` run three voters on disk with ten synthetic routers;
-``restart`` runs a whole fleet file with real routers and workers; ``replay`` reads a log of changes
-back. Prints one JSON line a part. The figures are those of docs/CAPACITY.md.
+The parts ``changes``, ``kill`` and ``freeze`` run three voters on disk with ten synthetic routers;
+``restart`` runs a complete fleet file with real routers and workers; ``replay`` reads back a log of
+changes. Prints one JSON line for each part. docs/CAPACITY.md reports these figures.
 """
 
 import argparse
@@ -51,7 +51,7 @@
 
 
 class ChangesResult(msgspec.Struct, frozen=True, kw_only=True):
-    """One operator's changes, each sent when the one before is confirmed."""
+    """Changes of one operator, who sends each change after the previous one is confirmed."""
 
     part: str = "changes"
     changes: int
@@ -60,7 +60,11 @@
 
 
 class OutageResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Times from the fault; ``serving`` is until the new leader has answered every router."""
+    """Times since the fault.
+
+    ``serving_seconds`` ends when the new leader has answered every router, and
+    ``confirmed_seconds`` when it has confirmed a change.
+    """
 
     part: str
     trials: int
@@ -70,7 +74,7 @@
 
 
 class RestartResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Times from the start of every process until the fleet serves."""
+    """Times from the start of all processes until the fleet is in service."""
 
     part: str = "restart"
     fleet: str
@@ -79,7 +83,7 @@
 
 
 class ReplayResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Reading a log of changes and applying it."""
+    """Time to read a log of changes and to apply it."""
 
     part: str = "replay"
     entries: int
@@ -90,7 +94,7 @@
 
 
 class Outage(msgspec.Struct, frozen=True):
-    """One trial."""
+    """Times of one trial, measured from the fault."""
 
     elected_seconds: float
     serving_seconds: float
@@ -101,26 +105,28 @@
 
 
 async def measure_changes(seconds: float) -> ChangesResult:
-    """Submit changes one after another."""
+    """Submit changes one after another for a number of seconds."""
     async with running_cluster(VOTERS) as cluster:
         fleet = await _start_routers(cluster)
         try:
-            took: list[float] = []
+            durations: list[float] = []
             started_at = monotonic_seconds()
             while monotonic_seconds() - started_at < seconds:
                 sent_at = monotonic_seconds()
-                await cluster.change()
-                took.append(monotonic_seconds() - sent_at)
+                await cluster.submit_change()
+                durations.append(monotonic_seconds() - sent_at)
             elapsed = monotonic_seconds() - started_at
         finally:
             await fleet.stop()
     return ChangesResult(
-        changes=len(took), changes_per_second=len(took) / elapsed, seconds=summarize(took)
+        changes=len(durations),
+        changes_per_second=len(durations) / elapsed,
+        seconds=summarize(durations),
     )
 
 
 async def measure_outages(part: str, trials: int) -> OutageResult:
-    """Kill or freeze the leader repeatedly."""
+    """Kill or freeze the leader ``trials`` times."""
     outages: list[Outage] = []
     async with running_cluster(VOTERS) as cluster:
         fleet = await _start_routers(cluster)
@@ -128,7 +134,7 @@
             for _ in range(trials):
                 fault, repair = (_kill, _start) if part == "kill" else (_freeze, _wake)
                 leader = await cluster.leader()
-                outages.append(await _one_outage(cluster, fleet, leader, fault))
+                outages.append(await _measure_outage(cluster, fleet, leader, fault))
                 await asyncio.sleep(FREEZE_SECONDS)
                 await repair(leader)
                 await _wait_until_settled(cluster)
@@ -150,28 +156,30 @@
     return fleet
 
 
-async def _one_outage(
+async def _measure_outage(
     cluster: ControlCluster, fleet: SyntheticFleet, leader: ControlNode, fault: Fault
 ) -> Outage:
     others = [node for node in cluster.nodes if node is not leader]
     async with OperatorClient([node.http_address for node in others]) as client:
-        old_term = max(one.term for one in (await client.statuses()).values() if one is not None)
+        old_term = max(
+            status.term for status in (await client.statuses()).values() if status is not None
+        )
         started_at = monotonic_seconds()
         await fault(leader)
         while True:
             statuses = (await client.statuses()).items()
-            leads = [
+            leaders = [
                 address
-                for address, one in statuses
-                if one is not None and one.role is Role.LEADER and one.term > old_term
+                for address, status in statuses
+                if status is not None and status.role is Role.LEADER and status.term > old_term
             ]
-            if leads:
+            if leaders:
                 break
             await asyncio.sleep(POLL_SECONDS)
         elected_at = monotonic_seconds()
-        new_leader = OperatorClient(leads)
+        new_leader = OperatorClient(leaders)
         async with new_leader:
-            await cluster.change(new_leader)
+            await cluster.submit_change(new_leader)
         confirmed_at = monotonic_seconds()
     served_at = max(
         min(at for term, at in router.listener.leader_contact_at.items() if term > old_term)
@@ -181,12 +189,16 @@
 
 
 async def _wait_until_settled(cluster: ControlCluster) -> None:
-    """Wait until every process has applied the leader's log, and for a short time after that."""
+    """Wait until all processes have applied the same entries, plus :data:`CONVERGENCE_SECONDS`."""
     async with asyncio.timeout(READY_TIMEOUT_SECONDS):
         while True:
-            found = (await cluster.statuses()).values()
-            applied = {one.applied_index for one in found if one is not None and one.ready}
-            if len(applied) == 1 and all(one is not None and one.ready for one in found):
+            statuses = (await cluster.statuses()).values()
+            applied = {
+                status.applied_index for status in statuses if status is not None and status.ready
+            }
+            if len(applied) == 1 and all(
+                status is not None and status.ready for status in statuses
+            ):
                 break
             await asyncio.sleep(5 * POLL_SECONDS)
     await asyncio.sleep(CONVERGENCE_SECONDS)
@@ -210,9 +222,9 @@
 
 
 async def measure_restart(trials: int) -> RestartResult:
-    """Kill every process of a fleet, start all again, and wait until it serves."""
+    """Kill all processes of a fleet, restart them, and wait until the fleet is in service."""
     fleet = load_fleet(FLEET_FILE)
-    took: list[float] = []
+    durations: list[float] = []
     with tempfile.TemporaryDirectory(prefix="orchidpath-bench-") as folder:
         ports = choose_ports(ports_needed(fleet), SystemRandom())
         layout = make_layout(fleet, Path(folder), ports)
@@ -229,10 +241,10 @@
                     await asyncio.gather(*(child.kill() for child in children))
                     started_at = monotonic_seconds()
                     await _start_fleet(fleet, layout, children, client)
-                    took.append(monotonic_seconds() - started_at)
+                    durations.append(monotonic_seconds() - started_at)
         finally:
             await stop_all(children, STOP_TIMEOUT_SECONDS)
-    return RestartResult(fleet=fleet.fleet, processes=len(children), seconds=summarize(took))
+    return RestartResult(fleet=fleet.fleet, processes=len(children), seconds=summarize(durations))
 
 
 async def _start_fleet(
--- a/bench/leave_out_guards.py
+++ b/bench/leave_out_guards.py
@@ -1,7 +1,8 @@
-"""Leaves guards out of a copy of the sources, one at a time; the named tests must then fail.
+"""Mutation test of the guards: removes each guard from a copy of the sources and runs its tests.
 
-The table is tests/guards/left_out.toml. The same tests are first run on an unchanged copy, where
-they must pass. Prints a line a guard; the exit code is 1 if no test failed without a guard.
+The guards and their tests are listed in tests/guards/left_out.toml. At least one test of a guard
+must fail without it. All tests are first run on an unchanged copy, where they must pass. Prints one
+line for each guard; the exit code is 1 if the removal of a guard made no test fail.
 """
 
 import argparse
@@ -18,16 +19,22 @@
 from left_out_guards import Edit, copy_with, read_guards
 
 TESTS_FAILED = 1
-"""Exit code of pytest when tests ran and some failed; any other failure proves nothing."""
+"""Exit code of pytest when tests ran and some failed.
+
+Any other non-zero exit code does not show that a test detected the removed guard.
+"""
 RUN_TIMEOUT_SECONDS = 300.0
 
 
 FIRST_ADDRESS_NUMBER = 60
-"""First number of the loopback addresses; each run has a number of its own."""
+"""First pytest worker number, from which the loopback addresses of a run are derived.
+
+Each run has its own number, so that parallel runs use different addresses.
+"""
 
 
 def exit_code(edits: Sequence[Edit], tests: Sequence[str], number: int) -> int:
-    """Run tests on a copy of the sources with edits made; return pytest's exit code."""
+    """Apply edits to a copy of the sources, run tests on it, and return pytest's exit code."""
     with tempfile.TemporaryDirectory(prefix="left-out-") as name:
         folder = Path(name)
         copy_with(edits, folder)
@@ -51,29 +58,31 @@
 
 
 def main() -> int:
-    """Try the named guards, or all; return the exit code."""
+    """Check the guards named on the command line, or all guards, and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("names", nargs="*", help="guards of the table; all when none is named")
+    parser.add_argument(
+        "names", nargs="*", help="names of guards in the table; default: all guards"
+    )
     parser.add_argument("--jobs", type=int, default=2)
     arguments = parser.parse_args()
     guards = {guard.name: guard for guard in read_guards()}
     unknown = [name for name in arguments.names if name not in guards]
     if unknown:
-        parser.error(f"{', '.join(unknown)}: none of {', '.join(guards)}")
+        parser.error(f"unknown guard {', '.join(unknown)}; expected one of {', '.join(guards)}")
     chosen = [guards[name] for name in arguments.names or guards]
     tests = sorted({test for guard in chosen for test in guard.tests})
     if exit_code((), tests, 0) != 0:
-        print("the tests do not pass with every guard in place", file=sys.stderr)
+        print("the tests fail although no guard was removed", file=sys.stderr)
         return 1
     with ThreadPoolExecutor(arguments.jobs) as pool:
         runs = [
             pool.submit(exit_code, guard.edits, guard.tests, number)
             for number, guard in enumerate(chosen, start=1)
         ]
-        noticed = [run.result() == TESTS_FAILED for run in runs]
-    for guard, is_red in zip(chosen, noticed, strict=True):
-        print(f"{'red' if is_red else 'NOT NOTICED'}  {guard.name}: {guard.rule}")
-    return 0 if all(noticed) else 1
+        detected = [run.result() == TESTS_FAILED for run in runs]
+    for guard, is_red in zip(chosen, detected, strict=True):
+        print(f"{'red' if is_red else 'NOT DETECTED'}  {guard.name}: {guard.rule}")
+    return 0 if all(detected) else 1
 
 
 if __name__ == "__main__":
--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -1,13 +1,14 @@
-"""Processes of two versions in one fleet, under traffic, as "Roll out a new version" describes it.
+"""Runs fleets that mix processes of two versions, under traffic.
 
-Three runs of the same traffic on loopback, with an earlier revision of this repository and the
-working tree: control of the earlier one with new routers; new control with routers of the earlier
-one; and a roll-out, in which every control process (standbys first, the leader last) and then
-every router of the earlier revision is replaced, one at a time. Emulated workers and callers are
-always of the working tree. docs/operations.md has the steps that the roll-out follows.
+The versions are an earlier revision of this repository and the working tree. The same traffic is
+sent in three runs on loopback: old control processes with new routers; new control processes with
+old routers; and a roll-out, which replaces every old control process (standbys first, the leader
+last) and then every old router, one at a time. Emulated workers and callers always run the working
+tree. The roll-out follows the steps of "Roll out a new version" in docs/operations.md.
 
 Run ``python bench/mixed_versions.py REVISION`` at the root of the repository for JSON on standard
-output; the exit status is 1 if something was lost, ran twice or did not come into service.
+output; the exit status is 1 if a request failed or ran twice, or a process did not come into
+service.
 """
 
 import argparse
@@ -41,11 +42,14 @@
 STOP_SECONDS = 15.0
 READ_TIMEOUT_SECONDS = 1.0
 MAX_APPLIED_BEHIND = 5
-"""Log entries by which a replaced process may be behind the leader before the next is replaced."""
+"""Maximum lag of a replaced process behind the leader, in log entries.
+
+The next process is replaced only after the lag has fallen to this number.
+"""
 
 
 class Mix(StrEnum):
-    """Which processes are of the earlier revision at the start."""
+    """Processes that run the earlier revision at the start."""
 
     OLD_CONTROL = "old_control_new_routers"
     OLD_ROUTERS = "new_control_old_routers"
@@ -57,7 +61,7 @@
 
 
 class MixedRun(msgspec.Struct, frozen=True, kw_only=True):
-    """Result of one run; ``replaced`` are the processes in the order of their replacement."""
+    """Result of one run; ``replaced`` lists the processes in the order of their replacement."""
 
     mix: Mix
     replaced: tuple[str, ...]
@@ -72,7 +76,7 @@
     fleet, folder, for_seconds, report, random
         As for :class:`~orchidpath.fleet.runner.FleetRunner`.
     mix
-        Which processes are of the earlier revision.
+        Processes that run the earlier revision.
     old_source
         Folder with the package of the earlier revision.
     """
@@ -108,10 +112,10 @@
         leaders = [plan for name, plan in controls.items() if name == watch.leader_name]
         for plan in (*standbys, *leaders):
             await self._replace(plan)
-            await _repeat(plan.name, partial(self._is_caught_up, plan))
+            await _poll(plan.name, partial(self._is_caught_up, plan))
         for plan in self._layout.of_kind(ProcessKind.ROUTER):
             await self._replace(plan)
-            await _repeat(plan.name, partial(_is_ready, plan))
+            await _poll(plan.name, partial(_is_ready, plan))
         self.is_rolled_out = True
 
     async def _replace(self, plan: ProcessPlan) -> None:
@@ -123,44 +127,48 @@
         self._report(f"replaced {plan.name}")
 
     async def _is_caught_up(self, plan: ProcessPlan) -> bool:
-        addresses = [one.http_address for one in self._layout.of_kind(ProcessKind.CONTROL)]
+        addresses = [control.http_address for control in self._layout.of_kind(ProcessKind.CONTROL)]
         async with OperatorClient(addresses, READ_TIMEOUT_SECONDS) as client:
-            statuses = [one for one in (await client.statuses()).values() if one is not None]
-        own = next((one for one in statuses if _process_name(one) == plan.name), None)
-        leader = next((one for one in statuses if one.role is Role.LEADER), None)
+            statuses = [
+                status for status in (await client.statuses()).values() if status is not None
+            ]
+        own = next((status for status in statuses if _process_name(status) == plan.name), None)
+        leader = next((status for status in statuses if status.role is Role.LEADER), None)
         if own is None or leader is None:
             return False
         return own.ready and leader.applied_index - own.applied_index <= MAX_APPLIED_BEHIND
 
 
 def _process_name(status: StatusBody) -> str:
-    # A replica is called "name.identity".
+    # The node id of a replica is "name.identity".
     return status.node_id.rpartition(".")[0]
 
 
-async def _repeat(name: str, step: Callable[[], Awaitable[bool]]) -> None:
+async def _poll(name: str, condition: Callable[[], Awaitable[bool]]) -> None:
     try:
         async with asyncio.timeout(STEP_TIMEOUT_SECONDS):
             while True:
-                if await step():
+                if await condition():
                     return
                 await asyncio.sleep(POLL_SECONDS)
     except TimeoutError as error:
-        raise StepTimeoutError(f"{name} is not in service") from error
+        raise StepTimeoutError(
+            f"{name} is not in service after {STEP_TIMEOUT_SECONDS:.0f} s"
+        ) from error
 
 
 async def _is_ready(plan: ProcessPlan) -> bool:
     timeout = aiohttp.ClientTimeout(total=READ_TIMEOUT_SECONDS)
     url = f"http://{plan.http_address}/health/ready"
     try:
-        async with aiohttp.ClientSession() as session, session.get(url, timeout=timeout) as answer:
-            return answer.status == 200
+        async with aiohttp.ClientSession() as session, session.get(url, timeout=timeout) as reply:
+            return reply.status == 200
     except (aiohttp.ClientError, TimeoutError):
         return False
 
 
 async def run_mix(mix: Mix, old_source: Path, seconds: float) -> MixedRun:
-    """Run one fleet of two versions.
+    """Run one fleet with processes of two versions.
 
     Raises
     ------
@@ -171,7 +179,7 @@
         runner = MixedFleet(load_fleet(EXAMPLE), Path(folder), seconds, _report, mix, old_source)
         summary = await runner.run()
     if not runner.is_rolled_out:
-        raise StepTimeoutError("the traffic ended before the roll-out")
+        raise StepTimeoutError("the traffic ended before the roll-out was complete")
     return MixedRun(mix=mix, replaced=tuple(runner.replaced), summary=summary)
 
 
@@ -183,7 +191,9 @@
     """Run all three mixes and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("revision", help="earlier revision of this repository")
-    parser.add_argument("--seconds", type=float, default=15.0, help="traffic of the first two runs")
+    parser.add_argument(
+        "--seconds", type=float, default=15.0, help="duration of the traffic in the first two runs"
+    )
     parser.add_argument("--roll-out-seconds", type=float, default=90.0)
     arguments = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="earlier-revision-") as folder:
--- a/bench/planning.py
+++ b/bench/planning.py
@@ -1,7 +1,8 @@
-"""Time to plan at 710 workers, and share of prefill ring keys moved against the smallest possible.
+"""Measures the planning time with 710 workers and the share of prefill ring keys that move.
 
-The smallest possible share for a number of workers that leave the ring is the sum of the smallest
-shares; the planner may give up a little of it to keep zones and failure domains even.
+The moved share is compared with the smallest possible share. If a number of workers leave the ring,
+that is the sum of the smallest ring shares. The planner may move slightly more keys to keep zones
+and failure domains balanced.
 
 Run ``python bench/planning.py`` for JSON on standard output.
 """
@@ -24,7 +25,7 @@
 
 
 class Case(msgspec.Struct, frozen=True, kw_only=True):
-    """One change of the split, and its cost."""
+    """One change of the split between prefill and decode workers, and its cost."""
 
     prefill_before: int
     prefill_after: int
@@ -39,13 +40,14 @@
 
 
 def make_view(prefill: int, desired_prefill: int) -> FleetView:
-    """Return a fleet with ``prefill`` workers that prefill prompts and another wanted count."""
+    """Return a fleet with ``prefill`` prefill workers and a different desired count."""
     workers = tuple(
         WorkerRecord(
             worker_id=f"worker-{number:04d}",
             incarnation=f"incarnation-{number}",
             service="chat",
-            # Spread evenly over the numbers, and so over zones and failure domains.
+            # Prefill workers are spread evenly over the numbers, and therefore over zones and
+            # failure domains.
             stage=Stage.PREFILL if number * prefill % WORKERS < prefill else Stage.DECODE,
             url=f"http://10.0.{number // 250}.{number % 250}:8000",
             models=("model",),
@@ -70,12 +72,12 @@
 
 
 def failure_domain(number: int) -> str:
-    """Return the rack of a worker; a rack lies within one zone."""
+    """Return the rack of a worker; all workers of a rack are in one zone."""
     return f"rack-{number % ZONES}-{number // (ZONES * WORKERS_PER_FAILURE_DOMAIN)}"
 
 
 def measure(prefill: int, desired_prefill: int, repetitions: int) -> Case:
-    """Plan one change several times."""
+    """Plan one change ``repetitions`` times and return its cost."""
     view = make_view(prefill, desired_prefill)
     seconds = []
     for _ in range(repetitions):
@@ -86,7 +88,7 @@
     service = preview.services[0]
     smallest = 0.0
     if desired_prefill < prefill:
-        ids = [one.worker_id for one in view.workers if one.stage is Stage.PREFILL]
+        ids = [worker.worker_id for worker in view.workers if worker.stage is Stage.PREFILL]
         smallest = sum(sorted(ring_shares(ids).values())[: prefill - desired_prefill])
     moved = {step.step.worker_id for step in preview.steps}
     return Case(
@@ -104,7 +106,7 @@
 
 
 def zone_spread(view: FleetView, moved: set[str], stage: Stage) -> int:
-    """Return the difference between the largest and the smallest zone of a stage afterwards."""
+    """Return the difference between the largest and the smallest zone of a stage after the move."""
     counts = dict.fromkeys((f"zone-{number}" for number in range(ZONES)), 0)
     for worker in view.workers:
         if (worker.stage is stage) != (worker.worker_id in moved):
@@ -113,12 +115,17 @@
 
 
 def main() -> None:
-    """Measure a few changes around the usual split and print them."""
+    """Measure a few changes of the typical split and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--repetitions", type=int, default=5)
     arguments = parser.parse_args()
-    usual = round(WORKERS * PREFILL_SHARE)
-    changes = [(usual, usual - 1), (usual, usual // 2), (usual // 2, usual), (usual, usual + 103)]
+    typical = round(WORKERS * PREFILL_SHARE)
+    changes = [
+        (typical, typical - 1),
+        (typical, typical // 2),
+        (typical // 2, typical),
+        (typical, typical + 103),
+    ]
     cases = [measure(before, after, arguments.repetitions) for before, after in changes]
     sys.stdout.write(msgspec.json.format(msgspec.json.encode(cases), indent=2).decode() + "\n")
 
--- a/bench/ring_cache_hits.py
+++ b/bench/ring_cache_hits.py
@@ -1,9 +1,10 @@
-"""Simulated share of prefix cache hits: hash ring with bounded load against other choices.
+"""Simulates the prefix cache hit rate of the hash ring with bounded load and of other policies.
 
-Requests arrive at random and name one of many prompt prefixes, whose popularity follows Zipf's
-law. Each prefill worker prefills prompts one at a time and caches the most recent prefixes; a
-prompt with a cached prefix takes a fraction of the time. Every choice sees the same arrivals, and
-loads are known exactly, as by one router; with many routers they would be slightly stale.
+Requests arrive as a Poisson process. Each request has one of many prompt prefixes, whose popularity
+follows Zipf's law. Each prefill worker processes prompts one at a time and caches the most recently
+used prefixes; a prompt with a cached prefix takes a fraction of the time. Every policy gets the
+same arrivals and exact loads, as with a single router; with many routers, the loads would be
+slightly stale.
 
 Run ``python bench/ring_cache_hits.py`` for JSON on standard output.
 """
@@ -33,7 +34,7 @@
 
 
 class Choice(StrEnum):
-    """How the prefill worker of a request is chosen."""
+    """Policies that choose the prefill worker of a request."""
 
     RING_BOUNDED_LOAD = "ring_bounded_load"
     RING_UNBOUNDED = "ring_unbounded"
@@ -42,7 +43,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True):
-    """One workload; ``offered_load`` is the load on the workers if every prompt were a miss."""
+    """One workload; ``offered_load`` is the utilization if every prompt missed the cache."""
 
     workers: int
     requests_per_worker: int = 400
@@ -56,7 +57,10 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """Result of one choice on one workload; times are from arrival to the end of the prefill."""
+    """Result of one policy on one workload.
+
+    Times are measured from the arrival to the end of the prefill, in seconds.
+    """
 
     choice: Choice
     workers: int
@@ -69,14 +73,14 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """The workloads and every result."""
+    """All workloads and their results."""
 
     scenarios: list[Scenario]
     results: list[Result]
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """One request."""
+    """One request and its arrival time in seconds."""
 
     time: float
     prefix: int
@@ -84,7 +88,7 @@
 
 
 class SimulatedWorker:
-    """A prefill worker that prefills one prompt at a time and caches the most recent prefixes."""
+    """A prefill worker that processes one prompt at a time, with an LRU cache of prefixes."""
 
     def __init__(self, scenario: Scenario):
         self._scenario = scenario
@@ -92,7 +96,7 @@
         self._free_at = 0.0
         self.requests = 0
 
-    def read(self, arrival: Arrival) -> tuple[bool, float]:
+    def prefill(self, arrival: Arrival) -> tuple[bool, float]:
         """Queue one prompt; return whether its prefix was cached and when its prefill ends."""
         hit = arrival.prefix in self._cached
         self._cached[arrival.prefix] = None
@@ -109,7 +113,7 @@
 
 
 def chooser_of(choice: Choice, worker_ids: list[str], random: Random) -> Chooser:
-    """Return the function that chooses a worker from an arrival and the known loads."""
+    """Return the function that chooses a worker for an arrival, given the current loads."""
     if choice is Choice.RANDOM:
         return lambda _arrival, _loads: random.choice(worker_ids)
     if choice is Choice.LEAST_LOADED:
@@ -132,7 +136,7 @@
 
 
 def query_of(arrival: Arrival) -> ModelQuery:
-    """Return the router's query of a request."""
+    """Return the query that a router makes for a request."""
     return ModelQuery(
         service=SERVICE, model=MODEL, request_id=str(arrival.number), key=key_of(arrival)
     )
@@ -157,7 +161,7 @@
 
 
 def arrivals_of(scenario: Scenario) -> Iterator[Arrival]:
-    """Yield the requests of a workload in order of time."""
+    """Yield the requests of a workload in the order of their arrival."""
     random = Random(scenario.seed)
     prefix_count = scenario.prefixes_per_worker * scenario.workers
     weights = ((rank + 1) ** -scenario.zipf_exponent for rank in range(prefix_count))
@@ -171,7 +175,7 @@
 
 
 def run(scenario: Scenario, choice: Choice) -> Result:
-    """Simulate one choice on one workload."""
+    """Simulate one policy on one workload."""
     worker_ids = [f"worker-{number}" for number in range(scenario.workers)]
     workers = {worker_id: SimulatedWorker(scenario) for worker_id in worker_ids}
     choose = chooser_of(choice, worker_ids, Random(scenario.seed))
@@ -184,7 +188,7 @@
         while running and running[0][0] <= arrival.time:
             loads[heapq.heappop(running)[1]] -= 1
         worker_id = choose(arrival, loads)
-        hit, end = workers[worker_id].read(arrival)
+        hit, end = workers[worker_id].prefill(arrival)
         loads[worker_id] += 1
         heapq.heappush(running, (end, worker_id))
         if arrival.number >= warm_up:
@@ -197,7 +201,7 @@
 def summarize(
     scenario: Scenario, choice: Choice, hits: list[bool], seconds: list[float], busiest: float
 ) -> Result:
-    """Reduce the measured requests to one result."""
+    """Aggregate the measured requests into one result."""
     ordered = sorted(seconds)
     return Result(
         choice=choice,
@@ -212,7 +216,7 @@
 
 
 def main() -> None:
-    """Run every choice on every size of fleet and print the report."""
+    """Run every policy on every fleet size and print the report."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--workers", type=int, nargs="+", default=[5, 200])
     parser.add_argument("--requests-per-worker", type=int, default=400)
--- a/bench/role_change.py
+++ b/bench/role_change.py
@@ -1,8 +1,8 @@
-"""Requests lost and time to first token while workers change their stage, on the local fleet.
+"""Measures lost requests and time to first token while workers of the local fleet change stage.
 
-Four runs of the same traffic on loopback: undisturbed; a confirmed plan that turns two of four
-prefill workers into decode workers; and the same two workers restarted one after the other
-without a plan, once shut down gracefully and once killed.
+The same traffic is sent in four runs on loopback: without a change; with a confirmed plan that
+turns two of four prefill workers into decode workers; and twice with a restart of the same two
+workers, one after the other and without a plan, once with a graceful shutdown and once with a kill.
 
 Run ``python bench/role_change.py`` for JSON on standard output.
 """
@@ -25,7 +25,7 @@
 
 START_TIMEOUT_SECONDS = 40.0
 PLAN_AFTER_SECONDS = 5.0
-MOVED = 2
+MOVED_WORKER_COUNT = 2
 MOVING_WORKERS = ("read-0", "read-1")
 
 MACHINES = "".join(
@@ -69,7 +69,7 @@
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
-    """Results of callers in one run; ``change_seconds`` is how long the plan took."""
+    """Results of the callers in one run; ``change_seconds`` is the duration of the plan."""
 
     name: str
     requests: int
@@ -84,7 +84,7 @@
 
 
 def restarts(kind: str) -> str:
-    """Return the faults that restart the workers one after the other."""
+    """Return the fault script, in TOML, that restarts the workers one after the other."""
     return "".join(
         f'[[faults]]\nat_seconds = {8 + 6 * number}\nkind = "{kind}"\ntarget = "{worker}"\n'
         f"for_seconds = 2\n\n"
@@ -93,16 +93,16 @@
 
 
 async def change_by_plan(folder: Path) -> float:
-    """Submit the new split, confirm its plan, and return how long it took to its end."""
+    """Submit the new split, confirm its plan, and return the duration of the plan in seconds."""
     async with OperatorClient(await control_addresses(folder)) as client:
         configuration = await first_configuration(client)
         await asyncio.sleep(PLAN_AFTER_SECONDS)
         service = configuration["services"][0]
-        service["prefill_workers"] -= MOVED
-        service["decode_workers"] += MOVED
+        service["prefill_workers"] -= MOVED_WORKER_COUNT
+        service["decode_workers"] += MOVED_WORKER_COUNT
         await client.submit("role-change", 1, configuration)
         preview = (await client.plan()).preview
-        assert len(preview.steps) == MOVED, preview
+        assert len(preview.steps) == MOVED_WORKER_COUNT, preview
         started_at = time.monotonic()
         await client.request_plan_action(PlanAction.CONFIRM, preview.plan.plan_id, "role-change")
         while True:
@@ -114,7 +114,7 @@
 
 
 async def control_addresses(folder: Path) -> list[str]:
-    """Wait for the fleet's settings files and return its control processes."""
+    """Wait for the settings files of the fleet and return the control processes' addresses."""
     async with asyncio.timeout(START_TIMEOUT_SECONDS):
         while True:
             files = sorted((folder / "settings").glob("control-*.json"))
@@ -125,7 +125,7 @@
 
 
 async def first_configuration(client: OperatorClient) -> dict[str, Any]:
-    """Wait until the fleet has accepted its file's configuration, and return it as plain data."""
+    """Wait for the initial configuration of the fleet and return it as built-in types."""
     async with asyncio.timeout(START_TIMEOUT_SECONDS):
         while True:
             try:
@@ -141,7 +141,7 @@
 
 
 async def measure(name: str, seconds: int, faults: str = "", by_plan: bool = False) -> Run:
-    """Run the fleet once."""
+    """Run the fleet once and return its results."""
     with tempfile.TemporaryDirectory(prefix="role-change-") as temporary:
         folder = Path(temporary)
         file = folder / "fleet.toml"
@@ -159,7 +159,7 @@
 
 
 def make_run(name: str, summary: dict[str, Any], change_seconds: float) -> Run:
-    """Return the result from a fleet's summary."""
+    """Return the results from the JSON summary of a fleet run."""
     return Run(
         name=name,
         requests=summary["requests"],
@@ -185,7 +185,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run all cases and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=int, default=30, help="seconds of traffic in each run")
     runs = asyncio.run(measure_all(parser.parse_args().seconds))
--- a/bench/router_overhead.py
+++ b/bench/router_overhead.py
@@ -1,9 +1,9 @@
-"""Measures the overhead of one router: times to the first and between tokens, processor time.
+"""Measures the overhead of one router: time to first token, time between tokens, and CPU time.
 
-One control process, one router and emulated workers run as processes of their own. The same caller
-sends requests in turn through the router and directly to the workers, in one run, so that noise of
-the machine affects both. Then the router's processor time is measured against requests and tokens a
-second. Prints one JSON line. The figures are those of docs/CAPACITY.md.
+Three control processes, one router and emulated workers run as separate processes. One caller sends
+requests alternately through the router and directly to the workers, so that noise of the machine
+affects both paths. Then the CPU time of the router is measured at several rates of requests and
+tokens per second. Prints one JSON line. docs/CAPACITY.md reports these figures.
 """
 
 import argparse
@@ -56,15 +56,15 @@
     tokens: int
 
 
-class SideResult(msgspec.Struct, frozen=True, kw_only=True):
-    """One way to send a request."""
+class PathResult(msgspec.Struct, frozen=True, kw_only=True):
+    """Times of the requests on one path: through the router or directly to the workers."""
 
     first_token_seconds: Quantiles
     between_tokens_seconds: Quantiles
 
 
 class LoadPoint(msgspec.Struct, frozen=True, kw_only=True):
-    """The router's processor time at one load."""
+    """CPU share of the router at one load, in requests or tokens per second."""
 
     per_second: float
     cpu_share: float
@@ -74,8 +74,8 @@
     """All figures of one run."""
 
     pairs: int
-    through_router: SideResult
-    direct: SideResult
+    through_router: PathResult
+    direct: PathResult
     added_first_token_p50_seconds: float
     added_first_token_p95_seconds: float
     added_between_tokens_p50_seconds: float
@@ -90,7 +90,7 @@
 
 
 class Bench(msgspec.Struct, frozen=True):
-    """The running processes."""
+    """The router process and the URLs of the router and the workers."""
 
     router: MeasuredProcess
     router_url: str
@@ -100,7 +100,7 @@
 
 @asynccontextmanager
 async def running_fleet(cluster: ControlCluster) -> AsyncIterator[Bench]:
-    """Run one router and its workers, and stop them in every case."""
+    """Run one router and its workers, and stop them on exit, also after an error."""
     ports = choose_ports(3 + DECODE_WORKERS, SystemRandom())
     addresses = [f"{LOOPBACK_HOST}:{port}" for port in ports]
     with tempfile.TemporaryDirectory(prefix="orchidpath-bench-") as name:
@@ -146,15 +146,15 @@
     async with asyncio.timeout(START_TIMEOUT_SECONDS), aiohttp.ClientSession() as session:
         while True:
             try:
-                await ask_router(session, bench, 2)
-                await ask_workers(session, bench, 2)
+                await send_through_router(session, bench, 2)
+                await send_to_workers(session, bench, 2)
                 return
             except (aiohttp.ClientError, msgspec.MsgspecError):
                 await asyncio.sleep(POLL_SECONDS)
 
 
-async def ask_router(session: aiohttp.ClientSession, bench: Bench, tokens: int) -> Timing:
-    """Send a request through the router."""
+async def send_through_router(session: aiohttp.ClientSession, bench: Bench, tokens: int) -> Timing:
+    """Send a request through the router and time its response."""
     body = msgspec.json.encode(
         {
             "model": MODEL,
@@ -171,8 +171,11 @@
         return await _time_tokens(response, ROUTER_TOKEN_MARK, started_at)
 
 
-async def ask_workers(session: aiohttp.ClientSession, bench: Bench, tokens: int) -> Timing:
-    """Send a request to a prefill worker and then to a decode worker, as the router does."""
+async def send_to_workers(session: aiohttp.ClientSession, bench: Bench, tokens: int) -> Timing:
+    """Send a request to a prefill worker, then to a decode worker, and time the response.
+
+    The router sends the same two requests.
+    """
     request_id = uuid.uuid4().hex
     headers = {"content-type": "application/json", ATTEMPT_HEADER: request_id}
     prefill = PrefillRequest(
@@ -207,32 +210,32 @@
     return Timing(arrivals[0] - started_at, gaps, len(arrivals))
 
 
-async def measure_pairs(bench: Bench, pairs: int, tokens: int) -> tuple[SideResult, SideResult]:
-    """Send requests in turn through the router and directly."""
+async def measure_pairs(bench: Bench, pairs: int, tokens: int) -> tuple[PathResult, PathResult]:
+    """Send requests alternately through the router and directly to the workers."""
     through: list[Timing] = []
     direct: list[Timing] = []
     async with aiohttp.ClientSession() as session:
         for _ in range(pairs):
-            through.append(await ask_router(session, bench, tokens))
-            direct.append(await ask_workers(session, bench, tokens))
-    return _side(through), _side(direct)
+            through.append(await send_through_router(session, bench, tokens))
+            direct.append(await send_to_workers(session, bench, tokens))
+    return _path_result(through), _path_result(direct)
 
 
-def _side(timings: list[Timing]) -> SideResult:
-    return SideResult(
+def _path_result(timings: list[Timing]) -> PathResult:
+    return PathResult(
         first_token_seconds=summarize([timing.first_token_seconds for timing in timings]),
         between_tokens_seconds=summarize([gap for timing in timings for gap in timing.gaps]),
     )
 
 
 async def measure_tokens(bench: Bench, streams: int, seconds: float) -> LoadPoint:
-    """Keep a number of streams running and count their tokens."""
+    """Run concurrent streams and return their token rate and the CPU share of the router."""
     tokens = round(seconds * PACED_TOKENS_PER_SECOND)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         before = read_usage(bench.router.process_id)
-        asks = (ask_router(session, bench, tokens) for _ in range(streams))
-        timings = await asyncio.gather(*asks)
+        requests = (send_through_router(session, bench, tokens) for _ in range(streams))
+        timings = await asyncio.gather(*requests)
         after = read_usage(bench.router.process_id)
     elapsed = after.at_seconds - before.at_seconds
     return LoadPoint(
@@ -242,25 +245,25 @@
 
 
 async def measure_requests(bench: Bench, per_second: float, seconds: float) -> LoadPoint:
-    """Send short requests in an open loop."""
+    """Send requests of one token at a fixed rate, without waiting for earlier responses."""
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         before = read_usage(bench.router.process_id)
-        asks = []
+        requests = []
         for number in range(round(per_second * seconds)):
             due = before.at_seconds + number / per_second
             await asyncio.sleep(max(0.0, due - monotonic_seconds()))
-            asks.append(asyncio.create_task(ask_router(session, bench, 1)))
-        await asyncio.gather(*asks)
+            requests.append(asyncio.create_task(send_through_router(session, bench, 1)))
+        await asyncio.gather(*requests)
         after = read_usage(bench.router.process_id)
     return LoadPoint(
-        per_second=len(asks) / (after.at_seconds - before.at_seconds),
+        per_second=len(requests) / (after.at_seconds - before.at_seconds),
         cpu_share=after.cpu_share_since(before),
     )
 
 
 async def measure(pairs: int, tokens: int, seconds: float) -> OverheadResult:
-    """Run everything once."""
+    """Run all measurements once."""
     async with running_cluster(3) as cluster, running_fleet(cluster) as bench:
         before = read_usage(bench.router.process_id)
         await asyncio.sleep(seconds)
--- a/src/orchidpath/fleet/startup.py
+++ b/src/orchidpath/fleet/startup.py
@@ -42,16 +42,14 @@
         A step took longer than :data:`STEP_TIMEOUT_SECONDS`.
     """
     routers = [plan.http_address for plan in layout.of_kind(ProcessKind.ROUTER)]
-    await _repeat("no control leader", lambda: _has_leader(client))
-    await _repeat("initial configuration not confirmed", lambda: _configure(fleet, client))
+    await _poll("no control leader", lambda: _has_leader(client))
+    await _poll("initial configuration not confirmed", lambda: _configure(fleet, client))
     async with aiohttp.ClientSession() as session:
-        await _repeat("not every router is ready", lambda: _all_ready(session, routers))
-    await _repeat(
-        "not every worker is announced", lambda: _all_announced(client, len(fleet.workers))
-    )
+        await _poll("not every router is ready", lambda: _all_ready(session, routers))
+    await _poll("not every worker is announced", lambda: _all_announced(client, len(fleet.workers)))
 
 
-async def _repeat(failure: str, step: Callable[[], Awaitable[bool]]) -> None:
+async def _poll(failure: str, step: Callable[[], Awaitable[bool]]) -> None:
     try:
         async with asyncio.timeout(STEP_TIMEOUT_SECONDS):
             while True:
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -42,22 +42,22 @@
     path = tmp_path / "link-faults.json"
     faults = LinkFaults()
     reader = LinkFaultFileReader(path, faults)
-    cuts = PartitionTable(seed=3)
-    cuts.cut(0, ["control-a", "router-a"], [], one_way=False)
-    cuts.cut(1, ["router-b"], ["router-c"], one_way=True)
-    write_fault_file(path, cuts)
+    partitions = PartitionTable(seed=3)
+    partitions.cut(0, ["control-a", "router-a"], [], one_way=False)
+    partitions.cut(1, ["router-b"], ["router-c"], one_way=True)
+    write_fault_file(path, partitions)
     reader.refresh()
     assert faults.is_partitioned("control-a.12ab", "router-b")
     assert faults.is_partitioned("router-b", "router-a")
     assert faults.is_partitioned("router-b", "router-c")
     assert not faults.is_partitioned("router-c", "router-b")
-    cuts.heal(0)
-    write_fault_file(path, cuts)
+    partitions.heal(0)
+    write_fault_file(path, partitions)
     reader.refresh()
     assert not faults.is_partitioned("router-b", "router-a")
     assert faults.is_partitioned("router-b", "router-c")
-    cuts.heal_nodes(["router-b"])
-    assert cuts.as_file().links == []
+    partitions.heal_nodes(["router-b"])
+    assert partitions.as_file().links == []
 
 
 def layout_of(folder: Path, *plans: ProcessPlan) -> FleetLayout:
@@ -78,16 +78,16 @@
 
     def __init__(self, name: str) -> None:
         super().__init__(name, (), Path())
-        self.done: list[str] = []
+        self.actions: list[str] = []
 
     async def start(self) -> None:
-        self.done.append("start")
+        self.actions.append("start")
 
     async def kill(self) -> None:
-        self.done.append("kill")
+        self.actions.append("kill")
 
     def signal(self, number: signal.Signals) -> None:
-        self.done.append(number.name)
+        self.actions.append(number.name)
 
 
 def control_plan(name: str, folder: Path) -> ProcessPlan:
@@ -112,8 +112,8 @@
     ]
     reports: list[str] = []
     await runner.run(timeline(script), reports.append)
-    assert children["control-a"].done == ["SIGSTOP", "SIGCONT"]
-    assert children["control-b"].done == ["SIGTERM"]
+    assert children["control-a"].actions == ["SIGSTOP", "SIGCONT"]
+    assert children["control-b"].actions == ["SIGTERM"]
     assert len(reports) == 3
 
 
@@ -124,7 +124,7 @@
     layout = layout_of(tmp_path, control_plan("a", tmp_path))
     runner = FaultRunner(layout, {"control-a": child}, lambda: "", seed=0)
     await runner.run(timeline([fault("replace_disk", "a", 0.0)]), lambda _line: None)
-    assert child.done == ["kill", "start"]
+    assert child.actions == ["kill", "start"]
     assert not (tmp_path / "a").exists()
 
 
--- a/tests/fleet/test_fleet_file.py
+++ b/tests/fleet/test_fleet_file.py
@@ -62,7 +62,7 @@
     ("name", "machines", "disks", "zones", "prefill", "decode", "plain"),
     [("vinbrug", 10, 4, 4, 2, 3, 4), ("agency", 11, 3, 3, 4, 5, 3)],
 )
-def test_examples_have_their_sizes(
+def test_example_fleets_have_the_expected_numbers_of_processes(
     name: str, machines: int, disks: int, zones: int, prefill: int, decode: int, plain: int
 ) -> None:
     fleet = load_fleet(EXAMPLES / f"{name}.toml")
--- a/tests/fleet/test_fleet_summary.py
+++ b/tests/fleet/test_fleet_summary.py
@@ -141,7 +141,7 @@
     assert decode_lines(b"", ExecutionRecord) == []
 
 
-def test_responses_and_true_rejections_are_no_failure() -> None:
+def test_responses_and_refusals_with_not_run_and_retry_after_are_no_failure() -> None:
     refused = result(Outcome.REFUSED, code="overloaded", ran="no", retry_after_seconds=1.0)
     outcomes = OutcomeCounts(answered=8, refused=1, abandoned=1)
     assert failures(outcomes, results=[refused]) == ()
@@ -170,7 +170,7 @@
         {"ran": "no", "retry_after_seconds": 1.0, "code": "unknown_route"},
     ],
 )
-def test_a_false_rejection_fails_the_run(fields: dict[str, Any]) -> None:
+def test_a_refusal_without_not_run_and_retry_after_fails_the_run(fields: dict[str, Any]) -> None:
     outcomes = OutcomeCounts(answered=9, refused=1)
     (failure,) = failures(outcomes, results=[result(Outcome.REFUSED, **fields)])
     assert failure.startswith("1 refusals")
@@ -184,7 +184,7 @@
         {"unexpected_exits": ["router-a"]},
     ],
 )
-def test_evidence_beyond_the_callers_fails_the_run(fields: dict[str, Any]) -> None:
+def test_repeated_executions_and_unexpected_exits_fail_the_run(fields: dict[str, Any]) -> None:
     (failure,) = failures(OutcomeCounts(answered=10), **fields)
     assert "r1" in failure or "router-a" in failure
 
