--- a/bench/leave_out_guards.py
+++ b/bench/leave_out_guards.py
@@ -80,8 +80,8 @@
             for number, guard in enumerate(chosen, start=1)
         ]
         detected = [run.result() == TESTS_FAILED for run in runs]
-    for guard, is_red in zip(chosen, detected, strict=True):
-        print(f"{'red' if is_red else 'NOT DETECTED'}  {guard.name}: {guard.rule}")
+    for guard, is_detected in zip(chosen, detected, strict=True):
+        print(f"{'detected' if is_detected else 'NOT DETECTED'}  {guard.name}: {guard.rule}")
     return 0 if all(detected) else 1
 
 
--- a/src/orchidpath/fleet/file.py
+++ b/src/orchidpath/fleet/file.py
@@ -62,9 +62,11 @@
     PARTITION = "cut"
     """Drop every message between ``target`` and ``other`` for ``for_seconds`` or until ``heal``.
 
-    An empty ``other`` means all processes.
+    An empty ``other`` means all processes. With ``one_way``, messages from ``other`` to ``target``
+    are still delivered.
     """
     HEAL = "heal"
+    """End every cut whose source is a process of ``target``."""
     WORKER = "worker"
     """Post ``worker_fault`` to the emulated worker."""
 
--- a/src/orchidpath/fleet/layout.py
+++ b/src/orchidpath/fleet/layout.py
@@ -96,7 +96,9 @@
         addresses = iter([f"{LOOPBACK_HOST}:{port}" for port in ports])
         disks = [machine for machine in fleet.machines if machine.disk]
         self._control = {disk.name: (next(addresses), next(addresses)) for disk in disks}
-        self._routers = {each.name: (next(addresses), next(addresses)) for each in fleet.machines}
+        self._routers = {
+            machine.name: (next(addresses), next(addresses)) for machine in fleet.machines
+        }
         self._workers = {worker.name: next(addresses) for worker in fleet.workers}
         control_addresses = [wire_address for wire_address, _ in self._control.values()]
         router_addresses = [wire_address for wire_address, _ in self._routers.values()]
--- a/src/orchidpath/fleet/processes.py
+++ b/src/orchidpath/fleet/processes.py
@@ -59,7 +59,10 @@
 
     @property
     def exited_unexpectedly(self) -> bool:
-        """Whether the process exited without :meth:`stop`, :meth:`kill` or :meth:`expect_exit`."""
+        """Whether the process exited without SIGTERM or SIGKILL from this object.
+
+        An exit announced by :meth:`expect_exit` is not unexpected either.
+        """
         return self._process is not None and not self.is_running and not self._exit_expected
 
     @property
--- a/src/orchidpath/fleet/summary.py
+++ b/src/orchidpath/fleet/summary.py
@@ -66,9 +66,9 @@
     """Return the summary of a run, including its failures."""
     callers = evidence.callers
     errors = tuple(
-        ErrorCount(outcome=each.outcome, code=each.code, ran=each.ran, count=each.count)
-        for each in callers.codes
-        if each.outcome is not Outcome.ANSWERED
+        ErrorCount(outcome=entry.outcome, code=entry.code, ran=entry.ran, count=entry.count)
+        for entry in callers.codes
+        if entry.outcome is not Outcome.ANSWERED
     )
     return FleetSummary(
         fleet=evidence.fleet,
