--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -42,22 +42,22 @@
     path = tmp_path / "link-faults.json"
     faults = LinkFaults()
     reader = LinkFaultFileReader(path, faults)
-    cuts = PartitionTable(seed=3)
-    cuts.cut(0, ["control-a", "router-a"], [], one_way=False)
-    cuts.cut(1, ["router-b"], ["router-c"], one_way=True)
-    write_fault_file(path, cuts)
+    partitions = PartitionTable(seed=3)
+    partitions.cut(0, ["control-a", "router-a"], [], one_way=False)
+    partitions.cut(1, ["router-b"], ["router-c"], one_way=True)
+    write_fault_file(path, partitions)
     reader.refresh()
     assert faults.is_partitioned("control-a.12ab", "router-b")
     assert faults.is_partitioned("router-b", "router-a")
     assert faults.is_partitioned("router-b", "router-c")
     assert not faults.is_partitioned("router-c", "router-b")
-    cuts.heal(0)
-    write_fault_file(path, cuts)
+    partitions.heal(0)
+    write_fault_file(path, partitions)
     reader.refresh()
     assert not faults.is_partitioned("router-b", "router-a")
     assert faults.is_partitioned("router-b", "router-c")
-    cuts.heal_nodes(["router-b"])
-    assert cuts.as_file().links == []
+    partitions.heal_nodes(["router-b"])
+    assert partitions.as_file().links == []
 
 
 def layout_of(folder: Path, *plans: ProcessPlan) -> FleetLayout:
@@ -74,20 +74,20 @@
 
 
 class RecordingChild(ChildProcess):
-    """Fake process that records the actions on it."""
+    """Fake process that records the actions applied to it."""
 
     def __init__(self, name: str) -> None:
         super().__init__(name, (), Path())
-        self.done: list[str] = []
+        self.actions: list[str] = []
 
     async def start(self) -> None:
-        self.done.append("start")
+        self.actions.append("start")
 
     async def kill(self) -> None:
-        self.done.append("kill")
+        self.actions.append("kill")
 
     def signal(self, number: signal.Signals) -> None:
-        self.done.append(number.name)
+        self.actions.append(number.name)
 
 
 def control_plan(name: str, folder: Path) -> ProcessPlan:
@@ -112,8 +112,8 @@
     ]
     reports: list[str] = []
     await runner.run(timeline(script), reports.append)
-    assert children["control-a"].done == ["SIGSTOP", "SIGCONT"]
-    assert children["control-b"].done == ["SIGTERM"]
+    assert children["control-a"].actions == ["SIGSTOP", "SIGCONT"]
+    assert children["control-b"].actions == ["SIGTERM"]
     assert len(reports) == 3
 
 
@@ -124,7 +124,7 @@
     layout = layout_of(tmp_path, control_plan("a", tmp_path))
     runner = FaultRunner(layout, {"control-a": child}, lambda: "", seed=0)
     await runner.run(timeline([fault("replace_disk", "a", 0.0)]), lambda _line: None)
-    assert child.done == ["kill", "start"]
+    assert child.actions == ["kill", "start"]
     assert not (tmp_path / "a").exists()
 
 
@@ -139,8 +139,10 @@
         child.signal(signal.SIGSTOP)
         await child.stop(BOUND_SECONDS)
         assert not child.is_running
-        assert child.exit_code == 0, "it was woken and ended politely"
-        assert not child.ended_by_itself
+        assert child.exit_code == 0, (
+            "SIGCONT follows SIGTERM, so the frozen process shuts down gracefully"
+        )
+        assert not child.exited_unexpectedly
         await child.start()
         assert child.is_running
     finally:
@@ -152,5 +154,5 @@
     child = ChildProcess("broken", ("no-such-command",), tmp_path / "log")
     await child.start()
     assert await child.wait(BOUND_SECONDS)
-    assert child.ended_by_itself
+    assert child.exited_unexpectedly
     assert "no-such-command" in (tmp_path / "log").read_text()
