--- a/src/orchidpath/router/chat/backend_client.py
+++ b/src/orchidpath/router/chat/backend_client.py
@@ -18,9 +18,9 @@
 from orchidpath.router.chat.backend_exchange import (
     AttemptError,
     CheckedRequest,
+    DispatchTarget,
     Emit,
     Exchange,
-    OrderTarget,
     SendCheck,
     SendRefusedError,
     current_exchange,
@@ -84,7 +84,7 @@
         await self._session.close()
 
     async def prefill(
-        self, target: OrderTarget, request: PrefillRequest, check: SendCheck, emit: Emit
+        self, target: DispatchTarget, request: PrefillRequest, check: SendCheck, emit: Emit
     ) -> None:
         """Dispatch a prefill and emit its result.
 
@@ -110,7 +110,7 @@
         await emit(await self._outcome(Exchange(target, check), exchange_once))
 
     async def call(
-        self, target: OrderTarget, request: CallRequest, check: SendCheck, emit: Emit
+        self, target: DispatchTarget, request: CallRequest, check: SendCheck, emit: Emit
     ) -> None:
         """Dispatch a plain call and emit its result; parameters as for :meth:`prefill`."""
 
@@ -127,7 +127,7 @@
         await emit(await self._outcome(Exchange(target, check), exchange_once))
 
     async def decode(
-        self, target: OrderTarget, request: DecodeRequest, check: SendCheck, emit: Emit
+        self, target: DispatchTarget, request: DecodeRequest, check: SendCheck, emit: Emit
     ) -> None:
         """Dispatch a decode; emit every frame as it arrives and then the end of the stream.
 
--- a/src/orchidpath/router/chat/backend_exchange.py
+++ b/src/orchidpath/router/chat/backend_exchange.py
@@ -30,7 +30,7 @@
 """Returns why a dispatch may not be sent, or None; called right before the first byte."""
 
 
-class OrderTarget(msgspec.Struct, frozen=True, kw_only=True):
+class DispatchTarget(msgspec.Struct, frozen=True, kw_only=True):
     """Address, identifiers and timeouts of a dispatch."""
 
     url: str
@@ -66,7 +66,7 @@
 class Exchange:
     """State of one exchange while it runs."""
 
-    def __init__(self, target: OrderTarget, check: SendCheck) -> None:
+    def __init__(self, target: DispatchTarget, check: SendCheck) -> None:
         self.target = target
         self.check = check
         self.dispatch_left = False
--- a/src/orchidpath/router/chat/request_runner.py
+++ b/src/orchidpath/router/chat/request_runner.py
@@ -14,7 +14,7 @@
 from orchidpath.router.background_tasks import BackgroundTasks
 from orchidpath.router.chat.attempt_trace import AttemptTrace
 from orchidpath.router.chat.backend_client import BackendClient
-from orchidpath.router.chat.backend_exchange import OrderTarget, SendCheck
+from orchidpath.router.chat.backend_exchange import DispatchTarget, SendCheck
 from orchidpath.router.chat.chat_api import DecisionTrace
 from orchidpath.router.chat.event_queue import EventQueue
 from orchidpath.router.chat.response_sinks import ResponseSink
@@ -295,9 +295,9 @@
         if not self._machine.is_ended:
             await self._events.offer(event)
 
-    def _target(self, worker: WorkerRecord, attempt_id: str) -> OrderTarget:
+    def _target(self, worker: WorkerRecord, attempt_id: str) -> DispatchTarget:
         route = self._plan.route
-        return OrderTarget(
+        return DispatchTarget(
             url=worker.url,
             request_id=self._plan.request_id,
             attempt_id=attempt_id,
--- a/src/orchidpath/simulation/requests/response_reader.py
+++ b/src/orchidpath/simulation/requests/response_reader.py
@@ -12,7 +12,7 @@
 from orchidpath.router.chat.backend_client import END_OF_BODY_SECONDS
 from orchidpath.router.chat.backend_exchange import (
     AttemptError,
-    OrderTarget,
+    DispatchTarget,
     failed,
     failed_by_exception,
     require_echo,
@@ -55,7 +55,7 @@
         Receives the events.
     """
 
-    def __init__(self, process: SimulatedProcess, target: OrderTarget, post: Post) -> None:
+    def __init__(self, process: SimulatedProcess, target: DispatchTarget, post: Post) -> None:
         self.is_over = False
         self._process = process
         self._backend_exchange = BackendExchange(target, lambda: None)
--- a/src/orchidpath/simulation/requests/served_request.py
+++ b/src/orchidpath/simulation/requests/served_request.py
@@ -9,7 +9,7 @@
 
 from orchidpath.router.chat.attempt_trace import AttemptTrace
 from orchidpath.router.chat.backend_exchange import (
-    OrderTarget,
+    DispatchTarget,
 )
 from orchidpath.router.decision_maker import DecisionSubject
 from orchidpath.routing.request import events
@@ -260,9 +260,9 @@
             retry_after_seconds=NOT_FRESH_RETRY_SECONDS,
         )
 
-    def _target(self, worker: WorkerRecord, instruction: _Send) -> OrderTarget:
+    def _target(self, worker: WorkerRecord, instruction: _Send) -> DispatchTarget:
         route = self._plan.route
-        return OrderTarget(
+        return DispatchTarget(
             url=worker.url,
             request_id=self._plan.request_id,
             attempt_id=instruction.attempt_id,
--- a/tests/router/test_router_input_fuzz.py
+++ b/tests/router/test_router_input_fuzz.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 
 from orchidpath.router.chat.backend_client import BackendClient
-from orchidpath.router.chat.backend_exchange import OrderTarget
+from orchidpath.router.chat.backend_exchange import DispatchTarget
 from orchidpath.router.chat.event_stream import EventParser, MalformedEventError
 from orchidpath.router.chat.http_intake import Intake, RefusedError, read_chat, read_plain
 from orchidpath.router.routing_state import RoutingState
@@ -251,7 +251,7 @@
 
     try:
         async with raw_backend(answer) as url, asyncio.timeout(10.0):
-            target = OrderTarget(
+            target = DispatchTarget(
                 url=url,
                 **ids,
                 first_answer_seconds=1.0,
