--- a/src/orchidpath/router/decision_maker.py
+++ b/src/orchidpath/router/decision_maker.py
@@ -172,7 +172,7 @@
         if reply is None or reply.rejection is Rejection.NOT_LEADER:
             fallback_reply = self._state.fallback.decide(request, now)
             chosen = [choice.worker_id for choice in fallback_reply.choices]
-            self._fleet.decided_alone(request.attempt_id, chosen)
+            self._fleet.record_local_decision(request.attempt_id, chosen)
             self._record(request, fallback_reply, DecidedBy.ROUTER)
             return fallback_reply
         self._loads.update(reply.states, now)
--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -195,9 +195,9 @@
             del self._decisions[request.correlation]
         return None if reply.rejection is Rejection.NOT_LEADER else reply
 
-    def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
+    def record_local_decision(self, attempt_id: str, worker_ids: Collection[str]) -> None:
         """Record which workers the router chose without the leader."""
-        self._late_decisions.decided_alone(attempt_id, worker_ids)
+        self._late_decisions.record_local_decision(attempt_id, worker_ids)
 
     def report(self, reports: Sequence[AttemptReport]) -> None:
         """Queue reports for the leader."""
--- a/src/orchidpath/router/fleet_link/fleet_access.py
+++ b/src/orchidpath/router/fleet_link/fleet_access.py
@@ -55,7 +55,7 @@
         """
 
     @abstractmethod
-    def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
+    def record_local_decision(self, attempt_id: str, worker_ids: Collection[str]) -> None:
         """Record which workers the router chose itself because the leader did not reply."""
 
     @abstractmethod
--- a/src/orchidpath/router/fleet_link/late_decisions.py
+++ b/src/orchidpath/router/fleet_link/late_decisions.py
@@ -30,7 +30,7 @@
         if len(self._requests) > MAX_STORED_REQUESTS:
             self._requests.popitem(last=False)
 
-    def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
+    def record_local_decision(self, attempt_id: str, worker_ids: Collection[str]) -> None:
         """Store which workers the router itself chose for an attempt."""
         self._used[attempt_id] = frozenset(worker_ids)
         if len(self._used) > MAX_STORED_REQUESTS:
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -151,9 +151,9 @@
             return
         self.reports.add(self._late_decisions.answered(reply))
 
-    def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
+    def record_local_decision(self, attempt_id: str, worker_ids: Collection[str]) -> None:
         """Record which workers the router chose without the leader."""
-        self._late_decisions.decided_alone(attempt_id, worker_ids)
+        self._late_decisions.record_local_decision(attempt_id, worker_ids)
 
     def report(self, reports: Sequence[AttemptReport]) -> None:
         """Queue reports for the leader."""
--- a/tests/router/edge_fakes.py
+++ b/tests/router/edge_fakes.py
@@ -320,7 +320,7 @@
         )
         return DecisionReply(correlation=request.correlation, term=1, choices=choices)
 
-    def decided_alone(self, attempt_id: str, worker_ids: Collection[str]) -> None:
+    def record_local_decision(self, attempt_id: str, worker_ids: Collection[str]) -> None:
         self.decided_without_leader[attempt_id] = frozenset(worker_ids)
 
     def report(self, reports: Sequence[AttemptReport]) -> None:
--- a/tests/router/test_late_decisions.py
+++ b/tests/router/test_late_decisions.py
@@ -11,7 +11,7 @@
         correlation=7, request_id="q", attempt_id="a", service="wine", per_stage=()
     )
     late.record_abandoned(request)
-    late.decided_alone("a", ["p1", "d1"])
+    late.record_local_decision("a", ["p1", "d1"])
     choices = (
         Choice(stage=Stage.PREFILL, worker_id="p1"),
         Choice(stage=Stage.DECODE, worker_id="d2", probe_generation=4),
