--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -221,7 +221,7 @@
             self._send_announcements()
         return self._announcement_reply()
 
-    def locally_draining(self, worker_id: str) -> bool:
+    def has_announced_draining(self, worker_id: str) -> bool:
         """Return whether the worker itself announced to this router that it is draining."""
         return self._announced.is_draining(worker_id)
 
--- a/src/orchidpath/router/fleet_link/fleet_access.py
+++ b/src/orchidpath/router/fleet_link/fleet_access.py
@@ -71,5 +71,5 @@
         """Store a worker's announcement and forward it to the leader."""
 
     @abstractmethod
-    def locally_draining(self, worker_id: str) -> bool:
+    def has_announced_draining(self, worker_id: str) -> bool:
         """Return whether the worker itself announced to this router that it is draining."""
--- a/src/orchidpath/router/routing_state.py
+++ b/src/orchidpath/router/routing_state.py
@@ -162,7 +162,7 @@
 
     def is_draining(self, worker_id: str) -> bool:
         """Return whether the worker itself announced to this router that it is draining."""
-        return self._fleet.locally_draining(worker_id)
+        return self._fleet.has_announced_draining(worker_id)
 
     def _is_usable(self, worker_id: str, incarnation: str, stage: Stage) -> bool:
         worker = self._workers.get(worker_id)
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -171,7 +171,7 @@
         """Record a worker's announcement; return False when it is not newer than the last."""
         return self._announced.record_announcement(announcement)
 
-    def locally_draining(self, worker_id: str) -> bool:
+    def has_announced_draining(self, worker_id: str) -> bool:
         """Return whether the worker has announced to this router that it is draining."""
         if PathGuard.DRAINING_HEARD in self._guards:
             return False
--- a/tests/router/edge_fakes.py
+++ b/tests/router/edge_fakes.py
@@ -333,7 +333,7 @@
         self.announced.append(announcement)
         return AnnouncementReply(accepted=True)
 
-    def locally_draining(self, worker_id: str) -> bool:
+    def has_announced_draining(self, worker_id: str) -> bool:
         return worker_id in self.draining
 
     def effects(self, worker_id: str) -> list[AttemptEffect]:
