--- a/src/orchidpath/router/chat/http_edge.py
+++ b/src/orchidpath/router/chat/http_edge.py
@@ -151,7 +151,7 @@
 
     def circuits_received(self, circuits: CircuitsView) -> None:
         """Store the circuits agreed by the control tier as the last known ones."""
-        self._state.take_circuits(circuits, self._clock())
+        self._state.apply_circuits(circuits, self._clock())
 
     def counter_report(
         self, term: int, unacknowledged: tuple[AttemptReport, ...] = ()
--- a/src/orchidpath/router/proxy/proxy_edge.py
+++ b/src/orchidpath/router/proxy/proxy_edge.py
@@ -175,7 +175,7 @@
 
     def circuits_received(self, circuits: CircuitsView) -> None:
         """Store the agreed circuit states as the most recent known ones."""
-        self._state.take_circuits(circuits, self._clock())
+        self._state.apply_circuits(circuits, self._clock())
 
     def counter_report(
         self, term: int, unacknowledged: tuple[AttemptReport, ...] = ()
--- a/src/orchidpath/router/routing_state.py
+++ b/src/orchidpath/router/routing_state.py
@@ -94,7 +94,7 @@
         self.fallback.set_workers(view.workers)
         self.throttle.set_workers(view.workers)
 
-    def take_circuits(self, circuits: CircuitsView, now: float) -> None:
+    def apply_circuits(self, circuits: CircuitsView, now: float) -> None:
         """Store the circuits agreed by the control tier as the last known ones."""
         if not self.fallback.accept_view(circuits, now):
             return
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -143,7 +143,7 @@
             case DecisionReply():
                 self.access.decision_answered(message)
             case CircuitsView():
-                self.state.take_circuits(message, self.now)
+                self.state.apply_circuits(message, self.now)
             case AttemptReportsReply():
                 self.access.reports.acknowledged(message.sequence)
             case _:
