--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -320,7 +320,7 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(reply)
             return
-        self._reports.add(self._late_decisions.answered(reply))
+        self._reports.add(self._late_decisions.release_unused(reply))
 
     def _heartbeat_answered(self, reply: RouterHeartbeatReply, now: float) -> None:
         self._finder.record_leader_contact(now)
--- a/src/orchidpath/router/fleet_link/late_decisions.py
+++ b/src/orchidpath/router/fleet_link/late_decisions.py
@@ -36,7 +36,7 @@
         if len(self._used) > MAX_STORED_REQUESTS:
             self._used.popitem(last=False)
 
-    def answered(self, reply: DecisionReply) -> list[AttemptReport]:
+    def release_unused(self, reply: DecisionReply) -> list[AttemptReport]:
         """Return neutral reports for the unused workers of a late reply.
 
         The list is empty for a reply to a request that is not stored.
--- a/src/orchidpath/simulation/requests/simulated_fleet_access.py
+++ b/src/orchidpath/simulation/requests/simulated_fleet_access.py
@@ -149,7 +149,7 @@
         if waiting is not None:
             waiting.resume(reply)
             return
-        self.reports.add(self._late_decisions.answered(reply))
+        self.reports.add(self._late_decisions.release_unused(reply))
 
     def record_local_decision(self, attempt_id: str, worker_ids: Collection[str]) -> None:
         """Record which workers the router chose without the leader."""
--- a/tests/router/test_late_decisions.py
+++ b/tests/router/test_late_decisions.py
@@ -16,8 +16,8 @@
         Choice(stage=Stage.PREFILL, worker_id="p1"),
         Choice(stage=Stage.DECODE, worker_id="d2", probe_generation=4),
     )
-    reports = late.answered(DecisionReply(correlation=7, term=1, choices=choices))
+    reports = late.release_unused(DecisionReply(correlation=7, term=1, choices=choices))
     assert [(report.worker_id, report.effect, report.probe_generation) for report in reports] == [
         ("d2", AttemptEffect.GATEWAY, 4)
     ]
-    assert late.answered(DecisionReply(correlation=7, term=1, choices=choices)) == []
+    assert late.release_unused(DecisionReply(correlation=7, term=1, choices=choices)) == []
