--- a/src/orchidpath/router/fleet_link/control_link.py
+++ b/src/orchidpath/router/fleet_link/control_link.py
@@ -310,7 +310,7 @@
             case CircuitsView() if self._listener_object is not None:
                 self._listener_object.circuits_received(message)
             case AttemptReportsReply():
-                self._reports.acknowledged(message.sequence)
+                self._reports.record_acknowledgement(message.sequence)
             case _:
                 self._logger.debug("unused_message", kind=type(message).__name__)
 
--- a/src/orchidpath/router/fleet_link/report_queue.py
+++ b/src/orchidpath/router/fleet_link/report_queue.py
@@ -52,7 +52,7 @@
             batches.append(self._next_batch(now))
         return batches
 
-    def acknowledged(self, sequence: int) -> None:
+    def record_acknowledgement(self, sequence: int) -> None:
         """Remove a batch that the leader has acknowledged."""
         self._unacknowledged.pop(sequence, None)
 
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -145,7 +145,7 @@
             case CircuitsView():
                 self.state.apply_circuits(message, self.now)
             case AttemptReportsReply():
-                self.access.reports.acknowledged(message.sequence)
+                self.access.reports.record_acknowledgement(message.sequence)
             case _:
                 super().on_message(sender_id, message)
         if isinstance(message, RouterHeartbeatReply) and message.term > self._term:
--- a/tests/router/test_report_queue.py
+++ b/tests/router/test_report_queue.py
@@ -22,7 +22,7 @@
     assert queue.due(REPEAT_SECONDS / 2) == []
     assert queue.due(REPEAT_SECONDS) == first
     assert queue.unacknowledged() == (attempt_report(1),)
-    queue.acknowledged(1)
+    queue.record_acknowledgement(1)
     assert queue.due(10 * REPEAT_SECONDS) == []
     assert queue.unacknowledged() == ()
 
