--- a/src/orchidpath/forwarding/resumable_stream.py
+++ b/src/orchidpath/forwarding/resumable_stream.py
@@ -34,11 +34,11 @@
         return "" if self._last_id is None else str(self._last_id)
 
     @property
-    def can_be_resumed(self) -> bool:
+    def is_resumable(self) -> bool:
         """Whether another worker can resume this response after the last relayed event."""
         return self._is_complete and (not self._has_passed or self._last_id is not None)
 
-    def take(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Add received bytes of a response, and return the bytes that can be relayed now.
 
         Raises
@@ -60,7 +60,7 @@
         rest, self._pending = self._pending, b""
         return rest
 
-    def broke_off(self) -> None:
+    def record_interruption(self) -> None:
         """Discard the bytes of an incomplete event after a worker's response was interrupted."""
         self._pending = b""
 
--- a/src/orchidpath/router/proxy/response_relay.py
+++ b/src/orchidpath/router/proxy/response_relay.py
@@ -59,7 +59,7 @@
         """
         if self._stream is not None:
             try:
-                part = self._stream.take(part)
+                part = self._stream.feed(part)
             except StitchedStreamError as error:
                 raise BrokenResponseError(str(error)) from error
         if part:
@@ -76,8 +76,8 @@
         """Record that the worker failed; return whether another worker can resume the stream."""
         if self._stream is None:
             return False
-        self._stream.broke_off()
-        return self._stream.can_be_resumed
+        self._stream.record_interruption()
+        return self._stream.is_resumable
 
     def close(self) -> None:
         """Abort the caller's connection in the middle of the response."""
