--- a/src/orchidpath/forwarding/resumable_stream.py
+++ b/src/orchidpath/forwarding/resumable_stream.py
@@ -15,7 +15,7 @@
 _ID_FIELD = b"id:"
 
 
-class StitchedStreamError(OrchidpathError):
+class DiscontinuousStreamError(OrchidpathError):
     """A worker did not resume a stream after the last event; its events must not be relayed."""
 
 
@@ -43,7 +43,7 @@
 
         Raises
         ------
-        StitchedStreamError
+        DiscontinuousStreamError
             The id of an event is not greater than that of the event before it.
         """
         self._pending += data
@@ -82,7 +82,7 @@
                 self._is_complete = False
                 continue
             if last_id is not None and int(value) <= last_id:
-                raise StitchedStreamError(
+                raise DiscontinuousStreamError(
                     f"event id {int(value)} follows event id {last_id}, expected a greater id"
                 )
             last_id = int(value)
--- a/src/orchidpath/router/proxy/response_relay.py
+++ b/src/orchidpath/router/proxy/response_relay.py
@@ -4,7 +4,7 @@
 body follows, or the connection is aborted in the middle, so that the response never looks complete.
 """
 
-from orchidpath.forwarding.resumable_stream import ResumableStream, StitchedStreamError
+from orchidpath.forwarding.resumable_stream import DiscontinuousStreamError, ResumableStream
 from orchidpath.router.proxy.protocol_mapping import Header
 from orchidpath.router.proxy.proxy_messages import ResponseHead
 from orchidpath.router.proxy.proxy_server import CallerConnection
@@ -60,7 +60,7 @@
         if self._stream is not None:
             try:
                 part = self._stream.feed(part)
-            except StitchedStreamError as error:
+            except DiscontinuousStreamError as error:
                 raise BrokenResponseError(str(error)) from error
         if part:
             self._caller.send_body(part)
--- a/tests/forwarding/test_resumable_stream.py
+++ b/tests/forwarding/test_resumable_stream.py
@@ -6,8 +6,8 @@
 
 from orchidpath.forwarding.resumable_stream import (
     MAX_EVENT_BYTES,
+    DiscontinuousStreamError,
     ResumableStream,
-    StitchedStreamError,
 )
 
 
@@ -55,7 +55,7 @@
     stream = ResumableStream()
     stream.feed(event(0) + event(1) + event(2))
     stream.record_interruption()
-    with pytest.raises(StitchedStreamError):
+    with pytest.raises(DiscontinuousStreamError):
         stream.feed(event(number))
 
 
