--- a/src/orchidpath/forwarding/proxy/proxy_core.py
+++ b/src/orchidpath/forwarding/proxy/proxy_core.py
@@ -178,7 +178,7 @@
         if self._response.is_resumable and self._progress.has_workers_left():
             return self._next_round(now)
         self._phase = ProxyPhase.DONE
-        return [effects.AbortResponse(), effects.AbortConnection(), effects.DropCaller()]
+        return [effects.AbortResponse(), effects.AbortConnection(), effects.DisconnectCaller()]
 
     def _end_with_error(self, reason: str, retry_after_seconds: float = 0.0) -> list[ProxyEffect]:
         """End the request with an error response, or abort a response that has begun."""
--- a/src/orchidpath/forwarding/proxy/proxy_effects.py
+++ b/src/orchidpath/forwarding/proxy/proxy_effects.py
@@ -153,7 +153,7 @@
     """Close the caller's connection during the response, so that the caller detects the failure."""
 
 
-class DropCaller(msgspec.Struct, frozen=True):
+class DisconnectCaller(msgspec.Struct, frozen=True):
     """Treat the caller as disconnected: no further request is read from its connection."""
 
 
@@ -167,7 +167,7 @@
     | CountOutcome
     | SendErrorResponse
     | AbortResponse
-    | DropCaller
+    | DisconnectCaller
 )
 
 ProxyEffect = ProxyAction | ProxyOperation
--- a/src/orchidpath/router/proxy/proxy_runner.py
+++ b/src/orchidpath/router/proxy/proxy_runner.py
@@ -124,7 +124,7 @@
                 self._send_error_response(action)
             case effects.AbortResponse():
                 self._response.close()
-            case effects.DropCaller():
+            case effects.DisconnectCaller():
                 raise CallerDisconnectedError("the response was aborted before its end")
             case effects.AbortConnection():
                 self._exchange.abort()
--- a/tests/forwarding/proxy/test_proxy_machine.py
+++ b/tests/forwarding/proxy/test_proxy_machine.py
@@ -157,7 +157,7 @@
     driver = awaiting_head(repetition=Repetition.WHOLE).take(head())
     driver.take(events.StreamBroken(is_resumable=False, last_event_id=""))
     assert driver.has_effect(effects.AbortResponse)
-    assert isinstance(driver.effects[-1], effects.DropCaller)
+    assert isinstance(driver.effects[-1], effects.DisconnectCaller)
 
 
 def test_the_deadline_aborts_a_begun_response_and_answers_504_otherwise() -> None:
