--- a/src/orchidpath/forwarding/proxy/proxy_core.py
+++ b/src/orchidpath/forwarding/proxy/proxy_core.py
@@ -155,7 +155,7 @@
     ) -> list[ProxyEffect]:
         reports = [
             self._report_failed(observed, status),
-            effects.ReportRest(Observed.GATEWAY_FAULT),
+            effects.ReportRemaining(Observed.GATEWAY_FAULT),
         ]
         if not self._progress.has_workers_left():
             # The decode worker can prefill the prompt itself, which uses no further worker.
--- a/src/orchidpath/forwarding/proxy/proxy_effects.py
+++ b/src/orchidpath/forwarding/proxy/proxy_effects.py
@@ -103,7 +103,7 @@
     status: int | None = None
 
 
-class ReportRest(msgspec.Struct, frozen=True):
+class ReportRemaining(msgspec.Struct, frozen=True):
     """Report the same outcome for every worker whose outcome was not reported yet."""
 
     observed: Observed
@@ -159,7 +159,7 @@
 
 ProxyAction = (
     Report
-    | ReportRest
+    | ReportRemaining
     | RecordPrefillDone
     | RecordDelay
     | AbortConnection
--- a/src/orchidpath/forwarding/proxy/proxy_machine.py
+++ b/src/orchidpath/forwarding/proxy/proxy_machine.py
@@ -112,7 +112,7 @@
     def _prefill_send_refused(self, event: events.SendRefused, now: float) -> list[ProxyEffect]:
         return [
             self._report_failed(Observed.GATEWAY_FAULT),
-            effects.ReportRest(Observed.GATEWAY_FAULT),
+            effects.ReportRemaining(Observed.GATEWAY_FAULT),
             *self._after_send_refused(event, now),
         ]
 
@@ -251,7 +251,7 @@
         self._phase = ProxyPhase.DONE
         timed_out = self._progress.last_failure is FailureKind.TIMED_OUT
         observed = Observed.TIMED_OUT if timed_out else Observed.CLIENT_CANCELLED
-        return [effects.ReportRest(observed), *self._release_handle()]
+        return [effects.ReportRemaining(observed), *self._release_handle()]
 
 
 _Transition = Callable[[ProxyMachine, Any, float], list[ProxyEffect]]
--- a/src/orchidpath/router/proxy/proxy_runner.py
+++ b/src/orchidpath/router/proxy/proxy_runner.py
@@ -137,7 +137,7 @@
         match action:
             case effects.Report():
                 self._attempts.report_end(action.chosen, action.observed, action.status)
-            case effects.ReportRest():
+            case effects.ReportRemaining():
                 self._attempts.report_all_ended(action.observed)
             case effects.RecordPrefillDone():
                 self._attempts.report_prefill_done(action.chosen)
--- a/tests/forwarding/proxy/test_proxy_machine.py
+++ b/tests/forwarding/proxy/test_proxy_machine.py
@@ -163,7 +163,7 @@
 def test_the_deadline_aborts_a_begun_response_and_answers_504_otherwise() -> None:
     driver = awaiting_head().take(events.DeadlinePassed())
     assert driver.single_effect(effects.SendErrorResponse).status == 504
-    assert driver.take(events.RequestClosed()).single_effect(effects.ReportRest).observed is (
+    assert driver.take(events.RequestClosed()).single_effect(effects.ReportRemaining).observed is (
         Observed.TIMED_OUT
     )
     streaming = awaiting_head().take(head(), events.DeadlinePassed())
@@ -173,7 +173,7 @@
 
 def test_the_cache_of_a_disconnected_caller_is_released() -> None:
     driver = transferring().take(events.RequestClosed())
-    assert driver.single_effect(effects.ReportRest).observed is Observed.CLIENT_CANCELLED
+    assert driver.single_effect(effects.ReportRemaining).observed is Observed.CLIENT_CANCELLED
     assert driver.has_effect(effects.ReleaseHandle)
 
 
