--- a/src/orchidpath/control/leadership/plan_driver.py
+++ b/src/orchidpath/control/leadership/plan_driver.py
@@ -162,7 +162,7 @@
         if entry is None:
             return
         watched = self._watched[action.step]
-        watched.watch = msgspec.structs.replace(watched.watch, ordered_at=now)
+        watched.watch = msgspec.structs.replace(watched.watch, command_sent_at=now)
         self._command(entry.record, action.kind, action.stage)
 
     def _command(self, worker: WorkerRecord, kind: WorkerCommandKind, stage: Stage | None) -> None:
--- a/src/orchidpath/placement/execution.py
+++ b/src/orchidpath/placement/execution.py
@@ -46,13 +46,13 @@
 class StepWatch(msgspec.Struct, frozen=True, kw_only=True):
     """The leader's observations of one step in its current phase, since the leader was elected.
 
-    ``since`` is when the leader first saw the step in this phase, and ``ordered_at`` when it last
+    ``since`` is when the leader first saw the step in this phase, and ``command_sent_at`` when it last
     sent a command in this phase, both in monotonic seconds. ``accepted`` is the newest command
     that the worker accepted in this phase.
     """
 
     since: float
-    ordered_at: float = float("-inf")
+    command_sent_at: float = float("-inf")
     accepted: WorkerCommandKind | None = None
 
 
@@ -205,7 +205,7 @@
     phase = record.progress.steps[position].phase
     if phase is StepPhase.CORDONING:
         return None
-    if situation.now - situation.watches[position].ordered_at < COMMAND_REPEAT_SECONDS:
+    if situation.now - situation.watches[position].command_sent_at < COMMAND_REPEAT_SECONDS:
         return None
     if phase is StepPhase.DRAINING:
         return SendStepCommand(step=position, kind=WorkerCommandKind.DRAIN)
