--- a/src/orchidpath/placement/execution.py
+++ b/src/orchidpath/placement/execution.py
@@ -15,8 +15,8 @@
     PlanRecord,
     PlanStatus,
     StepPhase,
-    begin_objection,
     cordoned_count,
+    step_start_obstacle,
 )
 from orchidpath.wire.backend import WorkerCommandKind
 from orchidpath.wire.records import Stage, WorkerRecord, WorkerStatus
@@ -137,7 +137,7 @@
         seen_services.add(step.service)
         if cordoned_count(record, step.service) >= record.plan.bounds_of(step.service).max_cordoned:
             continue
-        objection = begin_objection(record, position, situation.workers.values())
+        objection = step_start_obstacle(record, position, situation.workers.values())
         if objection:
             return [Stop(reason=objection)]
         actions.append(
--- a/src/orchidpath/state/plan_state.py
+++ b/src/orchidpath/state/plan_state.py
@@ -32,8 +32,8 @@
     StepPhase,
     StepProgress,
     basis_digest,
-    begin_objection,
     cordoned_count,
+    step_start_obstacle,
 )
 from orchidpath.wire.records import WorkerRecord
 
@@ -240,7 +240,7 @@
         service = record.plan.steps[position].service
         if cordoned_count(record, service) >= record.plan.bounds_of(service).max_cordoned:
             return False
-        return not begin_objection(record, position, workers)
+        return not step_start_obstacle(record, position, workers)
 
     def _enter_phase(self, record: PlanRecord, command: AdvanceStep, changed: StepProgress) -> None:
         """Store a step's progress and update the plan's status accordingly."""
--- a/src/orchidpath/state/plans.py
+++ b/src/orchidpath/state/plans.py
@@ -213,7 +213,7 @@
     return worker.status is WorkerStatus.READY and not worker.cordoned
 
 
-def begin_objection(record: PlanRecord, position: int, workers: Iterable[WorkerRecord]) -> str:
+def step_start_obstacle(record: PlanRecord, position: int, workers: Iterable[WorkerRecord]) -> str:
     """Return the reason why a waiting step may not begin; empty if it may.
 
     The leader checks this before it proposes the step. It is checked again when the step is
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -141,8 +141,8 @@
 
 def begin_without_check(monkeypatch: pytest.MonkeyPatch) -> None:
     """Disable the check of the bounds before a step begins."""
-    monkeypatch.setattr(plan_state, "begin_objection", lambda *_: "")
-    monkeypatch.setattr(execution, "begin_objection", lambda *_: "")
+    monkeypatch.setattr(plan_state, "step_start_obstacle", lambda *_: "")
+    monkeypatch.setattr(execution, "step_start_obstacle", lambda *_: "")
 
 
 def lose_a_prefill_worker_outside_the_plan(environment: PlanEnvironment) -> None:
