--- a/src/orchidpath/circuit/deciding_circuits.py
+++ b/src/orchidpath/circuit/base_circuits.py
@@ -23,7 +23,7 @@
 from orchidpath.wire.records import WorkerRecord
 
 
-class DecidingCircuits:
+class BaseCircuits:
     """Base class with the counters, the policy and the load bound for decisions on attempts.
 
     Parameters
--- a/src/orchidpath/circuit/circuit_table.py
+++ b/src/orchidpath/circuit/circuit_table.py
@@ -14,8 +14,8 @@
 import random
 from collections.abc import Sequence
 
+from orchidpath.circuit.base_circuits import BaseCircuits
 from orchidpath.circuit.breaker import BreakerEvent
-from orchidpath.circuit.deciding_circuits import DecidingCircuits
 from orchidpath.circuit.decision_outcomes import Decided, NeedsTransition, WorkerCircuitView
 from orchidpath.circuit.selection import DEFAULT_LOAD_BOUND_FACTOR, Selection, StageCircuits
 from orchidpath.circuit.transitions import CapacityTransition, CircuitTransition
@@ -38,7 +38,7 @@
 __all__ = ["CircuitTable", "Decided", "NeedsTransition", "WorkerCircuitView"]
 
 
-class CircuitTable(DecidingCircuits):
+class CircuitTable(BaseCircuits):
     """Authoritative circuits of the leader for one term; each new term creates a new table.
 
     Parameters
--- a/src/orchidpath/circuit/fallback.py
+++ b/src/orchidpath/circuit/fallback.py
@@ -26,8 +26,8 @@
 
 import msgspec
 
+from orchidpath.circuit.base_circuits import BaseCircuits
 from orchidpath.circuit.breaker import BreakerEvent
-from orchidpath.circuit.deciding_circuits import DecidingCircuits
 from orchidpath.circuit.in_flight import Registration
 from orchidpath.circuit.own_probes import OwnProbes
 from orchidpath.circuit.registry import TrackedWorker
@@ -76,7 +76,7 @@
     selection: Selection
 
 
-class FallbackCircuits(DecidingCircuits):
+class FallbackCircuits(BaseCircuits):
     """Circuits from the last view of the leader, with a router's own observations.
 
     Parameters
