--- a/src/orchidpath/circuit/fallback.py
+++ b/src/orchidpath/circuit/fallback.py
@@ -153,7 +153,7 @@
         reply = self._register(request, term, per_stage, selection, now)
         return _without_probes(reply)
 
-    def register_decided(
+    def register_leader_decision(
         self, request_id: str, attempt_id: str, choices: Sequence[Choice], now: float
     ) -> None:
         """Register an attempt in flight whose workers the leader selected.
--- a/src/orchidpath/router/decision_maker.py
+++ b/src/orchidpath/router/decision_maker.py
@@ -176,7 +176,7 @@
             self._record(request, fallback_reply, DecidedBy.ROUTER)
             return fallback_reply
         self._loads.update(reply.states, now)
-        self._state.fallback.register_decided(
+        self._state.fallback.register_leader_decision(
             request.request_id, request.attempt_id, reply.choices, now
         )
         self._record(request, reply, DecidedBy.LEADER)
--- a/tests/circuit/test_circuit_fallback.py
+++ b/tests/circuit/test_circuit_fallback.py
@@ -129,7 +129,7 @@
 def test_a_probe_of_the_leader_in_flight_here_blocks_an_own_one() -> None:
     fallback = fallback_of("a", "b")
     granted = Choice(stage=Stage.PLAIN, worker_id="a", probe_generation=2)
-    fallback.register_decided("r", "leader's", [granted], 0.0)
+    fallback.register_leader_decision("r", "leader's", [granted], 0.0)
     fallback.accept_view(view_of(cooldown_record(1), 1), 0.0)
     assert choose(fallback, "1", "ab", 60.0) == "b"
     ended = report("leader's", "a", AttemptEffect.GATEWAY, probe_generation=2)
