--- a/src/orchidpath/state/fleet_state_reader.py
+++ b/src/orchidpath/state/fleet_state_reader.py
@@ -76,7 +76,7 @@
                 history=self._configuration.history(),
                 orders=self._configuration.updates(),
                 workers=self._workers.entries(),
-                dead_incarnations=self._workers.dead(),
+                dead_incarnations=self._workers.dead_incarnations(),
                 cordoned_workers=self._workers.cordoned(),
                 routers=list(self.routers()),
                 witness_sets=self._routers.witness_sets(),
--- a/src/orchidpath/state/workers.py
+++ b/src/orchidpath/state/workers.py
@@ -80,7 +80,7 @@
         """Return the registered workers, sorted by id."""
         return [self._entries[worker_id] for worker_id in sorted(self._entries)]
 
-    def dead(self) -> list[DeadIncarnation]:
+    def dead_incarnations(self) -> list[DeadIncarnation]:
         """Return the dead incarnations, oldest first."""
         return [
             DeadIncarnation(worker_id=worker_id, incarnation=incarnation, sequence=sequence)
--- a/tests/state/test_workers.py
+++ b/tests/state/test_workers.py
@@ -65,7 +65,7 @@
         table.announce(worker(f"w{number}"), 1)
         table.cordon(f"w{number}", True)
         table.remove(f"w{number}", "a", 1)
-    assert [ended.worker_id for ended in table.dead()] == ["w2", "w3"]
+    assert [ended.worker_id for ended in table.dead_incarnations()] == ["w2", "w3"]
     assert table.cordoned() == ["w2", "w3"]
 
 
