--- a/src/orchidpath/forwarding/progress.py
+++ b/src/orchidpath/forwarding/progress.py
@@ -120,7 +120,7 @@
 
     def record_prefill_failure(self, now: float) -> None:
         """Charge the retry budget for a dispatched prefill that failed or timed out."""
-        self._budget.record_extra(now)
+        self._budget.record_extra_attempt(now)
 
     def may_dispatch(self, worker_id: str, now: float) -> bool:
         """Return whether the request itself may be dispatched to a worker now.
--- a/src/orchidpath/routing/retry_budget.py
+++ b/src/orchidpath/routing/retry_budget.py
@@ -153,7 +153,7 @@
         self._retries.add(now)
         return True
 
-    def record_extra(self, now: float) -> None:
+    def record_extra_attempt(self, now: float) -> None:
         """Count a dispatch that has proved to be an extra attempt, even if the budget is exhausted.
 
         Parameters
--- a/tests/router/proxy_recording.py
+++ b/tests/router/proxy_recording.py
@@ -186,8 +186,8 @@
         self._log.add_budget("granted" if is_granted else "denied")
         return is_granted
 
-    def record_extra(self, now: float) -> None:
-        super().record_extra(now)
+    def record_extra_attempt(self, now: float) -> None:
+        super().record_extra_attempt(now)
         self._log.add_budget("extra")
 
     def record_first_attempt(self, now: float) -> None:
