--- a/src/orchidpath/routing/kv_transfer_evidence.py
+++ b/src/orchidpath/routing/kv_transfer_evidence.py
@@ -101,7 +101,7 @@
 }
 
 
-def charge_of(verdict: TransferVerdict) -> TransferCharge:
+def attempt_effects_of(verdict: TransferVerdict) -> TransferCharge:
     """Return the attempt effects to report for a verdict.
 
     Parameters
--- a/src/orchidpath/routing/request/core.py
+++ b/src/orchidpath/routing/request/core.py
@@ -15,7 +15,7 @@
 from orchidpath.routing.kv_transfer_evidence import (
     TransferEvidenceTable,
     TransferFailure,
-    charge_of,
+    attempt_effects_of,
 )
 from orchidpath.routing.request import events
 from orchidpath.routing.request.attempt_reports import (
@@ -162,7 +162,7 @@
                 handle_expires_at=self._handle_expires_at,
             )
             verdict = self._shared.kv_transfer_evidence.record_failure(failure, now)
-            return self._reports.report_kv_transfer(attempt, charge_of(verdict), reason)
+            return self._reports.report_kv_transfer(attempt, attempt_effects_of(verdict), reason)
         failed = self._reports.report(attempt, stage, effect, reason)
         if stage is Stage.DECODE:
             return [*failed, *self._reports.report_rest(attempt, AttemptEffect.SUCCESS, "read")]
--- a/tests/routing/test_kv_transfer_evidence.py
+++ b/tests/routing/test_kv_transfer_evidence.py
@@ -14,7 +14,7 @@
     TransferEvidenceTable,
     TransferFailure,
     TransferVerdict,
-    charge_of,
+    attempt_effects_of,
 )
 from orchidpath.wire.messages import AttemptEffect
 
@@ -142,7 +142,7 @@
         NEUTRAL: (neutral, neutral),
     }
     for verdict in TransferVerdict:
-        charge = charge_of(verdict)
+        charge = attempt_effects_of(verdict)
         assert (charge.prefill_effect, charge.decode_effect) == expected[verdict]
 
 
