--- a/src/orchidpath/placement/execution.py
+++ b/src/orchidpath/placement/execution.py
@@ -46,8 +46,8 @@
 class StepWatch(msgspec.Struct, frozen=True, kw_only=True):
     """The leader's observations of one step in its current phase, since the leader was elected.
 
-    ``since`` is when the leader first saw the step in this phase, and ``command_sent_at`` when it last
-    sent a command in this phase, both in monotonic seconds. ``accepted`` is the newest command
+    ``since`` is when the leader first saw the step in this phase, and ``command_sent_at`` when it
+    last sent a command in this phase, both in monotonic seconds. ``accepted`` is the newest command
     that the worker accepted in this phase.
     """
 
