--- a/src/orchidpath/circuit/attempt_table.py
+++ b/src/orchidpath/circuit/attempt_table.py
@@ -42,7 +42,7 @@
         retention_seconds = max(policy.health_window_seconds, 2 * policy.in_flight_ttl_seconds)
         self._reported: ExpiringSet[AttemptWorker] = ExpiringSet(retention_seconds)
         self._ended: ExpiringSet[str] = ExpiringSet(retention_seconds)
-        self._charged: ExpiringSet[RequestWorker] = ExpiringSet(retention_seconds)
+        self._counted: ExpiringSet[RequestWorker] = ExpiringSet(retention_seconds)
         self._now = 0.0
 
     def advance(self, now: float) -> None:
@@ -103,7 +103,7 @@
         """
         return self._ended.contains(attempt_id, self._now)
 
-    def is_charged(self, report: AttemptReport) -> bool:
+    def is_counted(self, report: AttemptReport) -> bool:
         """Return whether a failure of the report's request was already counted on its worker.
 
         Parameters
@@ -117,9 +117,9 @@
             True when a transient failure has been counted.
         """
         key = RequestWorker(report.request_id, report.worker_id)
-        return self._charged.contains(key, self._now)
+        return self._counted.contains(key, self._now)
 
-    def charge(self, report: AttemptReport) -> None:
+    def mark_counted(self, report: AttemptReport) -> None:
         """Record that a transient failure of the report's request was counted on its worker.
 
         Parameters
@@ -127,7 +127,7 @@
         report
             The report.
         """
-        self._charged.add(RequestWorker(report.request_id, report.worker_id), self._now)
+        self._counted.add(RequestWorker(report.request_id, report.worker_id), self._now)
 
     def restore(self, mark: InFlightMark) -> None:
         """Register an attempt that started under an earlier leader, unless it was reported.
--- a/src/orchidpath/circuit/counters.py
+++ b/src/orchidpath/circuit/counters.py
@@ -216,12 +216,12 @@
             effect=report.effect,
             probe_generation=probe_generation,
             started_generation=started_generation,
-            charged_before=self.attempt_table.is_charged(report),
+            charged_before=self.attempt_table.is_counted(report),
         )
         failures_before = worker.circuit.transient_failures
         event = worker.circuit.record_outcome(outcome, self.policy.allowed_fails, now)
         if worker.circuit.transient_failures > failures_before:
-            self.attempt_table.charge(report)
+            self.attempt_table.mark_counted(report)
         return event
 
     def states(self, per_stage: Sequence[StageCircuits], now: float) -> tuple[CandidateState, ...]:
