--- a/src/orchidpath/control/api/local_access.py
+++ b/src/orchidpath/control/api/local_access.py
@@ -200,7 +200,7 @@
         addresses = tuple(member.http_address for member in members if member.http_address)
         return AnnouncementReply(accepted=accepted, announce_to=addresses)
 
-    async def agree_on_departure(self, announcement: Announcement) -> bool:
+    async def wait_for_departure(self, announcement: Announcement) -> bool:
         """Forward that a worker drains or leaves, and wait until the replicated state shows it.
 
         The announcement is forwarded again before each read of the state.
