--- a/tests/tools/test_write_shapes.py
+++ b/tests/tools/test_write_shapes.py
@@ -54,10 +54,10 @@
 def test_days_are_written_by_the_interpreter_alone() -> None:
     """`python3 deploy/write_days.py` runs without the packages that this project depends on."""
     days = tool("write_days")
-    trouble = days.Trouble("core_cut", False, {"count": 1, "how": "leader race"})
-    day = tomllib.loads(days.day_text("a-day", 7, [trouble]))
-    assert [entry["at"] for entry in day["faults"]] == list(days.MOMENTS_SECONDS)
+    variant = days.EventVariant("core_cut", False, {"count": 1, "how": "leader race"})
+    day = tomllib.loads(days.day_text("a-day", 7, [variant]))
+    assert [entry["at"] for entry in day["faults"]] == list(days.EVENT_TIMES_SECONDS)
     assert day["faults"][0]["how"] == "leader race"
-    assert trouble.name == "core_cut-leader-race"
+    assert variant.name == "core_cut-leader-race"
     for name in ("write_days", "write_shapes"):
         assert "msgspec" not in (ROOT / "deploy" / f"{name}.py").read_text()
