--- a/src/orchidpath/control/worker_commands.py
+++ b/src/orchidpath/control/worker_commands.py
@@ -34,7 +34,7 @@
         """Return the HTTP body of a command."""
         return msgspec.json.encode(command)
 
-    def read_answer(self, command: WorkerCommand, status: int, body: bytes) -> WorkerCommandReply:
+    def read_reply(self, command: WorkerCommand, status: int, body: bytes) -> WorkerCommandReply:
         """Return a worker's reply, decoded from its HTTP status and body.
 
         Raises
@@ -91,7 +91,7 @@
             )
             async with posted as response:
                 content = await response.read()
-                reply = self._format.read_answer(command, response.status, content)
+                reply = self._format.read_reply(command, response.status, content)
         except (aiohttp.ClientError, TimeoutError, msgspec.MsgspecError, ValueError):
             reply = None  # the sender of the command repeats it until it has taken effect
         self._on_answer(command, reply)
--- a/tests/adapter/test_command_format.py
+++ b/tests/adapter/test_command_format.py
@@ -20,7 +20,7 @@
     body = json.loads(command_format.body(command))
     assert body == {"op": "stage", "stage": "prefill", "holder": "front-z-1", "fence": 41}
     assert command_format.headers(command)["X-Target-Instance"] == "i-1"
-    assert command_format.read_answer(command, 202, b"").accepted
-    assert command_format.read_answer(command, 200, b"").accepted
-    assert not command_format.read_answer(command, 409, b"").accepted
-    assert not command_format.read_answer(command, 412, b"").accepted
+    assert command_format.read_reply(command, 202, b"").accepted
+    assert command_format.read_reply(command, 200, b"").accepted
+    assert not command_format.read_reply(command, 409, b"").accepted
+    assert not command_format.read_reply(command, 412, b"").accepted
--- a/tests/control/test_worker_commands.py
+++ b/tests/control/test_worker_commands.py
@@ -172,7 +172,7 @@
             self.announce(worker)
         if status is not None:
             form = PlatformCommandFormat(self.machine)
-            self.balancer.command_answered(command, form.read_answer(command, status, b""))
+            self.balancer.command_answered(command, form.read_reply(command, status, b""))
 
     def _apply(
         self, command: SubmitConfiguration | WorkerChanged | CordonWorker | WorkerRemoved
