--- a/src/orchidpath/emulators/backend/backend_core.py
+++ b/src/orchidpath/emulators/backend/backend_core.py
@@ -224,7 +224,7 @@
             return "another worker"
         if command.incarnation != self._record.incarnation:
             return "another incarnation"
-        if not self.fence.pass_order(command):
+        if not self.fence.advance(command):
             return ErrorCode.STALE_ORDER.value
         if command.kind is not WorkerCommandKind.SET_STAGE:
             return ""
--- a/src/orchidpath/emulators/backend/command_fence.py
+++ b/src/orchidpath/emulators/backend/command_fence.py
@@ -14,7 +14,7 @@
         self.term = 0
         self.sequence = 0
 
-    def pass_order(self, command: WorkerCommand) -> bool:
+    def advance(self, command: WorkerCommand) -> bool:
         """Raise the fence to a newer command and return whether the command was newer.
 
         Parameters
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -437,7 +437,7 @@
 def test_without_fencing_a_worker_accepts_commands_of_both_leaders(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(CommandFence, "pass_order", lambda *_: True)
+    monkeypatch.setattr(CommandFence, "advance", lambda *_: True)
     environment = build_environment()
     old, new = commands_of_two_leaders(environment)
     assert environment.execute(new).accepted
--- a/tests/simulation/test_plan_simulation.py
+++ b/tests/simulation/test_plan_simulation.py
@@ -63,7 +63,7 @@
 
 
 def test_workers_without_fencing_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(CommandFence, "pass_order", lambda *_: True)
+    monkeypatch.setattr(CommandFence, "advance", lambda *_: True)
     assert is_detected(Scenario.PARTITIONS, "switched while")
 
 
