--- a/src/orchidpath/simulation/environment.py
+++ b/src/orchidpath/simulation/environment.py
@@ -141,7 +141,7 @@
     def __init__(self, environment: SimulatedEnvironment, address: str) -> None:
         self.environment = environment
         self.address = address
-        self.alive = False
+        self.is_running = False
         self.frozen = False
         self.epoch = 0
         self._deferred_actions: deque[Callable[[], None]] = deque()
@@ -175,9 +175,9 @@
 
     def start(self) -> None:
         """Start the process if it is not running."""
-        if self.alive:
+        if self.is_running:
             return
-        self.alive = True
+        self.is_running = True
         self.frozen = False
         self.epoch += 1
         self._deferred_actions.clear()
@@ -185,15 +185,15 @@
 
     def kill(self) -> None:
         """Kill the process, if it is running, and discard its deferred actions."""
-        if self.alive:
-            self.alive = False
+        if self.is_running:
+            self.is_running = False
             self.epoch += 1
             self._deferred_actions.clear()
             self.on_kill()
 
     def freeze(self, duration_seconds: float) -> None:
         """Freeze the process; its actions and received messages are deferred until it resumes."""
-        if not self.alive or self.frozen:
+        if not self.is_running or self.frozen:
             return
         self.frozen = True
         epoch = self.epoch
@@ -215,7 +215,7 @@
 
     def deliver(self, sender_id: str, message: Message) -> None:
         """Receive a message from the network; it is dropped if the process is not running."""
-        if self.alive:
+        if self.is_running:
             self._run(self.epoch, lambda: self.on_message(sender_id, message))
 
     def send(self, address: str, message: Message, node_id: str = "") -> None:
@@ -223,7 +223,7 @@
         self.environment.transmit(self, address, message, node_id)
 
     def _run(self, epoch: int, action: Callable[[], None]) -> None:
-        if not self.alive or epoch != self.epoch:
+        if not self.is_running or epoch != self.epoch:
             return
         if self.frozen:
             self._deferred_actions.append(action)
@@ -231,7 +231,7 @@
         action()
 
     def _resume(self, epoch: int) -> None:
-        if not self.alive or epoch != self.epoch:
+        if not self.is_running or epoch != self.epoch:
             return
         self.frozen = False
         while self._deferred_actions and not self.frozen and epoch == self.epoch:
--- a/src/orchidpath/simulation/fault_driver.py
+++ b/src/orchidpath/simulation/fault_driver.py
@@ -237,7 +237,7 @@
         if core is None or not core.raft.membership_committed:
             return False
         voters = core.raft.membership.voters
-        running = {control.node_id for control in self._fleet.controls if control.alive}
+        running = {control.node_id for control in self._fleet.controls if control.is_running}
         complete = all(core.raft.match_index(voter) >= core.raft.commit_index for voter in voters)
         return len(voters) == self._fleet.shape.voters and set(voters) <= running and complete
 
--- a/src/orchidpath/simulation/fleet_simulation.py
+++ b/src/orchidpath/simulation/fleet_simulation.py
@@ -195,7 +195,7 @@
 
     def _has_authority(self, control: ControlNode) -> bool:
         core = control.core
-        running = control.alive and not control.frozen and core is not None
+        running = control.is_running and not control.frozen and core is not None
         return running and core is not None and core.has_authority(control.now)
 
     def _control_turned(self, control: ControlNode) -> None:
@@ -219,7 +219,7 @@
 
     def _router_observed(self, router: RouterNode) -> None:
         view = router.view
-        if view is None or not router.alive or router.frozen:
+        if view is None or not router.is_running or router.frozen:
             return
         self.history.router_observed(
             router.address,
--- a/src/orchidpath/simulation/requests/backend_process.py
+++ b/src/orchidpath/simulation/requests/backend_process.py
@@ -73,7 +73,7 @@
     @property
     def running(self) -> bool:
         """Whether the process runs."""
-        return self.alive
+        return self.is_running
 
     @property
     def record(self) -> WorkerRecord:
@@ -130,7 +130,7 @@
         self.faults.clear()
 
     def _announce(self) -> None:
-        if not self.alive or self.frozen or self.is_dark():
+        if not self.is_running or self.frozen or self.is_dark():
             return
         self._sequence += 1
         announcement = Announcement(record=self.core.record, sequence=self._sequence)
--- a/src/orchidpath/simulation/requests/exchanges.py
+++ b/src/orchidpath/simulation/requests/exchanges.py
@@ -58,7 +58,7 @@
     @property
     def is_alive(self) -> bool:
         """Whether the run of the process that owns this side still continues."""
-        return self.process.alive and self.process.epoch == self.epoch
+        return self.process.is_running and self.process.epoch == self.epoch
 
 
 class Exchange:
@@ -234,7 +234,7 @@
             server = self._environment.processes[server_address]
             if any(link in self._environment.partitioned_links for link in links):
                 client.after(CONNECT_TIMEOUT_SECONDS, on_failed)
-            elif not server.alive:
+            elif not server.is_running:
                 on_failed()
             else:
                 on_connected(self._open(client, server))
--- a/src/orchidpath/simulation/requests/serving_router.py
+++ b/src/orchidpath/simulation/requests/serving_router.py
@@ -125,7 +125,7 @@
 
     def announce(self, announcement: Announcement) -> None:
         """Record a worker's announcement and forward it, if it is newer than the last."""
-        if not self.alive or self.frozen:
+        if not self.is_running or self.frozen:
             return
         if self.access.receive_announcement(announcement):
             self.history.record_announcement(self.address, self.epoch, announcement.record)
--- a/src/orchidpath/simulation/router_node.py
+++ b/src/orchidpath/simulation/router_node.py
@@ -79,7 +79,7 @@
 
     def is_fresh(self) -> bool:
         """Return whether the router would serve a request that arrived now."""
-        running = self.alive and not self.frozen and self.core is not None
+        running = self.is_running and not self.frozen and self.core is not None
         return running and self.core is not None and self.core.is_fresh(self.now)
 
     def on_start(self) -> None:
@@ -96,7 +96,7 @@
 
     def announce(self, announcement: Announcement) -> None:
         """Forward an announcement of a worker to the leader, if the router is running."""
-        if self.alive and not self.frozen:
+        if self.is_running and not self.frozen:
             self._send_to_leader(ForwardedAnnouncements(announcements=(announcement,)))
 
     def on_message(self, sender_id: str, message: Message) -> None:
