--- a/src/orchidpath/simulation/requests/backend_faults.py
+++ b/src/orchidpath/simulation/requests/backend_faults.py
@@ -71,7 +71,7 @@
         self._environment.cut(prefill, decode)
         self._repeat(1.0, self._slow_link)
 
-    def crowd(self) -> None:
+    def overload(self) -> None:
         """Submit bursts of more requests than are admitted, while back ends reject some."""
         self._repeat(BURST_PERIOD_SECONDS, lambda: self._fleet.callers.burst(BURST_REQUESTS))
         self._repeat(1.0, self._go_dark)
@@ -90,7 +90,7 @@
             self._environment.schedule(at + 1.2, backend.kill)
             self._environment.schedule(at + 1.5, backend.start)
 
-    def spoil_anything(self) -> None:
+    def inject_random_fault(self) -> None:
         """Inject back end faults that are selected at random, for the mixed scenario."""
         choices = (
             self._crash,
--- a/src/orchidpath/simulation/scenarios.py
+++ b/src/orchidpath/simulation/scenarios.py
@@ -161,9 +161,9 @@
         Scenario.WORKERS_DRAIN: driver.drain_workers,
         Scenario.HANDLES_EXPIRE: driver.expire_handles,
         Scenario.LINKS_SLOW: driver.slow_links,
-        Scenario.CROWD: driver.crowd,
+        Scenario.CROWD: driver.overload,
         Scenario.CONTROL_LOST_UNDER_LOAD: driver.lose_control,
         Scenario.SERVICES_REPLACED: driver.replace_services,
-        Scenario.MIXED_WITH_REQUESTS: driver.spoil_anything,
+        Scenario.MIXED_WITH_REQUESTS: driver.inject_random_fault,
     }
     begin[scenario]()
