--- a/src/orchidpath/simulation/fleet_simulation.py
+++ b/src/orchidpath/simulation/fleet_simulation.py
@@ -174,8 +174,8 @@
         leader = self.leader()
         assert leader is not None
         assert leader.core is not None
-        order = self.operators.new_order(leader.core.state.configuration_version)
-        self.operators.submit(order)
+        update = self.operators.new_update(leader.core.state.configuration_version)
+        self.operators.submit(update)
         self.environment.run_until(self.environment.time + RECOVERY_SECONDS)
         if self.history.confirmed_updates == before:
             raise InvariantError("no configuration update was confirmed after the faults ended")
--- a/src/orchidpath/simulation/operators.py
+++ b/src/orchidpath/simulation/operators.py
@@ -53,9 +53,9 @@
         base_version = self._read_version()
         competing_updates = 2 if self._environment.random.random() < 0.3 else 1
         for _ in range(competing_updates):
-            self.submit(self.new_order(base_version))
+            self.submit(self.new_update(base_version))
 
-    def new_order(self, base_version: int) -> SubmitConfiguration:
+    def new_update(self, base_version: int) -> SubmitConfiguration:
         """Return a new update whose content differs from all others of the run."""
         number = next(self._numbers)
         service = Service(name=f"service-{number}", kind=ServiceKind.PLAIN)
--- a/src/orchidpath/simulation/requests/serving_fleet.py
+++ b/src/orchidpath/simulation/requests/serving_fleet.py
@@ -79,15 +79,15 @@
 class RequestOperators(Operators):
     """Operators whose configuration updates keep the services that the requests use."""
 
-    def new_order(self, base_version: int) -> SubmitConfiguration:
+    def new_update(self, base_version: int) -> SubmitConfiguration:
         """Return a configuration update that adds unique content to the served configuration."""
-        order = super().new_order(base_version)
+        update = super().new_update(base_version)
         served = request_configuration()
         configuration = msgspec.structs.replace(
-            served, services=[*served.services, *order.configuration.services]
+            served, services=[*served.services, *update.configuration.services]
         )
         return msgspec.structs.replace(
-            order,
+            update,
             configuration=configuration,
             digest=configuration_digest(base_version, configuration),
         )
@@ -156,7 +156,7 @@
         super().start()
         for backend in self.backends:
             backend.start()
-        self.operators.submit(self.operators.new_order(0))
+        self.operators.submit(self.operators.new_update(0))
         self.callers.start()
         self.environment.run_until(self.environment.time + CONVERGENCE_SECONDS)
 
