--- a/src/orchidpath/simulation/control_node.py
+++ b/src/orchidpath/simulation/control_node.py
@@ -87,7 +87,7 @@
         self._tick_at = float("inf")
         self._reply_handlers: dict[int, ReplyHandler] = {}
         self._next_key = 0
-        self.on_turn: Callable[[ControlNode], None] = lambda _node: None
+        self.after_turn: Callable[[ControlNode], None] = lambda _node: None
         self.on_worker_command: Callable[[ControlNode, WorkerCommand], None] = lambda *_: None
 
     @property
@@ -254,7 +254,7 @@
         for effect in effects:
             if not is_record(effect):
                 self._execute(effect)
-        self.on_turn(self)
+        self.after_turn(self)
         self._schedule_tick()
         if self._pending and not self._syncing:
             self._turn()
--- a/src/orchidpath/simulation/fleet_simulation.py
+++ b/src/orchidpath/simulation/fleet_simulation.py
@@ -92,7 +92,7 @@
         self.make_workers(shape)
         self.operators = Operators(self.environment, self.controls, self.history)
         for control in self.controls:
-            control.on_turn = self._control_turned
+            control.after_turn = self._after_control_turn
         for router in self.routers:
             router.on_observed = self._router_observed
 
@@ -198,7 +198,7 @@
         running = control.is_running and not control.frozen and core is not None
         return running and core is not None and core.has_authority(control.now)
 
-    def _control_turned(self, control: ControlNode) -> None:
+    def _after_control_turn(self, control: ControlNode) -> None:
         """Check the invariants that span several processes, after a turn of a control process.
 
         At most one control process has authority. When the leader confirms a newer revision, all
--- a/src/orchidpath/simulation/requests/serving_fleet.py
+++ b/src/orchidpath/simulation/requests/serving_fleet.py
@@ -168,8 +168,8 @@
             backend.start()
             backend.heal()
 
-    def _control_turned(self, control: ControlNode) -> None:
-        super()._control_turned(control)
+    def _after_control_turn(self, control: ControlNode) -> None:
+        super()._after_control_turn(control)
         core = control.core
         if core is None or not core.has_authority(control.now):
             return
