--- a/src/orchidpath/simulation/requests/backend_process.py
+++ b/src/orchidpath/simulation/requests/backend_process.py
@@ -80,7 +80,7 @@
         """Record that the current incarnation announces."""
         return self.core.record
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Crash the process."""
         self.kill()
 
