--- a/src/orchidpath/emulators/client/arrivals.py
+++ b/src/orchidpath/emulators/client/arrivals.py
@@ -11,7 +11,12 @@
 
 import msgspec
 
-from orchidpath.emulators.client.traffic_mix import RatePoint, Swing, TrafficMix, TrafficStream
+from orchidpath.emulators.client.traffic_mix import (
+    RatePoint,
+    RateVariation,
+    TrafficMix,
+    TrafficStream,
+)
 
 
 class Arrival(msgspec.Struct, frozen=True, kw_only=True, order=True):
@@ -47,31 +52,38 @@
     return points[-1].multiplier
 
 
-def rate_variations_of(mix: TrafficMix, stream: TrafficStream) -> list[Swing]:
+def rate_variations_of(mix: TrafficMix, stream: TrafficStream) -> list[RateVariation]:
     """Return the rate variations that apply to a stream."""
-    return [swing for swing in mix.swings if not swing.streams or stream.name in swing.streams]
+    return [
+        variation
+        for variation in mix.swings
+        if not variation.streams or stream.name in variation.streams
+    ]
 
 
-def rate_at(stream: TrafficStream, swings: list[Swing], seconds: float) -> float:
+def rate_at(stream: TrafficStream, variations: list[RateVariation], seconds: float) -> float:
     """Return the rate of a stream at a time, in requests per second."""
     rate = stream.rate_per_second
-    for swing in swings:
-        rate *= multiplier_at(swing.points, seconds)
+    for variation in variations:
+        rate *= multiplier_at(variation.points, seconds)
     return rate
 
 
 def stream_arrivals(
-    stream: TrafficStream, swings: list[Swing], for_seconds: float, generator: random.Random
+    stream: TrafficStream,
+    variations: list[RateVariation],
+    for_seconds: float,
+    generator: random.Random,
 ) -> Iterator[Arrival]:
     """Yield the arrivals of one stream before ``for_seconds``, in order of time."""
     highest_rate = stream.rate_per_second
-    for swing in swings:
-        highest_rate *= max(point.multiplier for point in swing.points)
+    for variation in variations:
+        highest_rate *= max(point.multiplier for point in variation.points)
     if highest_rate <= 0:
         return
     seconds = generator.expovariate(highest_rate)
     while seconds < for_seconds:
-        if generator.random() * highest_rate < rate_at(stream, swings, seconds):
+        if generator.random() * highest_rate < rate_at(stream, variations, seconds):
             yield Arrival(at_seconds=seconds, stream=stream.name)
         seconds += generator.expovariate(highest_rate)
 
--- a/src/orchidpath/emulators/client/traffic_mix.py
+++ b/src/orchidpath/emulators/client/traffic_mix.py
@@ -56,7 +56,7 @@
     multiplier: float
 
 
-class Swing(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class RateVariation(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Variation of the rate over time, for the named streams or, without names, for all."""
 
     points: list[RatePoint]
@@ -80,7 +80,7 @@
     """
 
     streams: list[TrafficStream]
-    swings: list[Swing] = []
+    swings: list[RateVariation] = []
     bursts: list[CrowdBurst] = []
     slow_reader_share: float = 0.0
     slow_reader_pause_seconds: float = 0.2
@@ -132,8 +132,8 @@
     for burst in mix.bursts:
         if burst.stream not in names:
             raise TrafficMixError(f"bursts: no stream is named {burst.stream!r}")
-    for swing in mix.swings:
-        _check_rate_variation(swing, names)
+    for variation in mix.swings:
+        _check_rate_variation(variation, names)
     for share in (mix.slow_reader_share, mix.disconnect_share):
         if not 0.0 <= share <= 1.0:
             raise TrafficMixError(
@@ -154,14 +154,14 @@
         )
 
 
-def _check_rate_variation(swing: Swing, names: set[str]) -> None:
-    if not swing.points:
+def _check_rate_variation(variation: RateVariation, names: set[str]) -> None:
+    if not variation.points:
         raise TrafficMixError("swings: points must contain at least one entry")
-    times = [point.at_seconds for point in swing.points]
+    times = [point.at_seconds for point in variation.points]
     if times != sorted(times):
         raise TrafficMixError("swings: points must be sorted by at_seconds")
-    if any(point.multiplier < 0 for point in swing.points):
+    if any(point.multiplier < 0 for point in variation.points):
         raise TrafficMixError("swings: multiplier must not be negative")
-    unknown = [name for name in swing.streams if name not in names]
+    unknown = [name for name in variation.streams if name not in names]
     if unknown:
         raise TrafficMixError(f"swings: no stream is named {unknown[0]!r}")
--- a/tests/compatibility/http_labels.py
+++ b/tests/compatibility/http_labels.py
@@ -82,7 +82,7 @@
 from orchidpath.emulators.client.traffic_mix import (
     CrowdBurst,
     RatePoint,
-    Swing,
+    RateVariation,
     TokenDistribution,
     TrafficKind,
     TrafficMix,
@@ -282,7 +282,7 @@
     "traffic: traffic mix": TrafficMix,
     "traffic: traffic stream": TrafficStream,
     "traffic: token distribution": TokenDistribution,
-    "traffic: swing": Swing,
+    "traffic: swing": RateVariation,
     "traffic: rate point": RatePoint,
     "traffic: crowd burst": CrowdBurst,
     "link faults: link fault": LinkFault,
--- a/tests/emulators/test_arrivals.py
+++ b/tests/emulators/test_arrivals.py
@@ -4,7 +4,7 @@
 from orchidpath.emulators.client.traffic_mix import (
     CrowdBurst,
     RatePoint,
-    Swing,
+    RateVariation,
     TrafficKind,
     TrafficMix,
     TrafficStream,
@@ -18,7 +18,7 @@
     assert [multiplier_at(points, at) for at in (-1, 0, 50, 100, 200)] == [0, 0, 1, 2, 2]
     mix = TrafficMix(
         streams=[STREAM],
-        swings=[Swing(points=points)],
+        swings=[RateVariation(points=points)],
         bursts=[CrowdBurst(stream="wine", at_seconds=1.0, requests=500)],
     )
     arrivals = list(all_arrivals(mix, 100.0, seed=7))
