--- a/src/orchidpath/emulators/client/traffic_mix.py
+++ b/src/orchidpath/emulators/client/traffic_mix.py
@@ -63,7 +63,7 @@
     streams: list[str] = []
 
 
-class CrowdBurst(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class RequestBurst(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Additional requests of one stream, spread evenly over a short time."""
 
     stream: str
@@ -81,7 +81,7 @@
 
     streams: list[TrafficStream]
     swings: list[RateVariation] = []
-    bursts: list[CrowdBurst] = []
+    bursts: list[RequestBurst] = []
     slow_reader_share: float = 0.0
     slow_reader_pause_seconds: float = 0.2
     disconnect_share: float = 0.0
--- a/tests/compatibility/http_labels.py
+++ b/tests/compatibility/http_labels.py
@@ -80,9 +80,9 @@
 )
 from orchidpath.emulators.client import traffic_mix
 from orchidpath.emulators.client.traffic_mix import (
-    CrowdBurst,
     RatePoint,
     RateVariation,
+    RequestBurst,
     TokenDistribution,
     TrafficKind,
     TrafficMix,
@@ -284,7 +284,7 @@
     "traffic: token distribution": TokenDistribution,
     "traffic: swing": RateVariation,
     "traffic: rate point": RatePoint,
-    "traffic: crowd burst": CrowdBurst,
+    "traffic: crowd burst": RequestBurst,
     "link faults: link fault": LinkFault,
     "link faults: link fault file": LinkFaultFile,
     "stand-in: fault reply": FaultReply,
--- a/tests/emulators/test_arrivals.py
+++ b/tests/emulators/test_arrivals.py
@@ -2,9 +2,9 @@
 
 from orchidpath.emulators.client.arrivals import all_arrivals, multiplier_at
 from orchidpath.emulators.client.traffic_mix import (
-    CrowdBurst,
     RatePoint,
     RateVariation,
+    RequestBurst,
     TrafficKind,
     TrafficMix,
     TrafficStream,
@@ -19,7 +19,7 @@
     mix = TrafficMix(
         streams=[STREAM],
         swings=[RateVariation(points=points)],
-        bursts=[CrowdBurst(stream="wine", at_seconds=1.0, requests=500)],
+        bursts=[RequestBurst(stream="wine", at_seconds=1.0, requests=500)],
     )
     arrivals = list(all_arrivals(mix, 100.0, seed=7))
     times = [arrival.at_seconds for arrival in arrivals]
--- a/tests/emulators/test_caller.py
+++ b/tests/emulators/test_caller.py
@@ -15,7 +15,7 @@
 from orchidpath.emulators.client.return_policy import ReturnPolicy
 from orchidpath.emulators.client.router_client import ChatCompletionRequest, make_session
 from orchidpath.emulators.client.traffic_mix import (
-    CrowdBurst,
+    RequestBurst,
     TokenDistribution,
     TrafficKind,
     TrafficMix,
@@ -136,7 +136,7 @@
     disconnect_share: float = 0.0,
     for_seconds: float = 0.3,
 ) -> CallerSummary:
-    burst = CrowdBurst(stream=stream.name, at_seconds=0.0, requests=REQUESTS, over_seconds=0.0)
+    burst = RequestBurst(stream=stream.name, at_seconds=0.0, requests=REQUESTS, over_seconds=0.0)
     mix = TrafficMix(streams=[stream], bursts=[burst], disconnect_share=disconnect_share)
     settings = CallerSettings(
         routers=tuple(routers),
