--- a/src/orchidpath/cli/fleet.py
+++ b/src/orchidpath/cli/fleet.py
@@ -86,4 +86,4 @@
         click.echo(f"{error.count} {error.outcome} {error.code} ran={error.ran or '-'}")
     for failure in summary.failures:
         click.echo(f"failure: {failure}")
-    click.echo("as promised" if not summary.failures else "not as promised")
+    click.echo("run succeeded" if not summary.failures else "run failed")
