--- a/bench/consensus_replay.py
+++ b/bench/consensus_replay.py
@@ -38,7 +38,7 @@
     replay_seconds = time.perf_counter() - started
     reader.close()
     if len(restored.entries) != entry_count:
-        raise RuntimeError(f"read {len(restored.entries)} of {entry_count} entries")
+        raise RuntimeError(f"the replay returned {len(restored.entries)} of {entry_count} entries")
     return {
         "entries": entry_count,
         "log_bytes": (Path(folder) / "log").stat().st_size,
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -126,7 +126,7 @@
 
 
 async def measure_outages(part: str, trials: int) -> OutageResult:
-    """Kill or freeze the leader ``trials`` times."""
+    """Kill or freeze the leader ``trials`` times, and return the summarized outage times."""
     outages: list[Outage] = []
     async with running_cluster(VOTERS) as cluster:
         fleet = await _start_routers(cluster)
--- a/deploy/write_shapes.py
+++ b/deploy/write_shapes.py
@@ -36,14 +36,14 @@
     Raises
     ------
     UnknownNumberError
-        The site file has no number of that name.
+        The site file contains no number under the name of a factor.
     """
     text = re.sub(r'(?m)^name = "([^"]+)"', rf'name = "\1-{name}"', site_text, count=1)
     for field, factor in factors.items():
         pattern = rf"\b{re.escape(field)} = ([0-9.]+)"
         if re.search(pattern, text) is None:
             known = ", ".join(sorted(set(re.findall(r"\b([a-z_]+) = [0-9]", site_text))))
-            raise UnknownNumberError(f"{name}: {field!r} is none of {known}")
+            raise UnknownNumberError(f"{name}: unknown number {field!r}, expected one of {known}")
         text = re.sub(pattern, lambda found, f=field, x=factor: _scaled(found, f, x), text)
     return text
 
--- a/src/orchidpath/circuit/circuit_table.py
+++ b/src/orchidpath/circuit/circuit_table.py
@@ -273,7 +273,8 @@
             for candidate in stage_candidates.candidates:
                 is_unused = candidate.worker_id not in chosen
                 if candidate.admission is Admission.PROBE_OWNED and is_unused:
-                    # Without the return, no attempt could probe the worker until the grant expires.
+                    # If the probe were not returned, no attempt could probe the worker until the
+                    # grant expires.
                     return self._propose(candidate.worker_id, BreakerEvent.PROBE_RETURNED)
         for choice in selection.choices:
             if choice.candidate.admission is Admission.PROBE_READY:
--- a/src/orchidpath/cli/report.py
+++ b/src/orchidpath/cli/report.py
@@ -73,7 +73,7 @@
     for entry in read_journal(folder):
         if entry.id == run_id:
             return loss_table(entry)
-    raise UnknownRunError(f"{folder} has no run {run_id!r}")
+    raise UnknownRunError(f"the journal {folder} contains no run with the id {run_id!r}")
 
 
 def score_line(entry: JournalEntry) -> str:
--- a/src/orchidpath/control/api/conditional_updates.py
+++ b/src/orchidpath/control/api/conditional_updates.py
@@ -26,7 +26,7 @@
 
 
 class ConditionalUpdateOutcome(StrEnum):
-    """Outcome of a conditional update."""
+    """Whether a conditional update was accepted, and why it was not."""
 
     ACCEPTED = "taken"
     """The update is effective at every serving router."""
--- a/src/orchidpath/control/leadership/plan_driver.py
+++ b/src/orchidpath/control/leadership/plan_driver.py
@@ -34,7 +34,7 @@
 
 
 class _Watched(msgspec.Struct):
-    """What this leadership has observed of a step since its present phase began.
+    """What this leadership has observed of a step since its current phase began.
 
     ``first_sequence`` is the lowest sequence of a command that can belong to the phase.
     """
--- a/src/orchidpath/control/leadership/worker_liveness.py
+++ b/src/orchidpath/control/leadership/worker_liveness.py
@@ -1,4 +1,4 @@
-"""Handles announcements of workers and removes workers that leave or fall silent; no I/O."""
+"""Handles announcements of workers and removes workers that leave or send none; no I/O."""
 
 from collections.abc import Iterable
 
@@ -63,7 +63,8 @@
         entry = self._state.find_worker(record.worker_id)
         if entry is None or entry.record.incarnation != record.incarnation:
             return
-        # With the highest sequence, no announcement in transit can add the worker again.
+        # The removal has the highest sequence, so that no announcement in transit can add the
+        # worker again.
         removal = WorkerRemoved(
             worker_id=record.worker_id, incarnation=record.incarnation, sequence=MAX_SEQUENCE
         )
--- a/src/orchidpath/placement/__init__.py
+++ b/src/orchidpath/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement: where prompts are prefilled, and which workers prefill and which decode."""
+"""Placement of prompts on prefill workers, and of workers in the prefill or decode stage."""
--- a/src/orchidpath/router/chat/request_runner.py
+++ b/src/orchidpath/router/chat/request_runner.py
@@ -217,8 +217,8 @@
         if not self._machine.is_ended:
             self._events.post(decided)
             return
-        # The request ended during the decision: the machine releases the attempt that the decision
-        # registered.
+        # The request ended during the decision, so the machine releases the attempt that was
+        # registered by the decision.
         for late in self._machine.handle(decided, self._environment.clock()):
             self._execute(late)
 
--- a/src/orchidpath/router/decision_maker.py
+++ b/src/orchidpath/router/decision_maker.py
@@ -1,8 +1,8 @@
 """Routing decisions of one router.
 
-A decision chooses the workers of an attempt. The leader makes it; when the leader does not answer
-in time, the router decides by itself on the last known state. How each attempt ended is reported
-to the leader.
+A decision chooses the workers of an attempt. The leader makes the decision. If the leader does not
+reply in time, the router decides locally on the last state that it received. The outcome of each
+attempt is reported to the leader.
 """
 
 from collections.abc import Sequence
--- a/src/orchidpath/router/fleet_link/announced_workers.py
+++ b/src/orchidpath/router/fleet_link/announced_workers.py
@@ -1,7 +1,8 @@
 """Announcements that this router received from workers; pure, no input or output.
 
-They take effect before the agreed view does: a router sends no further requests to a worker that
-announced to it that it is draining, whether or not the control tier has received that announcement.
+An announcement takes effect before the agreed view contains it: a router sends no further requests
+to a worker that announced to it that it is draining, whether or not the control tier has received
+that announcement.
 """
 
 import msgspec
--- a/src/orchidpath/router/fleet_link/leader_finder.py
+++ b/src/orchidpath/router/fleet_link/leader_finder.py
@@ -1,7 +1,7 @@
-"""Control members and current leader as known to one process; pure, no input or output.
+"""The control members and the current leader that one process has stored; no input or output.
 
-Any process of the fleet, seeds included, answers queries for them, so three seed addresses are
-enough to find the leader.
+Every process of the fleet, including the seeds, answers queries for the control members, so three
+seed addresses are enough to find the leader.
 """
 
 from collections.abc import Sequence
--- a/src/orchidpath/router/proxy/proxy_runner.py
+++ b/src/orchidpath/router/proxy/proxy_runner.py
@@ -1,4 +1,4 @@
-"""Runs the state machine of one forwarded request: executes its effects, feeds it the events.
+"""Runs the state machine of one forwarded request: executes effects, passes events to it.
 
 The machine (:mod:`orchidpath.forwarding.proxy.proxy_machine`) makes every decision. This module
 does the I/O: it requests worker choices, exchanges requests and responses with the workers, and
--- a/src/orchidpath/router/proxy/response_relay.py
+++ b/src/orchidpath/router/proxy/response_relay.py
@@ -1,4 +1,4 @@
-"""Relays the response of a worker to the caller, and resumes an interrupted one from another.
+"""Relays a worker's response to the caller; another worker can resume an interrupted stream.
 
 Once the head of a response has been written, no other response can be sent. Either its complete
 body follows, or the connection is aborted in the middle, so that the response never looks complete.
--- a/src/orchidpath/routing/stream.py
+++ b/src/orchidpath/routing/stream.py
@@ -78,8 +78,8 @@
         return StreamVerdict.COMPLETE if self.is_complete else StreamVerdict.MISSING_TERMINAL
 
     def _validate(self, frame: DecodeFrame) -> StreamVerdict:
-        # The ids are checked first: the sequence number of a frame of another stream is meaningless
-        # here.
+        # The ids are checked first, because the sequence number of a frame that belongs to another
+        # stream is meaningless in this one.
         if (frame.request_id, frame.attempt_id) != (self._request_id, self._attempt_id):
             return StreamVerdict.CROSSED
         if self.is_complete:
--- a/src/orchidpath/simulation/plan_simulation.py
+++ b/src/orchidpath/simulation/plan_simulation.py
@@ -272,7 +272,9 @@
         state = self._state()
         for worker in state.workers():
             if worker.cordoned or worker.status is not WorkerStatus.READY:
-                raise InvariantError(f"left behind: {worker.worker_id} {worker.status}")
+                raise InvariantError(
+                    f"{worker.worker_id} was left behind cordoned or not ready: {worker.status}"
+                )
             if self.workers[worker.worker_id].core.record.stage is not worker.stage:
                 raise InvariantError(
                     f"{worker.worker_id} runs another stage than the committed one, {worker.stage}"
@@ -285,7 +287,7 @@
         if prefill != desired_prefill:
             plan = state.plan
             raise InvariantError(
-                f"{prefill} of {desired_prefill} prefill workers: {plan and plan.progress}"
+                f"{prefill} prefill workers instead of {desired_prefill}: {plan and plan.progress}"
             )
 
     def _state(self) -> FleetState:
--- a/src/orchidpath/simulation/requests/simulated_backend.py
+++ b/src/orchidpath/simulation/requests/simulated_backend.py
@@ -200,8 +200,8 @@
     def _failure(self, dispatch: AttemptDispatch) -> ErrorBody | None:
         """Return the injected failure of work that has been executed, or None."""
         if self.foreign_guarantees > 0:
-            # The error guarantees ran=no for another attempt, as from an intermediary that mixes up
-            # responses.
+            # The error guarantees ran=no for another attempt, as if an intermediary had mixed up
+            # two responses.
             self.foreign_guarantees -= 1
             error = self.core.error(dispatch, ErrorCode.INTERNAL, "not run", Ran.NO)
             return msgspec.structs.replace(error, attempt_id=f"{dispatch.attempt_id}-other")
--- a/src/orchidpath/state/commands.py
+++ b/src/orchidpath/state/commands.py
@@ -50,7 +50,7 @@
 
 
 class RemoveRouter(msgspec.Struct, frozen=True, kw_only=True, tag="remove_router"):
-    """Removes a router."""
+    """Removes a router from the registered routers."""
 
     router_id: str
 
--- a/src/orchidpath/tools/journal.py
+++ b/src/orchidpath/tools/journal.py
@@ -58,7 +58,7 @@
 
 
 class JournalEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One run of the bench.
+    """One run of the users' bench, as recorded in its JSON file of the journal.
 
     Attributes
     ----------
--- a/src/orchidpath/tools/measuring.py
+++ b/src/orchidpath/tools/measuring.py
@@ -99,7 +99,7 @@
         There are no figures.
     """
     if not figures:
-        raise ValueError("no quantiles: nothing was measured")
+        raise ValueError("cannot compute quantiles: the set of figures is empty")
     ordered = sorted(figures)
     return Quantiles(
         count=len(ordered),
--- a/tests/adapter/test_platform_path.py
+++ b/tests/adapter/test_platform_path.py
@@ -136,9 +136,9 @@
 async def test_a_long_prompt_whose_prefill_failed_is_rejected_without_decode_side_prefill(
     tmp_path: Path,
 ) -> None:
-    """Long decode-side prefills delay the worker's streams.
+    """Guards against long decode-side prefills, which delay the worker's streams.
 
-    In a bench run, prefills of 20,000 and more tokens delayed every stream of a decode worker.
+    Decode-side prefills of 20,000 and more tokens delayed every stream of a decode worker.
     """
     prefill, decode = pair()
     routes = json.loads(document(1))["routes"]
@@ -160,7 +160,8 @@
 async def test_a_request_without_a_prompt_never_visits_a_prefill_worker(tmp_path: Path) -> None:
     """A retry selects another decode worker.
 
-    In a bench run, such a request ran on a prefill worker after a loaded decode worker failed.
+    Guards against a request without a prompt that ran on a prefill worker after a loaded decode
+    worker had failed.
     """
     prefill = EmulatedWorker("p", "wine-llm", "prefill")
     decoders = [EmulatedWorker(name, "wine-llm", "decode") for name in ("d1", "d2")]
--- a/tests/control/test_control_process.py
+++ b/tests/control/test_control_process.py
@@ -57,7 +57,7 @@
 async def test_a_process_that_may_not_vote_needs_no_lockable_files() -> None:
     """Guards against a non-voter that fails to start because it locks a file in its data folder.
 
-    A bench run added machines whose data folder does not support file locks.
+    Some machines have a data folder on a file system without file locks.
     """
 
     class NoFiles(SimulatedFiles):
--- a/tests/placement/test_plan_execution.py
+++ b/tests/placement/test_plan_execution.py
@@ -190,7 +190,7 @@
     assert advance(0, StepPhase.WAITING, StepPhase.CORDONING) is Effect.STALE
     assert (
         advance(1, StepPhase.WAITING, StepPhase.CORDONING) is Effect.INVALID
-    )  # only one worker may be cordoned at once
+    )  # At most one worker may be cordoned at a time.
     lose_a_prefill_worker_outside_the_plan(environment)
     assert advance(0, StepPhase.CORDONING, StepPhase.RETURNING) is Effect.CHANGED
     assert advance(0, StepPhase.RETURNING, StepPhase.RETURNED) is Effect.CHANGED
--- a/tests/simulation/test_plan_simulation.py
+++ b/tests/simulation/test_plan_simulation.py
@@ -71,4 +71,4 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(plan_driver, "workers_to_resume", lambda *_: [])
-    assert is_detected(Scenario.PARTITIONS, "left behind")
+    assert is_detected(Scenario.PARTITIONS, "left behind cordoned or not ready")
--- a/tests/tools/build_packages.py
+++ b/tests/tools/build_packages.py
@@ -96,14 +96,18 @@
         return ()
     if program not in PROGRAM_PACKAGES:
         known = ", ".join(sorted({*ESSENTIAL_PROGRAMS, *PROGRAM_PACKAGES}))
-        raise UnknownProgramError(f"{shlex.join(command)}: {program!r} is none of {known}")
+        raise UnknownProgramError(
+            f"{shlex.join(command)}: unknown program {program!r}, expected one of {known}"
+        )
     packages = PROGRAM_PACKAGES[program]
     if command[1:2] != ["-m"]:
         return packages
     module = command[2]
     if module not in PYTHON_MODULE_PACKAGES:
         known = ", ".join(sorted(PYTHON_MODULE_PACKAGES))
-        raise UnknownProgramError(f"{shlex.join(command)}: {module!r} is none of {known}")
+        raise UnknownProgramError(
+            f"{shlex.join(command)}: unknown module {module!r}, expected one of {known}"
+        )
     return (*packages, *PYTHON_MODULE_PACKAGES[module])
 
 
@@ -118,7 +122,9 @@
     for package in deploy.packages:
         if package not in KNOWN_PACKAGES:
             known = ", ".join(sorted(KNOWN_PACKAGES))
-            raise UnknownPackageError(f"packages: {package!r} is none of {known}")
+            raise UnknownPackageError(
+                f"packages: unknown package {package!r}, expected one of {known}"
+            )
     commands = [*shell_commands(deploy.build), *shell_commands(build_script)]
     commands += [shlex.split(line) for line in deploy.run_lines]
     needed = {package for command in commands for package in needed_packages(command)}
--- a/tests/tools/test_build_packages.py
+++ b/tests/tools/test_build_packages.py
@@ -27,7 +27,9 @@
 
 def test_an_unknown_package_is_rejected_with_the_known_ones() -> None:
     deploy = read_deploy_file()._replace(packages=("python3", "pyhton3-pip"))
-    with pytest.raises(UnknownPackageError, match=r"'pyhton3-pip' is none of .*python3-pip"):
+    with pytest.raises(
+        UnknownPackageError, match=r"unknown package 'pyhton3-pip', expected one of .*python3-pip"
+    ):
         check_packages(deploy, BUILD_SCRIPT)
 
 
--- a/tests/tools/test_decision_replay.py
+++ b/tests/tools/test_decision_replay.py
@@ -253,8 +253,8 @@
 def test_a_transition_by_others_leaves_a_circuit_alone_that_has_its_own_history() -> None:
     leader = LoggedLeader()
     fail_then_succeed(leader, failures=3)
-    # A probe of another router fails. With more allowed failures, the circuit of s1 had never
-    # opened.
+    # A probe of another router fails. With more allowed failures, the circuit of s1 would never
+    # have opened.
     leader.attempt(AttemptEffect.TRANSIENT, 12.5, order=("s1",), log=False)
     assert leader.attempt(AttemptEffect.SUCCESS, 13.0) == "s2"
     result = leader.replay(CircuitPolicy(allowed_fails=9))
--- a/tests/tools/test_measuring.py
+++ b/tests/tools/test_measuring.py
@@ -48,7 +48,7 @@
 
 
 def test_summary_of_an_empty_list_is_rejected() -> None:
-    with pytest.raises(ValueError, match="nothing was measured"):
+    with pytest.raises(ValueError, match="cannot compute quantiles: the set of figures is empty"):
         summarize([])
 
 
--- a/tests/tools/test_write_shapes.py
+++ b/tests/tools/test_write_shapes.py
@@ -40,7 +40,9 @@
 
 
 def test_a_number_absent_from_the_site_is_rejected_with_the_known_ones() -> None:
-    with pytest.raises(SHAPES.UnknownNumberError, match=r"odd: 'slotz' is none of .*slots"):
+    with pytest.raises(
+        SHAPES.UnknownNumberError, match=r"odd: unknown number 'slotz', expected one of .*slots"
+    ):
         derived(slotz=2.0)
 
 
