--- a/src/orchidpath/cli/http_addresses.py
+++ b/src/orchidpath/cli/http_addresses.py
@@ -24,5 +24,5 @@
         except ValueError:
             is_usable = False
         if not is_usable:
-            raise click.BadParameter(f"{address!r} is no http address with a port")
+            raise click.BadParameter(f"{address!r} is not an http address with a port")
     return tuple(base_url(address) for address in addresses)
--- a/src/orchidpath/router/fleet_link/fleet_access.py
+++ b/src/orchidpath/router/fleet_link/fleet_access.py
@@ -17,7 +17,7 @@
 
 
 class FleetAccess(ABC):
-    """The fleet as one router sees it."""
+    """Fleet view, lease, leader decisions and reports, as the edge of one router uses them."""
 
     @abstractmethod
     def view(self) -> FleetView | None:
--- a/src/orchidpath/router/proxy/upstream.py
+++ b/src/orchidpath/router/proxy/upstream.py
@@ -152,7 +152,7 @@
         Raises
         ------
         BrokenResponseError
-            The connection was lost, or the received bytes are no response.
+            The connection was lost, or the received bytes are not an HTTP response.
         """
         while True:
             event = await self._next_event()
--- a/src/orchidpath/routing/decision_log.py
+++ b/src/orchidpath/routing/decision_log.py
@@ -195,7 +195,7 @@
     Raises
     ------
     DamagedLineError
-        If the content is too long, is not valid JSON, or is no line of a decision log.
+        If the content is too long, is not valid JSON, or is not a line of a decision log.
     """
     if len(content) > MAX_LINE_BYTES:
         raise DamagedLineError(f"longer than the limit of {MAX_LINE_BYTES} bytes")
--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -174,7 +174,10 @@
         """Check that a request reported with ``ran=no`` has not run, and record that report."""
         if error.ran is not Ran.NO:
             return
-        self._check(not submission.has_run, f"{_name(submission)} has run and was told ran=no")
+        self._check(
+            not submission.has_run,
+            f"{_name(submission)} has run, but its caller received ran=no",
+        )
         submission.reported_not_executed = True
 
     def record_first_attempt(
@@ -225,7 +228,7 @@
         self._check_usable(router, key)
         self._check(
             (router, epoch, *key) not in self._announced_draining,
-            f"{router} sent an order to {worker.incarnation}, which had told it of its draining",
+            f"{router} dispatched to {worker.incarnation}, which had announced that it is draining",
         )
         self._check_probe(worker, attempt_id)
 
@@ -297,7 +300,7 @@
         submission.has_run = True
         self._check(
             not submission.reported_not_executed,
-            f"{incarnation} runs {_name(submission)}, whose caller was told ran=no",
+            f"{incarnation} runs {_name(submission)}, whose caller received ran=no",
         )
         key = (dispatch.request_id, dispatch.phase)
         self._executed[key] = self._executed.get(key, 0) + 1
--- a/src/orchidpath/wire/connector.py
+++ b/src/orchidpath/wire/connector.py
@@ -84,7 +84,7 @@
         raise failure from error
     except asyncio.CancelledError:
         if connection is not None:
-            connection.abort(ConnectionClosedError("cancelled"))
+            connection.abort(ConnectionClosedError("connecting was cancelled"))
         raise
     return connection
 
--- a/tests/emulators/test_emulator_cli.py
+++ b/tests/emulators/test_emulator_cli.py
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize(
     ("arguments", "message"),
     [
-        ([*WORKER, "--announce", "nowhere"], "'nowhere' is no http address"),
+        ([*WORKER, "--announce", "nowhere"], "'nowhere' is not an http address"),
         ([*WORKER, "--max-in-flight", "0"], "--max-in-flight"),
         ([*WORKER, "--host", "256.1.1.1"], "cannot listen"),
         (["caller", "--router", "127.0.0.1:1", "--mix", "BAD", "--for", "1"], "strems"),
--- a/tests/simulation/test_path_checks.py
+++ b/tests/simulation/test_path_checks.py
@@ -67,7 +67,7 @@
 ) -> None:
     observed.dispatch()
     observed.history.record_error_reply(observed.submission, REJECTION)
-    with pytest.raises(InvariantError, match="was told ran=no"):
+    with pytest.raises(InvariantError, match="caller received ran=no"):
         observed.history.check_execution("w0-1", DISPATCH)
 
 
