--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -222,7 +222,7 @@
         self._submission_of_attempt[attempt_id] = submission
         self._check(
             not submission.has_content,
-            f"{_name(submission)} was ordered again after content had reached its caller",
+            f"{_name(submission)} was dispatched again after content had reached its caller",
         )
         key = (worker.worker_id, worker.incarnation)
         self._check_usable(router, key)
@@ -294,7 +294,7 @@
         """
         submission = self._submission_of_attempt.get(dispatch.attempt_id)
         if submission is None:
-            raise InvariantError(f"{incarnation} runs an attempt that no router ordered")
+            raise InvariantError(f"{incarnation} runs an attempt that no router dispatched")
         if dispatch.phase is Phase.EXECUTION:
             self.counts.executions += 1
         submission.has_run = True
--- a/tests/simulation/test_path_checks.py
+++ b/tests/simulation/test_path_checks.py
@@ -72,7 +72,7 @@
 
 
 def test_an_execution_without_a_dispatch_is_detected() -> None:
-    with pytest.raises(InvariantError, match="no router ordered"):
+    with pytest.raises(InvariantError, match="no router dispatched"):
         ObservedSubmission().history.check_execution("w0-1", DISPATCH)
 
 
