--- a/src/orchidpath/simulation/requests/path_checks.py
+++ b/src/orchidpath/simulation/requests/path_checks.py
@@ -174,7 +174,10 @@
         """Check that a request reported with ``ran=no`` has not run, and record that report."""
         if error.ran is not Ran.NO:
             return
-        self._check(not submission.has_run, f"{_name(submission)} has run and was told ran=no")
+        self._check(
+            not submission.has_run,
+            f"{_name(submission)} has run, but its caller received ran=no",
+        )
         submission.reported_not_executed = True
 
     def record_first_attempt(
@@ -219,13 +222,13 @@
         self._submission_of_attempt[attempt_id] = submission
         self._check(
             not submission.has_content,
-            f"{_name(submission)} was ordered again after content had reached its caller",
+            f"{_name(submission)} was dispatched again after content had reached its caller",
         )
         key = (worker.worker_id, worker.incarnation)
         self._check_usable(router, key)
         self._check(
             (router, epoch, *key) not in self._announced_draining,
-            f"{router} sent an order to {worker.incarnation}, which had told it of its draining",
+            f"{router} dispatched to {worker.incarnation}, which had announced that it is draining",
         )
         self._check_probe(worker, attempt_id)
 
@@ -291,13 +294,13 @@
         """
         submission = self._submission_of_attempt.get(dispatch.attempt_id)
         if submission is None:
-            raise InvariantError(f"{incarnation} runs an attempt that no router ordered")
+            raise InvariantError(f"{incarnation} runs an attempt that no router dispatched")
         if dispatch.phase is Phase.EXECUTION:
             self.counts.executions += 1
         submission.has_run = True
         self._check(
             not submission.reported_not_executed,
-            f"{incarnation} runs {_name(submission)}, whose caller was told ran=no",
+            f"{incarnation} runs {_name(submission)}, whose caller received ran=no",
         )
         key = (dispatch.request_id, dispatch.phase)
         self._executed[key] = self._executed.get(key, 0) + 1
--- a/tests/simulation/test_path_checks.py
+++ b/tests/simulation/test_path_checks.py
@@ -67,12 +67,12 @@
 ) -> None:
     observed.dispatch()
     observed.history.record_error_reply(observed.submission, REJECTION)
-    with pytest.raises(InvariantError, match="was told ran=no"):
+    with pytest.raises(InvariantError, match="caller received ran=no"):
         observed.history.check_execution("w0-1", DISPATCH)
 
 
 def test_an_execution_without_a_dispatch_is_detected() -> None:
-    with pytest.raises(InvariantError, match="no router ordered"):
+    with pytest.raises(InvariantError, match="no router dispatched"):
         ObservedSubmission().history.check_execution("w0-1", DISPATCH)
 
 
